--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
             -lisal -lsodium -lgsl -lgslcblas -ltirpc -lhttp_parser -lev -lstdc++ -lm -lpthread
 
 LIB_SRC  := $(wildcard src/base/*.c src/proto/*.c src/raft/*.c src/state/*.c src/policy/*.c src/client/*.c src/net/*.c platform/*.c)
-LIB_OBJ  := $(LIB_SRC:%.c=$(B)/obj/%.o) $(B)/obj/src/base/cf_toml.o
+LIB_OBJ  := $(LIB_SRC:%.c=$(B)/obj/%.o) $(B)/obj/src/base/toml.o
 LIB      := $(B)/lib/libauburn.a
 
 objs      = $(patsubst %.c,$(B)/obj/%.o,$(wildcard $(1)))
--- a/bench/bn_addr.c
+++ b/bench/bn_addr.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "base/str.h"
 #include "bn_http.h"
 
@@ -64,7 +64,7 @@
 			list_add(out, addr);
 	}
 	json_decref(j);
-	return out->n ? ST_OK : ST_UNAVAILABLE;
+	return out->n ? STATUS_OK : STATUS_UNAVAILABLE;
 }
 
 static status_t ask_one(bn_addr_t *a, const char *addr)
@@ -73,27 +73,27 @@
 	AUTO_BUF body = {0};
 	list_t got = {0};
 	int64_t valid_ms = 0;
-	int64_t asked = clk_now_ms();
+	int64_t asked = clock_now_ms();
 
 	buf_addf(&url, "http://%s/v1/addresses", addr);
 	if (bn_http_get(url.p, NULL, ASK_MS, &body) != 200)
-		return ST_UNAVAILABLE;
-	if (read_answer(body.p ? body.p : "", &got, &valid_ms) != ST_OK)
-		return ST_UNAVAILABLE;
+		return STATUS_UNAVAILABLE;
+	if (read_answer(body.p ? body.p : "", &got, &valid_ms) != STATUS_OK)
+		return STATUS_UNAVAILABLE;
 	pthread_mutex_lock(&a->lock);
 	a->known = got;
 	a->expires = asked + valid_ms;
 	pthread_mutex_unlock(&a->lock);
-	return ST_OK;
+	return STATUS_OK;
 }
 
 static void ask_all(bn_addr_t *a)
 {
 	for (size_t i = 0; i < a->ask.n; i++) {
-		if (ask_one(a, a->ask.addr[i]) == ST_OK)
+		if (ask_one(a, a->ask.addr[i]) == STATUS_OK)
 			return;
 	}
-	a->expires = clk_now_ms() + RETRY_MS;
+	a->expires = clock_now_ms() + RETRY_MS;
 }
 
 static void *refresh(void *ctx)
@@ -101,9 +101,9 @@
 	bn_addr_t *a = ctx;
 
 	while (!atomic_load(&a->stop)) {
-		if (clk_now_ms() >= a->expires)
+		if (clock_now_ms() >= a->expires)
 			ask_all(a);
-		clk_sleep_ms(POLL_MS);
+		clock_sleep_ms(POLL_MS);
 	}
 	return NULL;
 }
@@ -137,12 +137,12 @@
 
 status_t bn_addr_pick(bn_addr_t *a, unsigned long rnd, char out[BN_ADDR_BYTES])
 {
-	status_t st = ST_UNAVAILABLE;
+	status_t st = STATUS_UNAVAILABLE;
 
 	pthread_mutex_lock(&a->lock);
 	if (a->known.n) {
 		memcpy(out, a->known.addr[rnd % a->known.n], BN_ADDR_BYTES);
-		st = ST_OK;
+		st = STATUS_OK;
 	}
 	pthread_mutex_unlock(&a->lock);
 	return st;
--- a/bench/bn_check.c
+++ b/bench/bn_check.c
@@ -117,7 +117,7 @@
 		tokens += take_line(c, c->rest.p + from);
 		from = (size_t)(end - c->rest.p) + 1;
 	}
-	buf_drop(&c->rest, from);
+	buf_drop_front(&c->rest, from);
 	return tokens;
 }
 
--- a/bench/bn_job.c
+++ b/bench/bn_job.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "base/str.h"
 #include "bn_http.h"
 
@@ -63,7 +63,7 @@
 	AUTO_BUF answer = {0};
 	long code;
 
-	if (bn_addr_pick(j->o.addr, gsl_rng_get(j->rng), addr) != ST_OK)
+	if (bn_addr_pick(j->o.addr, gsl_rng_get(j->rng), addr) != STATUS_OK)
 		return;
 	snprintf(job->id, sizeof(job->id), "%s-job-%lu-%lu", j->o.run, j->o.seed, j->number);
 	for (int i = 0; i < j->o.items; i++)
@@ -126,7 +126,7 @@
 {
 	char addr[BN_ADDR_BYTES];
 
-	if (bn_addr_pick(j->o.addr, gsl_rng_get(j->rng), addr) != ST_OK)
+	if (bn_addr_pick(j->o.addr, gsl_rng_get(j->rng), addr) != STATUS_OK)
 		return false;
 	buf_addf(url, "http://%s/v1/jobs/%s", addr, job->id);
 	return true;
@@ -159,7 +159,7 @@
 
 	while (!atomic_load(&j->stop)) {
 		round_of(j);
-		clk_sleep_ms(POLL_MS);
+		clock_sleep_ms(POLL_MS);
 	}
 	return NULL;
 }
@@ -204,11 +204,11 @@
 
 void bn_jobs_wait(bn_jobs_t *j, int wait_ms)
 {
-	deadline_t until = clk_now_ms() + wait_ms;
+	deadline_t until = clock_now_ms() + wait_ms;
 
 	atomic_store(&j->submits, false);
-	while (any_open(j) && clk_now_ms() < until)
-		clk_sleep_ms(POLL_MS);
+	while (any_open(j) && clock_now_ms() < until)
+		clock_sleep_ms(POLL_MS);
 }
 
 static void cancel(bn_jobs_t *j, const job_t *job)
--- a/bench/bn_load.c
+++ b/bench/bn_load.c
@@ -1,7 +1,7 @@
 #include "bn_load.h"
 
 #include <stdlib.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "bn_request.h"
 
 #define US_PER_S       1e6
@@ -32,14 +32,14 @@
 
 static double elapsed_s(const load_t *l)
 {
-	return (double)(clk_now_us() - l->start_us) / US_PER_S;
+	return (double)(clock_now_us() - l->start_us) / US_PER_S;
 }
 
 static void later(load_t *l, bn_request_t *r)
 {
 	again_t *a = mem_new(sizeof(*a));
 
-	*a = (again_t){r, clk_now_us() + RESEND_WAIT_US, l->again};
+	*a = (again_t){r, clock_now_us() + RESEND_WAIT_US, l->again};
 	l->again = a;
 }
 
@@ -56,7 +56,7 @@
 static void send_again(load_t *l)
 {
 	again_t **at = &l->again;
-	int64_t now = clk_now_us();
+	int64_t now = clock_now_us();
 
 	while (*at) {
 		again_t *a = *at;
@@ -156,7 +156,7 @@
 	gsl_rng_set(l.plan, o->seed);
 	gsl_rng_set(l.choice, o->seed + 1);
 	curl_multi_setopt(l.multi, CURLMOPT_MAXCONNECTS, CONNECTIONS);
-	l.start_us = clk_now_us();
+	l.start_us = clock_now_us();
 	l.next_s = bn_rate_next(&o->rate, 0, l.plan);
 	loop(&l);
 	give_up(&l);
--- a/bench/bn_rate.c
+++ b/bench/bn_rate.c
@@ -18,9 +18,9 @@
 		got = sscanf(text, "every %lf:for %lf%n", &out->every_s, &out->for_s, &used);
 	if (got != 2 || text[used] || out->factor < 0 || out->for_s <= 0 ||
 	    out->every_s <= out->for_s)
-		return st_fail(ST_INVALID, "%s is not %severy S:for S", text,
-			       has_factor ? "xF:" : "");
-	return ST_OK;
+		return status_fail(STATUS_INVALID, "%s is not %severy S:for S", text,
+				   has_factor ? "xF:" : "");
+	return STATUS_OK;
 }
 
 /** A window is the last part of its period, so that a run starts outside it. */
--- a/bench/bn_request.c
+++ b/bench/bn_request.c
@@ -3,7 +3,7 @@
 #include <gsl/gsl_randist.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "bn_http.h"
 
 #define PREFIX_BYTES  256
@@ -82,7 +82,7 @@
 
 static void on_tokens(bn_request_t *r, int tokens)
 {
-	int64_t now = clk_now_us();
+	int64_t now = clock_now_us();
 
 	if (r->first_us == 0)
 		r->first_us = now;
@@ -98,7 +98,7 @@
 	long code = 0;
 	int tokens;
 
-	r->heard_us = clk_now_us();
+	r->heard_us = clock_now_us();
 	curl_easy_getinfo(r->curl, CURLINFO_RESPONSE_CODE, &code);
 	if (code != 200) {
 		buf_add(&r->error, piece);
@@ -118,7 +118,7 @@
 {
 	const bn_request_t *r = ctx;
 
-	return clk_now_us() > r->heard_us + r->o->timeout_ms * US_PER_MS;
+	return clock_now_us() > r->heard_us + r->o->timeout_ms * US_PER_MS;
 }
 
 static struct curl_slist *make_headers(const bn_request_t *r)
@@ -132,7 +132,7 @@
 	h = bn_http_header(h, "Idempotency-Key", r->key);
 	h = curl_slist_append(h, "Expect:");
 	if (r->o->deadline_ms > 0) {
-		int64_t spent_ms = (clk_now_us() - r->arrived_us) / 1000;
+		int64_t spent_ms = (clock_now_us() - r->arrived_us) / 1000;
 		int64_t left_ms = r->o->deadline_ms - spent_ms;
 
 		buf_addf(&left, "%ld", left_ms > 1 ? left_ms : 1);
@@ -147,13 +147,13 @@
 	AUTO_BUF url = {0};
 	CURL *c;
 
-	if (bn_addr_pick(r->o->addr, gsl_rng_get(rng), addr) != ST_OK)
+	if (bn_addr_pick(r->o->addr, gsl_rng_get(rng), addr) != STATUS_OK)
 		return NULL;
 	drop_attempt(r);
 	bn_check_reset(&r->check);
 	buf_free(&r->error);
 	r->last_us = 0;
-	r->heard_us = clk_now_us();
+	r->heard_us = clock_now_us();
 	buf_addf(&url, "http://%s/v1/completions", addr);
 	c = curl_easy_init();
 	r->headers = make_headers(r);
@@ -199,7 +199,7 @@
 		count_ok(r);
 	if (what == BN_REFUSED)
 		bn_values_add(&r->stat->refused_ms,
-			      (double)(clk_now_us() - r->arrived_us) * MS_PER_US);
+			      (double)(clock_now_us() - r->arrived_us) * MS_PER_US);
 	if (what == BN_BROKEN)
 		r->stat->fault[r->check.fault]++;
 }
--- a/bench/main.c
+++ b/bench/main.c
@@ -3,8 +3,8 @@
 #include <curl/curl.h>
 #include <stdio.h>
 #include <stdlib.h>
-#include "base/ar.h"
-#include "base/clk.h"
+#include "base/args.h"
+#include "base/clock.h"
 #include "bn_job.h"
 #include "bn_load.h"
 
@@ -65,12 +65,14 @@
 		.verbose = a->verbose->count > 0,
 	};
 	if (o->rate.per_s <= 0 || o->seconds <= 0 || o->max_tokens < 1)
-		return st_fail(ST_INVALID, "--rate, --seconds and --max-tokens are above zero");
-	if (a->burst->count && bn_window_parse(a->burst->sval[0], true, &o->rate.burst) != ST_OK)
-		return ST_INVALID;
+		return status_fail(STATUS_INVALID,
+				   "--rate, --seconds and --max-tokens are above zero");
+	if (a->burst->count &&
+	    bn_window_parse(a->burst->sval[0], true, &o->rate.burst) != STATUS_OK)
+		return STATUS_INVALID;
 	if (a->gap->count)
 		return bn_window_parse(a->gap->sval[0], false, &o->rate.gap);
-	return ST_OK;
+	return STATUS_OK;
 }
 
 static void read_jobs(const args_t *a, const bn_load_options_t *load, bn_job_options_t *o)
@@ -120,18 +122,18 @@
 	bn_job_counts_t before = {0};
 	bn_job_counts_t after = {0};
 	bn_jobs_t *j = jobs->items > 0 ? bn_jobs_start(jobs) : NULL;
-	int64_t start = clk_now_ms();
+	int64_t start = clock_now_ms();
 	int wait_ms = int_or(a->job_wait_ms, 0);
 
 	if (a->no_online->count)
-		clk_sleep_ms((int64_t)(load->seconds * MS_PER_S));
+		clock_sleep_ms((int64_t)(load->seconds * MS_PER_S));
 	else
 		bn_load_run(load, stat);
 	if (j && wait_ms > 0)
 		bn_jobs_wait(j, wait_ms);
 	if (j) {
 		bn_jobs_read(j, &after);
-		print_jobs(&before, &after, (double)(clk_now_ms() - start) / MS_PER_S);
+		print_jobs(&before, &after, (double)(clock_now_ms() - start) / MS_PER_S);
 		bn_jobs_stop(j, wait_ms == 0);
 	}
 	if (!a->no_online->count)
@@ -147,11 +149,11 @@
 
 	if (!a->entry->count && !a->addresses->count) {
 		fputs("auburn-bench: --entry or --addresses is missing\n", stderr);
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
-	if (read_load(a, &load) != ST_OK) {
-		fprintf(stderr, "auburn-bench: %s\n", st_message());
-		return AR_USAGE;
+	if (read_load(a, &load) != STATUS_OK) {
+		fprintf(stderr, "auburn-bench: %s\n", status_message());
+		return EXIT_USAGE;
 	}
 	read_jobs(a, &load, &jobs);
 	curl_global_init(CURL_GLOBAL_ALL);
@@ -159,7 +161,7 @@
 	jobs.addr = load.addr;
 	run(a, &load, &jobs);
 	bn_addr_free(load.addr);
-	return AR_OK;
+	return EXIT_OK;
 }
 
 int main(int argc, char **argv)
@@ -204,15 +206,15 @@
 		fputs("Usage: auburn-bench", stdout);
 		arg_print_syntax(stdout, table, "\n");
 		arg_print_glossary(stdout, table, "  %-26s %s\n");
-		return AR_OK;
+		return EXIT_OK;
 	}
 	if (a.version->count) {
 		puts("auburn-bench " AUBURN_VERSION);
-		return AR_OK;
+		return EXIT_OK;
 	}
 	if (faults > 0) {
 		arg_print_errors(stderr, a.end, "auburn-bench");
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	return start(&a);
 }
--- a/fakes/fake-engine.c
+++ b/fakes/fake-engine.c
@@ -12,30 +12,30 @@
 #define STREAM_BLOCK   4096
 #define DIE_EXIT       9
 
-static status_t configure(void *ctx, const cf_t *c)
+static status_t configure(void *ctx, const toml_doc_t *c)
 {
 	fk_settings_t *s = &((fk_engine_t *)ctx)->settings;
-	const cf_key_t keys[] = {
-		{"listen", CF_STR, true, 1, 64, &s->listen},
-		{"name", CF_STR, false, 0, 64, &s->name},
-		{"weight_store", CF_STR, false, 0, 256, &s->weight_store},
-		{"slots", CF_INT, false, 1, 4096, &s->slots},
-		{"step_base_us", CF_INT, false, 0, MAX_TIME_US, &s->step_base_us},
-		{"step_per_stream_us", CF_INT, false, 0, MAX_TIME_US, &s->step_per_stream_us},
-		{"prefill_us_per_token", CF_INT, false, 0, MAX_TIME_US, &s->prefill_us_per_token},
-		{"cache_prefixes", CF_INT, false, 0, FK_MAX_PREFIXES, &s->cache_prefixes},
-		{"prefix_bytes", CF_INT, false, 1, 65536, &s->prefix_bytes},
-		{"report_lag_ms", CF_INT, false, 0, MAX_TIME_MS, &s->report_lag_ms},
-		{"event_lag_ms", CF_INT, false, 0, MAX_TIME_MS, &s->event_lag_ms},
-		{"event_gap_percent", CF_INT, false, 0, 100, &s->event_gap_percent},
-		{"load_ms", CF_INT, false, 0, MAX_TIME_MS, &s->load_ms},
-		{"seed", CF_INT, false, 0, UINT32_MAX, &s->seed},
-		{"fencing", CF_BOOL, false, 0, 0, &s->fencing},
-		{NULL, CF_STR, false, 0, 0, NULL},
+	const toml_key_t keys[] = {
+		{"listen", TOML_STR, true, 1, 64, &s->listen},
+		{"name", TOML_STR, false, 0, 64, &s->name},
+		{"weight_store", TOML_STR, false, 0, 256, &s->weight_store},
+		{"slots", TOML_INT, false, 1, 4096, &s->slots},
+		{"step_base_us", TOML_INT, false, 0, MAX_TIME_US, &s->step_base_us},
+		{"step_per_stream_us", TOML_INT, false, 0, MAX_TIME_US, &s->step_per_stream_us},
+		{"prefill_us_per_token", TOML_INT, false, 0, MAX_TIME_US, &s->prefill_us_per_token},
+		{"cache_prefixes", TOML_INT, false, 0, FK_MAX_PREFIXES, &s->cache_prefixes},
+		{"prefix_bytes", TOML_INT, false, 1, 65536, &s->prefix_bytes},
+		{"report_lag_ms", TOML_INT, false, 0, MAX_TIME_MS, &s->report_lag_ms},
+		{"event_lag_ms", TOML_INT, false, 0, MAX_TIME_MS, &s->event_lag_ms},
+		{"event_gap_percent", TOML_INT, false, 0, 100, &s->event_gap_percent},
+		{"load_ms", TOML_INT, false, 0, MAX_TIME_MS, &s->load_ms},
+		{"seed", TOML_INT, false, 0, UINT32_MAX, &s->seed},
+		{"fencing", TOML_BOOL, false, 0, 0, &s->fencing},
+		{NULL, TOML_STR, false, 0, 0, NULL},
 	};
-	status_t st = cf_read(c, cf_root(c), keys, NULL);
+	status_t st = toml_read(c, toml_root(c), keys, NULL);
 
-	return st == ST_OK ? fk_check_address(c, "listen", s->listen) : st;
+	return st == STATUS_OK ? fk_check_address(c, "listen", s->listen) : st;
 }
 
 static int answer_old_fence(fk_engine_t *e, struct _u_response *r)
@@ -202,7 +202,7 @@
 	f->lose = fk_int(body, "lose", f->lose);
 	f->late_ms = fk_int(body, "late_ms", f->late_ms);
 	if (json_object_get(body, "freeze_ms"))
-		f->frozen_until = clk_now_ms() + fk_int(body, "freeze_ms", 0);
+		f->frozen_until = clock_now_ms() + fk_int(body, "freeze_ms", 0);
 	pthread_mutex_unlock(&e->lock);
 	return fk_answer(r, 200, json_object());
 }
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -2,7 +2,7 @@
 #include <pthread.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "fk_common.h"
 
 #define MAX_LAG_MS     3600000
@@ -32,51 +32,54 @@
 {
 	version_t *v = mem_new(sizeof(*v));
 
-	*v = (version_t){clk_now_ms(), vms, p->newest};
+	*v = (version_t){clock_now_ms(), vms, p->newest};
 	p->newest = v;
 }
 
-static status_t read_vm(const cf_t *c, const cf_table_t *t, json_t *vms)
+static status_t read_vm(const toml_doc_t *c, const toml_table_t *t, json_t *vms)
 {
 	AUTO_FREE char *id = NULL;
 	AUTO_FREE char *addr = NULL;
 	AUTO_FREE char *zone = NULL;
 	AUTO_FREE char *service = NULL;
 	AUTO_FREE char *state = NULL;
-	const cf_key_t keys[] = {
-		{"id", CF_STR, true, 1, 64, &id},	 {"addr", CF_STR, true, 1, 64, &addr},
-		{"zone", CF_STR, true, 1, 64, &zone},	 {"service", CF_STR, true, 1, 64, &service},
-		{"state", CF_STR, false, 1, 16, &state}, {NULL, CF_STR, false, 0, 0, NULL},
+	const toml_key_t keys[] = {
+		{"id", TOML_STR, true, 1, 64, &id},
+		{"addr", TOML_STR, true, 1, 64, &addr},
+		{"zone", TOML_STR, true, 1, 64, &zone},
+		{"service", TOML_STR, true, 1, 64, &service},
+		{"state", TOML_STR, false, 1, 16, &state},
+		{NULL, TOML_STR, false, 0, 0, NULL},
 	};
-	status_t st = cf_read(c, t, keys, NULL);
+	status_t st = toml_read(c, t, keys, NULL);
 
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	json_array_append_new(vms,
 			      json_pack("{s:s,s:s,s:s,s:s,s:s}", "id", id, "addr", addr, "zone",
 					zone, "service", service, "state", state ? state : "live"));
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static status_t configure(void *ctx, const cf_t *c)
+static status_t configure(void *ctx, const toml_doc_t *c)
 {
 	static const char *const sub[] = {"vm", NULL};
 	platform_t *p = ctx;
-	const cf_table_t *root = cf_root(c);
-	const cf_key_t keys[] = {
-		{"listen", CF_STR, true, 1, 64, &p->listen},
-		{"lag_ms", CF_INT, false, 0, MAX_LAG_MS, &p->lag_ms},
-		{"weight_ms", CF_INT, false, 0, MAX_LAG_MS, &p->weight_ms},
-		{"weight_rate", CF_INT, false, 1, MAX_RATE, &p->weight_rate},
-		{NULL, CF_STR, false, 0, 0, NULL},
+	const toml_table_t *root = toml_root(c);
+	const toml_key_t keys[] = {
+		{"listen", TOML_STR, true, 1, 64, &p->listen},
+		{"lag_ms", TOML_INT, false, 0, MAX_LAG_MS, &p->lag_ms},
+		{"weight_ms", TOML_INT, false, 0, MAX_LAG_MS, &p->weight_ms},
+		{"weight_rate", TOML_INT, false, 1, MAX_RATE, &p->weight_rate},
+		{NULL, TOML_STR, false, 0, 0, NULL},
 	};
-	status_t st = cf_read(c, root, keys, sub);
+	status_t st = toml_read(c, root, keys, sub);
 	json_t *vms = json_array();
 
-	for (size_t i = 0; st == ST_OK && i < cf_count(root, "vm"); i++)
-		st = read_vm(c, cf_at(root, "vm", i), vms);
+	for (size_t i = 0; st == STATUS_OK && i < toml_table_count(root, "vm"); i++)
+		st = read_vm(c, toml_table_at(root, "vm", i), vms);
 	add_version(p, vms);
-	return st == ST_OK ? fk_check_address(c, "listen", p->listen) : st;
+	return st == STATUS_OK ? fk_check_address(c, "listen", p->listen) : st;
 }
 
 static void drop_older(version_t *v)
@@ -94,7 +97,7 @@
 /* The newest version that is lag_ms old; the first one holds from the start. */
 static version_t *visible_version(platform_t *p)
 {
-	int64_t at = clk_now_ms() - p->lag_ms;
+	int64_t at = clock_now_ms() - p->lag_ms;
 	version_t *v = p->newest;
 
 	while (v->since_ms > at && v->older)
@@ -131,7 +134,7 @@
 /* Tells whether one more answer stays within weight_rate of any minute. */
 static bool take_weight(platform_t *p)
 {
-	int64_t now = clk_now_ms();
+	int64_t now = clock_now_ms();
 	int64_t *oldest = &p->served_ms[p->weights % p->weight_rate];
 
 	if (p->weights >= p->weight_rate && now - *oldest < RATE_PERIOD_MS) {
@@ -156,7 +159,7 @@
 		u_map_put(r->map_header, "Retry-After", "1");
 		return fk_answer_error(r, 429, "over the rate");
 	}
-	clk_sleep_ms(p->weight_ms);
+	clock_sleep_ms(p->weight_ms);
 	return fk_answer(r, 200, json_pack("{s:s}", "name", name ? name : ""));
 }
 
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -2,7 +2,7 @@
 #include <pthread.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "fk_common.h"
 
 #define MAX_DELAY_MS 600000
@@ -18,18 +18,18 @@
 	json_t *keys; /* runs by key */
 } service_t;
 
-static status_t configure(void *ctx, const cf_t *c)
+static status_t configure(void *ctx, const toml_doc_t *c)
 {
 	service_t *s = ctx;
-	const cf_key_t keys[] = {
-		{"listen", CF_STR, true, 1, 64, &s->listen},
-		{"name", CF_STR, false, 0, 64, &s->name},
-		{"delay_ms", CF_INT, false, 0, MAX_DELAY_MS, &s->delay_ms},
-		{NULL, CF_STR, false, 0, 0, NULL},
+	const toml_key_t keys[] = {
+		{"listen", TOML_STR, true, 1, 64, &s->listen},
+		{"name", TOML_STR, false, 0, 64, &s->name},
+		{"delay_ms", TOML_INT, false, 0, MAX_DELAY_MS, &s->delay_ms},
+		{NULL, TOML_STR, false, 0, 0, NULL},
 	};
-	status_t st = cf_read(c, cf_root(c), keys, NULL);
+	status_t st = toml_read(c, toml_root(c), keys, NULL);
 
-	return st == ST_OK ? fk_check_address(c, "listen", s->listen) : st;
+	return st == STATUS_OK ? fk_check_address(c, "listen", s->listen) : st;
 }
 
 static bool take(int64_t *left)
@@ -68,7 +68,7 @@
 	lose = take(&s->lose);
 	delay_ms = s->delay_ms;
 	pthread_mutex_unlock(&s->lock);
-	clk_sleep_ms(delay_ms);
+	clock_sleep_ms(delay_ms);
 	if (lose)
 		fk_http_drop(q);
 	return fk_answer(
--- a/fakes/fk_common.h
+++ b/fakes/fk_common.h
@@ -4,14 +4,14 @@
 
 #include <jansson.h>
 #include <ulfius.h>
-#include "base/cf.h"
+#include "base/toml.h"
 #include "base/status.h"
 
 typedef struct {
 	const char *name;
 	const char *about; /* one line for --help */
 	/** Reads the settings into ctx. */
-	status_t (*configure)(void *ctx, const cf_t *c);
+	status_t (*configure)(void *ctx, const toml_doc_t *c);
 	/** Starts to serve; returns at once. */
 	status_t (*start)(void *ctx);
 	void *ctx;
@@ -59,6 +59,6 @@
 /** Splits "ip:port" into an IPv4 socket address. */
 status_t fk_address(const char *addr, struct sockaddr_in *out);
 /** Checks the address under a key of the settings. */
-status_t fk_check_address(const cf_t *c, const char *key, const char *addr);
+status_t fk_check_address(const toml_doc_t *c, const char *key, const char *addr);
 
 #endif
--- a/fakes/fk_engine.c
+++ b/fakes/fk_engine.c
@@ -44,7 +44,7 @@
 	if (e->waiting_n > e->counts.max_waiting)
 		e->counts.max_waiting = e->waiting_n;
 	fk_report_add(&e->report, &(fk_sample_t){
-					  .at_ms = clk_now_ms(),
+					  .at_ms = clock_now_ms(),
 					  .running = e->running_n,
 					  .waiting = e->waiting_n,
 					  .step_us = e->step_us,
@@ -96,7 +96,7 @@
 		s = e->waiting;
 		leave(s);
 		s->state = STREAM_RUNNING;
-		s->first_at = clk_now_ms() + e->faults.late_ms;
+		s->first_at = clock_now_ms() + e->faults.late_ms;
 		DL_APPEND2(e->running, s, prev, next_stream);
 		e->running_n++;
 		prefill += prefill_tokens(e, s);
@@ -152,9 +152,9 @@
 {
 	while (!e->running && !e->waiting)
 		pthread_cond_wait(&e->work, &e->lock);
-	while (clk_now_ms() < e->faults.frozen_until) {
+	while (clock_now_ms() < e->faults.frozen_until) {
 		pthread_mutex_unlock(&e->lock);
-		clk_sleep_ms(FREEZE_POLL_MS);
+		clock_sleep_ms(FREEZE_POLL_MS);
 		pthread_mutex_lock(&e->lock);
 	}
 }
@@ -163,7 +163,7 @@
 static void step(fk_engine_t *e)
 {
 	const fk_settings_t *set = &e->settings;
-	int64_t begin_us = clk_now_us();
+	int64_t begin_us = clock_now_us();
 	int64_t prefill = admit(e);
 	fk_stream_t *s;
 	fk_stream_t *following;
@@ -173,9 +173,9 @@
 		     prefill * set->prefill_us_per_token;
 	note_load(e);
 	pthread_mutex_unlock(&e->lock);
-	sleep_us(begin_us + e->step_us - clk_now_us());
+	sleep_us(begin_us + e->step_us - clock_now_us());
 	pthread_mutex_lock(&e->lock);
-	now = clk_now_ms();
+	now = clock_now_ms();
 	for (s = e->running; s; s = following) {
 		following = s->next_stream;
 		step_stream(e, s, now);
@@ -313,7 +313,7 @@
 	if (n == 0 && s->out.n) {
 		n = (long)(s->out.n < max ? s->out.n : max);
 		memcpy(out, s->out.p, (size_t)n);
-		buf_drop(&s->out, (size_t)n);
+		buf_drop_front(&s->out, (size_t)n);
 	} else if (s->state == STREAM_BROKEN) {
 		n = -1;
 	}
@@ -347,7 +347,7 @@
 		following = s->next_stream;
 		if (!str_eq(str_c(s->id), id))
 			continue;
-		buf_drop(&s->out, s->out.n);
+		buf_drop_front(&s->out, s->out.n);
 		e->counts.cancelled++;
 		end_stream(s, STREAM_BROKEN);
 		found = true;
--- a/fakes/fk_engine.h
+++ b/fakes/fk_engine.h
@@ -6,7 +6,7 @@
 #include <pthread.h>
 #include <stdbool.h>
 #include <stdint.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "base/str.h"
 
 typedef struct {
--- a/fakes/fk_engine_cache.c
+++ b/fakes/fk_engine_cache.c
@@ -2,14 +2,14 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "fk_engine.h"
 
 static void publish(fk_cache_t *c, uint64_t prefix, bool added)
 {
 	c->last++;
 	c->events[c->last % FK_CACHE_EVENTS] = (fk_cache_event_t){
-		.at_ms = clk_now_ms(),
+		.at_ms = clock_now_ms(),
 		.prefix = prefix,
 		.added = added,
 		.lost = rand_r(&c->seed) % 100 < c->gap_percent,
@@ -48,7 +48,7 @@
 
 json_t *fk_cache_events(const fk_cache_t *c, int64_t after, int64_t lag_ms)
 {
-	int64_t until_ms = clk_now_ms() - lag_ms;
+	int64_t until_ms = clock_now_ms() - lag_ms;
 	int64_t first = c->last - FK_CACHE_EVENTS + 1;
 	int64_t last = after < 0 ? 0 : after;
 	json_t *list = json_array();
--- a/fakes/fk_engine_orders.c
+++ b/fakes/fk_engine_orders.c
@@ -2,7 +2,7 @@
  */
 #include <stdlib.h>
 #include <string.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "fk_common.h"
 #include "fk_engine.h"
 
@@ -32,9 +32,9 @@
 	if (s->weight_store && *s->weight_store) {
 		buf_addf(&url, "%s/v1/weights/%s", s->weight_store, fk_str(load, "model"));
 		while (!fetch_weight(url.p))
-			clk_sleep_ms(WEIGHT_RETRY_MS);
+			clock_sleep_ms(WEIGHT_RETRY_MS);
 	}
-	clk_sleep_ms(s->load_ms);
+	clock_sleep_ms(s->load_ms);
 }
 
 static bool same_place(const json_t *a, const json_t *b)
--- a/fakes/fk_engine_report.c
+++ b/fakes/fk_engine_report.c
@@ -1,5 +1,5 @@
 /* Load reports of the engine emulator, which lag behind. */
-#include "base/clk.h"
+#include "base/clock.h"
 #include "fk_engine.h"
 
 void fk_report_add(fk_report_t *r, const fk_sample_t *s)
@@ -12,7 +12,7 @@
 
 fk_sample_t fk_report_at(const fk_report_t *r, int64_t lag_ms)
 {
-	int64_t at_ms = clk_now_ms() - lag_ms;
+	int64_t at_ms = clock_now_ms() - lag_ms;
 	uint64_t oldest = r->n > FK_SAMPLES ? r->n - FK_SAMPLES : 0;
 	uint64_t i;
 
--- a/fakes/fk_http.c
+++ b/fakes/fk_http.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/rp.h"
+#include "base/rpc.h"
 #include "fk_common.h"
 
 #define FK_MAX_CONNECTIONS 4096
@@ -105,23 +105,23 @@
 {
 	char ip[64];
 	unsigned port;
-	status_t st = rp_split_addr(addr, ip, &port);
+	status_t st = rpc_parse_addr(addr, ip, &port);
 
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	*out = (struct sockaddr_in){.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
 	inet_pton(AF_INET, ip, &out->sin_addr);
-	return ST_OK;
+	return STATUS_OK;
 }
 
-status_t fk_check_address(const cf_t *c, const char *key, const char *addr)
+status_t fk_check_address(const toml_doc_t *c, const char *key, const char *addr)
 {
 	struct sockaddr_in ignored;
 
-	if (fk_address(addr, &ignored) == ST_OK)
-		return ST_OK;
-	return st_fail(ST_INVALID, "%s:%d: %s: %s is not ip:port", cf_name(c),
-		       cf_line(cf_root(c), key), key, addr);
+	if (fk_address(addr, &ignored) == STATUS_OK)
+		return STATUS_OK;
+	return status_fail(STATUS_INVALID, "%s:%d: %s: %s is not ip:port", toml_name(c),
+			   toml_line(toml_root(c), key), key, addr);
 }
 
 static int start_server(struct _u_instance *server)
@@ -150,11 +150,11 @@
 	status_t st = fk_address(o->listen, address);
 	const fk_route_t *r;
 
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		goto fail;
-	st = ST_IO;
+	st = STATUS_IO;
 	if (ulfius_init_instance(server, ntohs(address->sin_port), address, NULL) != U_OK) {
-		st_fail(ST_IO, "%s: can't prepare the server", o->listen);
+		status_fail(STATUS_IO, "%s: can't prepare the server", o->listen);
 		goto fail;
 	}
 	server->max_post_body_size = FK_MAX_BODY;
@@ -163,8 +163,8 @@
 	if (o->other)
 		ulfius_set_default_endpoint(server, o->other, o->ctx);
 	if (start_server(server) == U_OK)
-		return ST_OK;
-	st_fail(ST_IO, "%s: can't listen", o->listen);
+		return STATUS_OK;
+	status_fail(STATUS_IO, "%s: can't listen", o->listen);
 	ulfius_clean_instance(server);
 fail:
 	free(address);
--- a/fakes/fk_main.c
+++ b/fakes/fk_main.c
@@ -3,8 +3,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <unistd.h>
-#include "base/ar.h"
-#include "base/lg.h"
+#include "base/args.h"
+#include "base/log.h"
 #include "fk_common.h"
 
 static void block_stop_signals(sigset_t *set)
@@ -18,33 +18,33 @@
 
 static int run(const fk_program_t *p, const char *path, bool check_only)
 {
-	AUTO_CF *c = NULL;
+	AUTO_TOML *c = NULL;
 	sigset_t set;
 	int sig = 0;
 
-	if (cf_load(path, &c) != ST_OK || p->configure(p->ctx, c) != ST_OK) {
-		fprintf(stderr, "%s: %s\n", p->name, st_message());
-		return AR_SETTINGS;
+	if (toml_load(path, &c) != STATUS_OK || p->configure(p->ctx, c) != STATUS_OK) {
+		fprintf(stderr, "%s: %s\n", p->name, status_message());
+		return EXIT_SETTINGS;
 	}
 	if (check_only)
-		return AR_OK;
+		return EXIT_OK;
 	block_stop_signals(&set);
-	lg_open(p->name, LG_INFO);
-	if (ulfius_global_init() != U_OK || p->start(p->ctx) != ST_OK) {
-		fprintf(stderr, "%s: %s\n", p->name, st_message());
-		return AR_LISTEN;
+	log_open(p->name, LOG_LEVEL_INFO);
+	if (ulfius_global_init() != U_OK || p->start(p->ctx) != STATUS_OK) {
+		fprintf(stderr, "%s: %s\n", p->name, status_message());
+		return EXIT_LISTEN;
 	}
-	lg(LG_INFO, "started", LG_C("settings", path));
+	log_event(LOG_LEVEL_INFO, "started", LOG_CSTR("settings", path));
 	sigwait(&set, &sig);
-	lg(LG_INFO, "stopped", LG_I("signal", sig));
-	_exit(AR_OK);
+	log_event(LOG_LEVEL_INFO, "stopped", LOG_INT("signal", sig));
+	_exit(EXIT_OK);
 }
 
 int fk_main(int argc, char **argv, const fk_program_t *p)
 {
-	const ar_options_t o = {p->name, p->about, NULL, NULL};
-	ar_t args;
-	int code = ar_parse(&o, argc, argv, &args);
+	const args_options_t o = {p->name, p->about, NULL, NULL};
+	args_parsed_t args;
+	int code = args_parse(&o, argc, argv, &args);
 
 	return code >= 0 ? code : run(p, args.config, args.check);
 }
--- a/fakes/relay.c
+++ b/fakes/relay.c
@@ -10,7 +10,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 #include <utlist.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "fk_common.h"
 
 #define READ_BYTES    65536
@@ -96,7 +96,7 @@
 	} else if (n < 0) {
 		l->failed = true;
 	} else {
-		push(f, bytes, (size_t)n, clk_now_ms() + delay_ms);
+		push(f, bytes, (size_t)n, clock_now_ms() + delay_ms);
 	}
 }
 
@@ -122,7 +122,7 @@
 
 static bool due(const flow_t *f)
 {
-	return f->queue && f->queue->due_ms <= clk_now_ms();
+	return f->queue && f->queue->due_ms <= clock_now_ms();
 }
 
 static bool flowing(const relay_t *r)
@@ -146,7 +146,7 @@
 /* Time until a held back chunk is due, at most MODE_CHECK_MS. */
 static int64_t queue_wait_ms(const flow_t *f)
 {
-	int64_t left = f->queue ? clk_left_ms(f->queue->due_ms) : 0;
+	int64_t left = f->queue ? clock_left_ms(f->queue->due_ms) : 0;
 
 	return left > 0 && left < MODE_CHECK_MS ? left : MODE_CHECK_MS;
 }
@@ -207,7 +207,7 @@
 
 	while (!flowing(r)) {
 		cut |= atomic_load(&r->mode) == MODE_CUT;
-		clk_sleep_ms(MODE_CHECK_MS);
+		clock_sleep_ms(MODE_CHECK_MS);
 	}
 	if (cut)
 		return -1;
@@ -267,7 +267,7 @@
 	for (;;) {
 		fd = accept4(r->listen_fd, NULL, NULL, SOCK_CLOEXEC);
 		if (fd < 0) {
-			clk_sleep_ms(MODE_CHECK_MS);
+			clock_sleep_ms(MODE_CHECK_MS);
 			continue;
 		}
 		a = mem_new(sizeof(*a));
@@ -288,16 +288,16 @@
 	status_t st = fk_address(r->listen, &addr);
 	int one = 1;
 
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	r->listen_fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	if (r->listen_fd < 0)
-		return st_fail(ST_IO, "%s: %s", r->listen, strerror(errno));
+		return status_fail(STATUS_IO, "%s: %s", r->listen, strerror(errno));
 	setsockopt(r->listen_fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (bind(r->listen_fd, (struct sockaddr *)&addr, sizeof(addr)) != 0 ||
 	    listen(r->listen_fd, BACKLOG) != 0)
-		return st_fail(ST_IO, "%s: can't listen: %s", r->listen, strerror(errno));
-	return ST_OK;
+		return status_fail(STATUS_IO, "%s: can't listen: %s", r->listen, strerror(errno));
+	return STATUS_OK;
 }
 
 static int answer_mode(const relay_t *r, struct _u_response *rs)
@@ -329,24 +329,24 @@
 	return answer_mode(r, rs);
 }
 
-static status_t configure(void *ctx, const cf_t *c)
+static status_t configure(void *ctx, const toml_doc_t *c)
 {
 	relay_t *r = ctx;
-	const cf_key_t keys[] = {
-		{"listen", CF_STR, true, 1, 64, &r->listen},
-		{"target", CF_STR, true, 1, 64, &r->target},
-		{"control", CF_STR, true, 1, 64, &r->control},
-		{NULL, CF_STR, false, 0, 0, NULL},
+	const toml_key_t keys[] = {
+		{"listen", TOML_STR, true, 1, 64, &r->listen},
+		{"target", TOML_STR, true, 1, 64, &r->target},
+		{"control", TOML_STR, true, 1, 64, &r->control},
+		{NULL, TOML_STR, false, 0, 0, NULL},
 	};
-	status_t st = cf_read(c, cf_root(c), keys, NULL);
+	status_t st = toml_read(c, toml_root(c), keys, NULL);
 
-	if (st == ST_OK)
+	if (st == STATUS_OK)
 		st = fk_check_address(c, "listen", r->listen);
-	if (st == ST_OK)
+	if (st == STATUS_OK)
 		st = fk_check_address(c, "control", r->control);
-	if (st == ST_OK)
+	if (st == STATUS_OK)
 		st = fk_check_address(c, "target", r->target);
-	return st == ST_OK ? fk_address(r->target, &r->target_addr) : st;
+	return st == STATUS_OK ? fk_address(r->target, &r->target_addr) : st;
 }
 
 static status_t start(void *ctx)
@@ -360,10 +360,10 @@
 	status_t st = start_listen(r);
 	pthread_t t;
 
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	if (pthread_create(&t, NULL, accept_clients, r) != 0)
-		return st_fail(ST_IO, "can't start a thread");
+		return status_fail(STATUS_IO, "can't start a thread");
 	pthread_detach(t);
 	return fk_http_start(&(fk_http_options_t){r->control, routes, NULL, r});
 }
--- a/src/base/ar.c
+++ b/src/base/args.c
@@ -1,10 +1,10 @@
-#include "base/ar.h"
+#include "base/args.h"
 
 #include <stdio.h>
 #include <argtable2.h>
 #include "base/str.h"
 
-static int report(const ar_options_t *o, struct arg_lit *help, struct arg_lit *version,
+static int report(const args_options_t *o, struct arg_lit *help, struct arg_lit *version,
 		  struct arg_file *config, struct arg_end *end, int errors, void **table)
 {
 	if (help->count) {
@@ -12,24 +12,24 @@
 		arg_print_syntax(stdout, table, "\n");
 		printf("%s\n\n", o->about);
 		arg_print_glossary(stdout, table, "  %-20s %s\n");
-		return AR_OK;
+		return EXIT_OK;
 	}
 	if (version->count) {
 		printf("%s %s\n", o->program, AUBURN_VERSION);
-		return AR_OK;
+		return EXIT_OK;
 	}
 	if (errors) {
 		arg_print_errors(stderr, end, o->program);
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	if (!config->count) {
 		fprintf(stderr, "%s: --config FILE is missing\n", o->program);
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	return -1;
 }
 
-int ar_parse(const ar_options_t *o, int argc, char **argv, ar_t *out)
+int args_parse(const args_options_t *o, int argc, char **argv, args_parsed_t *out)
 {
 	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_lit *version = arg_lit0(NULL, "version", "show the version");
--- a/src/base/clk.c
+++ b/src/base/clock.c
@@ -1,4 +1,4 @@
-#include "base/clk.h"
+#include "base/clock.h"
 
 #include <errno.h>
 #include <time.h>
@@ -11,29 +11,29 @@
 	return (int64_t)ts.tv_sec * 1000000 + ts.tv_nsec / 1000;
 }
 
-int64_t clk_now_ms(void)
+int64_t clock_now_ms(void)
 {
 	return read_us(CLOCK_BOOTTIME) / 1000;
 }
 
-int64_t clk_now_us(void)
+int64_t clock_now_us(void)
 {
 	return read_us(CLOCK_BOOTTIME);
 }
 
-int64_t clk_wall_ms(void)
+int64_t clock_wall_ms(void)
 {
 	return read_us(CLOCK_REALTIME) / 1000;
 }
 
-int64_t clk_left_ms(deadline_t d)
+int64_t clock_left_ms(deadline_t d)
 {
-	int64_t now = clk_now_ms();
+	int64_t now = clock_now_ms();
 
 	return d > now ? d - now : 0;
 }
 
-void clk_sleep_ms(int64_t ms)
+void clock_sleep_ms(int64_t ms)
 {
 	struct timespec ts = {ms / 1000, (ms % 1000) * 1000000};
 
--- a/src/base/clk.h
+++ b/src/base/clock.h
@@ -1,6 +1,6 @@
 /** Clocks in milliseconds. Deadlines are points on the boot clock, which counts suspend. */
-#ifndef AUBURN_CLK_H
-#define AUBURN_CLK_H
+#ifndef AUBURN_CLOCK_H
+#define AUBURN_CLOCK_H
 
 #include <stdint.h>
 
@@ -8,12 +8,12 @@
 typedef int64_t deadline_t;
 #define DEADLINE_NEVER INT64_MAX
 
-int64_t clk_now_ms(void);
-int64_t clk_now_us(void);
+int64_t clock_now_ms(void);
+int64_t clock_now_us(void);
 /** Wall clock, ms since 1970; for log lines and what is stored. */
-int64_t clk_wall_ms(void);
+int64_t clock_wall_ms(void);
 /** Milliseconds until d, at least 0. */
-int64_t clk_left_ms(deadline_t d);
-void clk_sleep_ms(int64_t ms);
+int64_t clock_left_ms(deadline_t d);
+void clock_sleep_ms(int64_t ms);
 
 #endif
--- a/src/base/lg.c
+++ b/src/base/log.c
@@ -1,4 +1,4 @@
-#include "base/lg.h"
+#include "base/log.h"
 
 #include <limits.h>
 #include <poll.h>
@@ -8,8 +8,8 @@
 #include <string.h>
 #include <unistd.h>
 #include <log4c.h>
-#include "base/clk.h"
-#include "base/mx.h"
+#include "base/clock.h"
+#include "base/metric.h"
 
 /* Lines kept for look-up, and the longest value written. */
 #define RING_LINES	4096
@@ -23,7 +23,7 @@
 static char *ring[RING_LINES];
 static size_t ring_next;
 static const char *process_name = "-";
-static lg_level_t max_level = LG_INFO;
+static log_level_t max_level = LOG_LEVEL_INFO;
 static log4c_category_t *category;
 
 static const char *const level_names[] = {"error", "warn", "info", "debug"};
@@ -54,7 +54,7 @@
 	if (line.n > PIPE_BUF)
 		line.n = PIPE_BUF;
 	if (!has_room()) {
-		MX_COUNT("auburn_log_lines_lost_total");
+		METRIC_INC("auburn_log_lines_lost_total");
 		return -1;
 	}
 	return write(STDOUT_FILENO, line.p, line.n) == (ssize_t)line.n ? 0 : -1;
@@ -62,7 +62,7 @@
 
 static const log4c_appender_type_t line_type = {.name = "auburn_line", .append = append_line};
 
-void lg_open(const char *process, lg_level_t level)
+void log_open(const char *process, log_level_t level)
 {
 	log4c_layout_t *layout;
 	log4c_appender_t *appender;
@@ -168,24 +168,25 @@
 	return ok;
 }
 
-void lg_event(lg_level_t level, const char *event, const lg_field_t *fields)
+void log_write(log_level_t level, const char *event, const log_field_t *fields)
 {
 	AUTO_BUF b = {0};
 	unsigned left_out;
 
 	if (level > max_level)
 		return;
-	if (!take_line(event, clk_now_ms() / 1000, &left_out)) {
-		MX_COUNT("auburn_log_lines_left_out_total");
+	if (!take_line(event, clock_now_ms() / 1000, &left_out)) {
+		METRIC_INC("auburn_log_lines_left_out_total");
 		return;
 	}
 	if (left_out)
-		lg(LG_WARN, "lines_left_out", LG_C("of", event), LG_I("count", left_out));
-	buf_addf(&b, "t=%lld level=%s process=%s event=%s", (long long)clk_wall_ms(),
+		log_event(LOG_LEVEL_WARN, "lines_left_out", LOG_CSTR("of", event),
+			  LOG_INT("count", left_out));
+	buf_addf(&b, "t=%lld level=%s process=%s event=%s", (long long)clock_wall_ms(),
 		 level_names[level], process_name, event);
-	for (const lg_field_t *f = fields; f->type != LG_END; f++) {
+	for (const log_field_t *f = fields; f->type != LOG_TYPE_END; f++) {
 		buf_addf(&b, " %s=", f->key);
-		if (f->type == LG_INT)
+		if (f->type == LOG_TYPE_INT)
 			buf_addf(&b, "%lld", (long long)f->i);
 		else
 			add_value(&b, f->s);
@@ -195,7 +196,7 @@
 		log4c_category_log(category, priorities[level], "%s\n", b.p);
 }
 
-void lg_find(buf_t *out, str_t needle, unsigned max)
+void log_find(buf_t *out, str_t needle, unsigned max)
 {
 	const char *found[RING_LINES];
 	size_t n = 0;
--- /dev/null
+++ b/src/base/log.h
@@ -0,0 +1,45 @@
+/** Events: one line of key=value pairs each, written through log4c and kept in a ring for look-up.
+ */
+#ifndef AUBURN_LOG_H
+#define AUBURN_LOG_H
+
+#include <stdint.h>
+#include "base/str.h"
+
+typedef enum { LOG_LEVEL_ERROR, LOG_LEVEL_WARN, LOG_LEVEL_INFO, LOG_LEVEL_DEBUG } log_level_t;
+
+typedef struct {
+	const char *key;
+	enum { LOG_TYPE_END, LOG_TYPE_STR, LOG_TYPE_INT } type;
+	str_t s;
+	int64_t i;
+} log_field_t;
+
+/** Fields for log_write. */
+#define LOG_STR(k, v)                                                                              \
+	{                                                                                          \
+		(k), LOG_TYPE_STR, (v), 0                                                          \
+	}
+#define LOG_CSTR(k, v)                                                                             \
+	{                                                                                          \
+		(k), LOG_TYPE_STR, str_c(v), 0                                                     \
+	}
+#define LOG_INT(k, v)                                                                              \
+	{                                                                                          \
+		(k), LOG_TYPE_INT, {0}, (int64_t)(v)                                               \
+	}
+/** log_event(LOG_LEVEL_INFO, "entry_started", LOG_CSTR("addr", a), LOG_INT("port", p)); needs at
+ * least one field. */
+#define log_event(level, event, ...)                                                               \
+	log_write((level), (event),                                                                \
+		  (const log_field_t[]){__VA_ARGS__, {NULL, LOG_TYPE_END, {0}, 0}})
+
+/** Sets the process name on each line and the level. Lines go to standard output, which is never
+ * waited for: a line that it has no room for is lost and counted, and an event that has written its
+ * lines of a second leaves out the rest, with one line that says how many. */
+void log_open(const char *process, log_level_t level);
+void log_write(log_level_t level, const char *event, const log_field_t *fields);
+/** Appends the newest ring lines, oldest first, that hold needle; at most max. */
+void log_find(buf_t *out, str_t needle, unsigned max);
+
+#endif
--- a/src/base/mx.c
+++ b/src/base/metric.c
@@ -1,4 +1,4 @@
-#include "base/mx.h"
+#include "base/metric.h"
 
 #include <pthread.h>
 #include <stdatomic.h>
@@ -12,30 +12,30 @@
 #define BUCKETS	 (64 * SUB)
 
 struct mx {
-	mx_kind_t kind;
+	metric_kind_t kind;
 	char *name;
 	char *label;
 	atomic_llong value; /* histogram: sum */
 	atomic_llong count;
 	atomic_llong *buckets;
-	mx_t *next;
+	metric_t *next;
 };
 
 static pthread_mutex_t registry_lock = PTHREAD_MUTEX_INITIALIZER;
-static mx_t *registry;
+static metric_t *registry;
 
-static mx_t *find(mx_kind_t kind, const char *name, const char *label)
+static metric_t *find(metric_kind_t kind, const char *name, const char *label)
 {
-	for (mx_t *m = registry; m; m = m->next) {
+	for (metric_t *m = registry; m; m = m->next) {
 		if (m->kind == kind && strcmp(m->name, name) == 0 && strcmp(m->label, label) == 0)
 			return m;
 	}
 	return NULL;
 }
 
-mx_t *mx_get(mx_kind_t kind, const char *name, const char *label)
+metric_t *metric_get(metric_kind_t kind, const char *name, const char *label)
 {
-	mx_t *m;
+	metric_t *m;
 
 	label = label ? label : "";
 	pthread_mutex_lock(&registry_lock);
@@ -45,7 +45,7 @@
 		m->kind = kind;
 		m->name = str_dup(str_c(name));
 		m->label = str_dup(str_c(label));
-		if (kind == MX_HISTOGRAM)
+		if (kind == METRIC_HISTOGRAM)
 			m->buckets = mem_new(BUCKETS * sizeof(*m->buckets));
 		m->next = registry;
 		registry = m;
@@ -54,17 +54,17 @@
 	return m;
 }
 
-void mx_add(mx_t *m, int64_t n)
+void metric_add(metric_t *m, int64_t n)
 {
 	atomic_fetch_add_explicit(&m->value, n, memory_order_relaxed);
 }
 
-void mx_set(mx_t *m, int64_t v)
+void metric_set(metric_t *m, int64_t v)
 {
 	atomic_store_explicit(&m->value, v, memory_order_relaxed);
 }
 
-int64_t mx_value(const mx_t *m)
+int64_t metric_value(const metric_t *m)
 {
 	return atomic_load_explicit(&m->value, memory_order_relaxed);
 }
@@ -89,14 +89,14 @@
 	return ((int64_t)(SUB + b % SUB) << shift) + ((1LL << shift) >> 1);
 }
 
-void mx_record(mx_t *m, int64_t v)
+void metric_record(metric_t *m, int64_t v)
 {
 	atomic_fetch_add_explicit(&m->buckets[bucket_of(v)], 1, memory_order_relaxed);
 	atomic_fetch_add_explicit(&m->count, 1, memory_order_relaxed);
-	mx_add(m, v);
+	metric_add(m, v);
 }
 
-int64_t mx_quantile(const mx_t *m, double q)
+int64_t metric_quantile(const metric_t *m, double q)
 {
 	int64_t total = atomic_load_explicit(&m->count, memory_order_relaxed);
 	int64_t want = (int64_t)(q * (double)total);
@@ -114,34 +114,34 @@
 	return 0;
 }
 
-static void render_one(buf_t *out, const mx_t *m)
+static void render_one(buf_t *out, const metric_t *m)
 {
 	static const double quantiles[] = {0.5, 0.95, 0.99};
 	const char *sep = m->label[0] ? "," : "";
 
-	if (m->kind != MX_HISTOGRAM) {
+	if (m->kind != METRIC_HISTOGRAM) {
 		buf_addf(out, m->label[0] ? "%s{%s} %lld\n" : "%s%s %lld\n", m->name, m->label,
-			 (long long)mx_value(m));
+			 (long long)metric_value(m));
 		return;
 	}
 	for (size_t i = 0; i < sizeof(quantiles) / sizeof(quantiles[0]); i++)
 		buf_addf(out, "%s{%s%squantile=\"%g\"} %lld\n", m->name, m->label, sep,
-			 quantiles[i], (long long)mx_quantile(m, quantiles[i]));
+			 quantiles[i], (long long)metric_quantile(m, quantiles[i]));
 	buf_addf(out, m->label[0] ? "%s_count{%s} %lld\n" : "%s_count%s %lld\n", m->name, m->label,
 		 (long long)atomic_load(&m->count));
 	buf_addf(out, m->label[0] ? "%s_sum{%s} %lld\n" : "%s_sum%s %lld\n", m->name, m->label,
-		 (long long)mx_value(m));
+		 (long long)metric_value(m));
 }
 
-void mx_render(buf_t *out)
+void metric_render_all(buf_t *out)
 {
 	static const char *const types[] = {"counter", "gauge", "summary"};
-	const mx_t *first;
+	const metric_t *first;
 
 	pthread_mutex_lock(&registry_lock);
 	first = registry;
 	pthread_mutex_unlock(&registry_lock);
-	for (const mx_t *m = first; m; m = m->next) {
+	for (const metric_t *m = first; m; m = m->next) {
 		buf_addf(out, "# TYPE %s %s\n", m->name, types[m->kind]);
 		render_one(out, m);
 	}
--- a/src/base/rd.c
+++ b/src/base/prng.c
@@ -1,6 +1,6 @@
-#include "base/rd.h"
+#include "base/prng.h"
 
-uint64_t rd_next(uint64_t *state)
+uint64_t prng_next(uint64_t *state)
 {
 	*state ^= *state << 13;
 	*state ^= *state >> 7;
--- a/src/base/rp.c
+++ b/src/base/rpc.c
@@ -1,4 +1,4 @@
-#include "base/rp.h"
+#include "base/rpc.h"
 
 #include <arpa/inet.h>
 #include <assert.h>
@@ -14,7 +14,7 @@
 #include <sys/ioctl.h>
 #include <sys/socket.h>
 #include <unistd.h>
-#include "base/lg.h"
+#include "base/log.h"
 
 /* Largest record taken from a peer; also keeps a peer that stops in the middle of one from
  * stalling the reader, see docs/DESIGN.md. */
@@ -28,11 +28,11 @@
 #define RECORD_IDLE_MS 10000
 
 typedef struct {
-	rp_server_options_t o;
+	rpc_server_options_t o;
 	int fd;
 } server_t;
 
-bool_t rp_xdr_void(XDR *x, ...)
+bool_t rpc_xdr_void(XDR *x, ...)
 {
 	return TRUE;
 }
@@ -52,7 +52,7 @@
 
 static _Thread_local conn_t *this_conn;
 
-status_t rp_split_addr(const char *addr, char ip[64], unsigned *port)
+status_t rpc_parse_addr(const char *addr, char ip[64], unsigned *port)
 {
 	const char *colon = strrchr(addr, ':');
 	struct in_addr ignored;
@@ -60,42 +60,42 @@
 	unsigned long v;
 
 	if (!colon || colon == addr || (size_t)(colon - addr) >= 64)
-		return st_fail(ST_INVALID, "%s is not ip:port", addr);
+		return status_fail(STATUS_INVALID, "%s is not ip:port", addr);
 	memcpy(ip, addr, (size_t)(colon - addr));
 	ip[colon - addr] = 0;
 	v = strtoul(colon + 1, &end, 10);
 	if (inet_pton(AF_INET, ip, &ignored) != 1 || *end || end == colon + 1 || v == 0 ||
 	    v > 65535)
-		return st_fail(ST_INVALID, "%s is not ip:port", addr);
+		return status_fail(STATUS_INVALID, "%s is not ip:port", addr);
 	*port = (unsigned)v;
-	return ST_OK;
+	return STATUS_OK;
 }
 
-status_t rp_check_addr(const cf_t *c, const char *key, const char *addr)
+status_t rpc_check_addr(const toml_doc_t *c, const char *key, const char *addr)
 {
 	char ip[64];
 	unsigned port;
 
-	if (rp_split_addr(addr, ip, &port) == ST_OK)
-		return ST_OK;
-	return st_fail(ST_INVALID, "%s:%d: %s: \"%s\" is not ip:port", cf_name(c),
-		       cf_line(cf_root(c), key), key, addr);
+	if (rpc_parse_addr(addr, ip, &port) == STATUS_OK)
+		return STATUS_OK;
+	return status_fail(STATUS_INVALID, "%s:%d: %s: \"%s\" is not ip:port", toml_name(c),
+			   toml_line(toml_root(c), key), key, addr);
 }
 
 static status_t to_sockaddr(const char *addr, struct sockaddr_in *sa)
 {
 	char ip[64];
 	unsigned port = 0;
-	status_t st = rp_split_addr(addr, ip, &port);
+	status_t st = rpc_parse_addr(addr, ip, &port);
 
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	memset(sa, 0, sizeof(*sa));
 	sa->sin_family = AF_INET;
 	sa->sin_port = htons((uint16_t)port);
 	if (inet_pton(AF_INET, ip, &sa->sin_addr) != 1)
-		return st_fail(ST_INVALID, "%s is not an IPv4 address", ip);
-	return ST_OK;
+		return status_fail(STATUS_INVALID, "%s is not an IPv4 address", ip);
+	return STATUS_OK;
 }
 
 typedef struct {
@@ -106,16 +106,16 @@
 static route_t routes[ROUTES_MAX];
 static size_t nroutes;
 
-status_t rp_route(const char *addr, const char *via)
+status_t rpc_add_route(const char *addr, const char *via)
 {
 	struct sockaddr_in sa;
 
 	if (nroutes == ROUTES_MAX)
-		return st_fail(ST_LIMIT, "more than %d routes", ROUTES_MAX);
-	if (to_sockaddr(addr, &sa) != ST_OK || to_sockaddr(via, &sa) != ST_OK)
-		return ST_INVALID;
+		return status_fail(STATUS_LIMIT, "more than %d routes", ROUTES_MAX);
+	if (to_sockaddr(addr, &sa) != STATUS_OK || to_sockaddr(via, &sa) != STATUS_OK)
+		return STATUS_INVALID;
 	routes[nroutes++] = (route_t){str_dup(str_c(addr)), str_dup(str_c(via))};
-	return ST_OK;
+	return STATUS_OK;
 }
 
 static const char *route_of(const char *addr)
@@ -137,7 +137,7 @@
 
 /* ---- server ---- */
 
-static const rp_proc_t *find_proc(const rp_proc_t *p, unsigned proc)
+static const rpc_proc_t *find_proc(const rpc_proc_t *p, unsigned proc)
 {
 	for (; p->handle; p++) {
 		if (p->proc == proc)
@@ -148,12 +148,12 @@
 
 static void dispatch(struct svc_req *req, SVCXPRT *xprt)
 {
-	const rp_proc_t *p;
+	const rpc_proc_t *p;
 	void *arg;
 	void *res;
 
 	if (req->rq_proc == 0) {
-		svc_sendreply(xprt, rp_xdr_void, NULL);
+		svc_sendreply(xprt, rpc_xdr_void, NULL);
 		return;
 	}
 	assert(this_conn);
@@ -228,7 +228,8 @@
 	pthread_attr_setdetachstate(&attr, PTHREAD_CREATE_DETACHED);
 	pthread_attr_setstacksize(&attr, THREAD_STACK_BYTES);
 	if (pthread_create(&t, &attr, serve_conn, c) != 0) {
-		lg(LG_WARN, "rpc_connection_refused", LG_C("reason", "no thread"));
+		log_event(LOG_LEVEL_WARN, "rpc_connection_refused",
+			  LOG_CSTR("reason", "no thread"));
 		close(fd);
 		free(c);
 	}
@@ -245,7 +246,7 @@
 		if (fd >= 0)
 			start_conn(s, fd);
 		else if (errno != EINTR)
-			clk_sleep_ms(10);
+			clock_sleep_ms(10);
 	}
 	return NULL;
 }
@@ -261,13 +262,13 @@
 
 static status_t register_server(server_t *s)
 {
-	status_t st = st_fail(ST_LIMIT, "more than %d RPC programs", PROGRAMS_MAX);
+	status_t st = status_fail(STATUS_LIMIT, "more than %d RPC programs", PROGRAMS_MAX);
 
 	pthread_mutex_lock(&servers_lock);
-	for (size_t i = 0; i < PROGRAMS_MAX && st != ST_OK; i++) {
+	for (size_t i = 0; i < PROGRAMS_MAX && st != STATUS_OK; i++) {
 		if (!servers[i]) {
 			servers[i] = s;
-			st = ST_OK;
+			st = STATUS_OK;
 		}
 	}
 	pthread_mutex_unlock(&servers_lock);
@@ -275,7 +276,7 @@
 }
 
 /* svc_reg wants a transport; a socket that is never served stands in for it. */
-static bool register_program(const rp_server_options_t *o)
+static bool register_program(const rpc_server_options_t *o)
 {
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	SVCXPRT *xprt = fd < 0 ? NULL : svc_vc_create(fd, 0, 0);
@@ -283,7 +284,7 @@
 	return xprt && svc_reg(xprt, o->prog, o->vers, dispatch, NULL);
 }
 
-status_t rp_serve(const rp_server_options_t *o)
+status_t rpc_serve(const rpc_server_options_t *o)
 {
 	struct sockaddr_in sa;
 	status_t st = to_sockaddr(o->addr, &sa);
@@ -291,7 +292,7 @@
 	pthread_t t;
 	int one = 1;
 
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	pthread_once(&once, init_once);
 	s = mem_new(sizeof(*s));
@@ -300,23 +301,23 @@
 	setsockopt(s->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (s->fd < 0 || bind(s->fd, (struct sockaddr *)&sa, sizeof(sa)) != 0 ||
 	    listen(s->fd, LISTEN_BACKLOG) != 0) {
-		st = st_fail(ST_IO, "can't listen on %s: %s", o->addr, strerror(errno));
+		st = status_fail(STATUS_IO, "can't listen on %s: %s", o->addr, strerror(errno));
 		if (s->fd >= 0)
 			close(s->fd);
 		free(s);
 		return st;
 	}
 	st = register_server(s);
-	if (st == ST_OK && !register_program(o))
-		st = st_fail(ST_IO, "can't register RPC program %u", o->prog);
-	if (st == ST_OK && pthread_create(&t, NULL, accept_loop, s) != 0)
-		st = st_fail(ST_IO, "can't start the RPC listener");
+	if (st == STATUS_OK && !register_program(o))
+		st = status_fail(STATUS_IO, "can't register RPC program %u", o->prog);
+	if (st == STATUS_OK && pthread_create(&t, NULL, accept_loop, s) != 0)
+		st = status_fail(STATUS_IO, "can't start the RPC listener");
 	return st;
 }
 
 /* ---- client ---- */
 
-struct rp_client {
+struct rpc_client {
 	pthread_mutex_t lock;
 	char *addr;
 	unsigned prog;
@@ -325,9 +326,9 @@
 	CLIENT *clnt;
 };
 
-rp_client_t *rp_client_new(const char *addr, unsigned prog, unsigned vers)
+rpc_client_t *rpc_client_new(const char *addr, unsigned prog, unsigned vers)
 {
-	rp_client_t *c = mem_new(sizeof(*c));
+	rpc_client_t *c = mem_new(sizeof(*c));
 
 	pthread_once(&once, init_once);
 	pthread_mutex_init(&c->lock, NULL);
@@ -338,7 +339,7 @@
 	return c;
 }
 
-static void disconnect(rp_client_t *c)
+static void disconnect(rpc_client_t *c)
 {
 	if (c->clnt)
 		clnt_destroy(c->clnt);
@@ -348,7 +349,7 @@
 	c->fd = -1;
 }
 
-void rp_client_free(rp_client_t *c)
+void rpc_client_free(rpc_client_t *c)
 {
 	if (!c)
 		return;
@@ -387,46 +388,46 @@
 	return fd;
 }
 
-static status_t connect_client(rp_client_t *c, deadline_t deadline)
+static status_t connect_client(rpc_client_t *c, deadline_t deadline)
 {
 	struct sockaddr_in sa;
 	struct netbuf nb = {sizeof(sa), sizeof(sa), &sa};
-	int64_t left = clk_left_ms(deadline);
+	int64_t left = clock_left_ms(deadline);
 	struct timeval send_limit;
 	status_t st = to_sockaddr(route_of(c->addr), &sa);
 
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	if (left > CONNECT_MAX_MS)
 		left = CONNECT_MAX_MS;
 	c->fd = connect_fd(&sa, left);
 	if (c->fd < 0)
-		return st_fail(ST_UNAVAILABLE, "can't connect to %s", c->addr);
+		return status_fail(STATUS_UNAVAILABLE, "can't connect to %s", c->addr);
 	send_limit = (struct timeval){RECORD_IDLE_MS / 1000, 0};
 	setsockopt(c->fd, SOL_SOCKET, SO_SNDTIMEO, &send_limit, sizeof(send_limit));
 	c->clnt = clnt_vc_create(c->fd, &nb, c->prog, c->vers, 0, 0);
 	if (!c->clnt) {
 		disconnect(c);
-		return st_fail(ST_UNAVAILABLE, "can't set up RPC to %s", c->addr);
+		return status_fail(STATUS_UNAVAILABLE, "can't set up RPC to %s", c->addr);
 	}
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static status_t call_connected(rp_client_t *c, unsigned proc, xdrproc_t xdr_arg, const void *arg,
+static status_t call_connected(rpc_client_t *c, unsigned proc, xdrproc_t xdr_arg, const void *arg,
 			       xdrproc_t xdr_res, void *res, deadline_t deadline)
 {
-	int64_t left = clk_left_ms(deadline);
+	int64_t left = clock_left_ms(deadline);
 	struct timeval tv = {left / 1000, (left % 1000) * 1000};
 	enum clnt_stat cs;
 
 	assert(c->clnt);
 	if (left == 0)
-		return st_fail(ST_UNAVAILABLE, "no time left to call %s", c->addr);
+		return status_fail(STATUS_UNAVAILABLE, "no time left to call %s", c->addr);
 	cs = clnt_call(c->clnt, proc, xdr_arg, (caddr_t)arg, xdr_res, (caddr_t)res, tv);
 	if (cs == RPC_SUCCESS)
-		return ST_OK;
+		return STATUS_OK;
 	disconnect(c);
-	return st_fail(ST_TIMEOUT, "call to %s: %s", c->addr, clnt_sperrno(cs));
+	return status_fail(STATUS_TIMEOUT, "call to %s: %s", c->addr, clnt_sperrno(cs));
 }
 
 /* An idle connection that the peer closed must not cost a call its verdict. */
@@ -437,17 +438,17 @@
 	return poll(&pf, 1, 0) != 0;
 }
 
-status_t rp_call(rp_client_t *c, unsigned proc, xdrproc_t xdr_arg, const void *arg,
-		 xdrproc_t xdr_res, void *res, deadline_t deadline)
+status_t rpc_client_call(rpc_client_t *c, unsigned proc, xdrproc_t xdr_arg, const void *arg,
+			 xdrproc_t xdr_res, void *res, deadline_t deadline)
 {
-	status_t st = ST_OK;
+	status_t st = STATUS_OK;
 
 	pthread_mutex_lock(&c->lock);
 	if (c->clnt && is_stale(c->fd))
 		disconnect(c);
 	if (!c->clnt)
 		st = connect_client(c, deadline);
-	if (st == ST_OK)
+	if (st == STATUS_OK)
 		st = call_connected(c, proc, xdr_arg, arg, xdr_res, res, deadline);
 	pthread_mutex_unlock(&c->lock);
 	return st;
--- a/src/base/status.c
+++ b/src/base/status.c
@@ -8,18 +8,18 @@
 
 static _Thread_local char last_message[MESSAGE_BYTES];
 
-static const char *const status_names[ST_COUNT] = {
-	[ST_OK] = "ok",
-	[ST_INVALID] = "invalid",
-	[ST_NOT_FOUND] = "not_found",
-	[ST_CONFLICT] = "conflict",
-	[ST_UNAVAILABLE] = "unavailable",
-	[ST_TIMEOUT] = "timeout",
-	[ST_NOT_LEADER] = "not_leader",
-	[ST_IO] = "io",
-	[ST_CORRUPT] = "corrupt",
-	[ST_LIMIT] = "limit",
-	[ST_CANCELLED] = "cancelled",
+static const char *const status_names[STATUS_COUNT] = {
+	[STATUS_OK] = "ok",
+	[STATUS_INVALID] = "invalid",
+	[STATUS_NOT_FOUND] = "not_found",
+	[STATUS_CONFLICT] = "conflict",
+	[STATUS_UNAVAILABLE] = "unavailable",
+	[STATUS_TIMEOUT] = "timeout",
+	[STATUS_NOT_LEADER] = "not_leader",
+	[STATUS_IO] = "io",
+	[STATUS_CORRUPT] = "corrupt",
+	[STATUS_LIMIT] = "limit",
+	[STATUS_CANCELLED] = "cancelled",
 };
 
 static const char *const verdict_names[VERDICT_COUNT] = {
@@ -28,9 +28,9 @@
 	[VERDICT_RAN] = "ran",
 };
 
-const char *st_name(status_t st)
+const char *status_name(status_t st)
 {
-	assert(st < ST_COUNT);
+	assert(st < STATUS_COUNT);
 	return status_names[st];
 }
 
@@ -40,7 +40,7 @@
 	return verdict_names[v];
 }
 
-status_t st_fail(status_t st, const char *fmt, ...)
+status_t status_fail(status_t st, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -50,7 +50,7 @@
 	return st;
 }
 
-const char *st_message(void)
+const char *status_message(void)
 {
 	return last_message;
 }
--- a/src/base/str.c
+++ b/src/base/str.c
@@ -72,7 +72,7 @@
 	b->p = mem_grow(b->p, b->cap);
 }
 
-void buf_room(buf_t *b, size_t more)
+void buf_reserve_exact(buf_t *b, size_t more)
 {
 	if (b->n + more + 1 <= b->cap)
 		return;
@@ -129,7 +129,7 @@
 	buf_addc(b, '"');
 }
 
-void buf_drop(buf_t *b, size_t n)
+void buf_drop_front(buf_t *b, size_t n)
 {
 	assert(n <= b->n);
 	if (n == 0)
--- a/src/base/str.h
+++ b/src/base/str.h
@@ -38,13 +38,13 @@
 
 void buf_add(buf_t *b, str_t s);
 /** Makes room for this many more bytes, exactly, before a large buffer is filled piece by piece. */
-void buf_room(buf_t *b, size_t more);
+void buf_reserve_exact(buf_t *b, size_t more);
 void buf_addc(buf_t *b, char c);
 void buf_addf(buf_t *b, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 /** Adds a JSON string with its quotes. */
 void buf_add_json(buf_t *b, str_t s);
 /** Drops the first n bytes. */
-void buf_drop(buf_t *b, size_t n);
+void buf_drop_front(buf_t *b, size_t n);
 void buf_free(buf_t *b);
 
 void str_cleanup_free(void *pp);
--- a/src/base/cf_toml.cpp
+++ b/src/base/toml.cpp
@@ -1,4 +1,4 @@
-// TOML documents by toml++; the one C++ file, behind the C interface of cf.h.
+// TOML documents by toml++; the one C++ file, behind the C interface of toml_doc.h.
 #define TOML_EXCEPTIONS 0
 // The parser asserts on what its input holds, as in "[[[", and would end the process; without the
 // assertions it reports an error there.
@@ -12,20 +12,20 @@
 #include <string>
 
 extern "C" {
-#include "base/cf.h"
+#include "base/toml.h"
 }
 
-struct cf {
+struct toml_doc {
 	std::string name;
 	toml::table root;
 };
 
-static const cf_table_t *as_c(const toml::table *t)
+static const toml_table_t *as_c(const toml::table *t)
 {
-	return reinterpret_cast<const cf_table_t *>(t);
+	return reinterpret_cast<const toml_table_t *>(t);
 }
 
-static const toml::table *as_toml(const cf_table_t *t)
+static const toml::table *as_toml(const toml_table_t *t)
 {
 	return reinterpret_cast<const toml::table *>(t);
 }
@@ -35,60 +35,60 @@
 	return n.source().begin.line;
 }
 
-extern "C" status_t cf_parse(str_t text, const char *name, cf_t **out)
+extern "C" status_t toml_parse(str_t text, const char *name, toml_doc_t **out)
 {
 	*out = nullptr;
 	toml::parse_result r = toml::parse(std::string_view(text.p, text.n));
 	if (!r) {
 		std::string what(r.error().description());
-		return st_fail(ST_INVALID, "%s:%u: syntax: %s", name, (unsigned)r.error().source().begin.line,
+		return status_fail(STATUS_INVALID, "%s:%u: syntax: %s", name, (unsigned)r.error().source().begin.line,
 			       what.c_str());
 	}
-	cf *c = new cf;
+	toml_doc *c = new toml_doc;
 	c->name = name;
 	c->root = std::move(r).table();
 	*out = c;
-	return ST_OK;
+	return STATUS_OK;
 }
 
-extern "C" status_t cf_load(const char *path, cf_t **out)
+extern "C" status_t toml_load(const char *path, toml_doc_t **out)
 {
 	*out = nullptr;
 	std::ifstream f(path, std::ios::binary);
 	if (!f)
-		return st_fail(ST_NOT_FOUND, "%s:0: can't be read", path);
+		return status_fail(STATUS_NOT_FOUND, "%s:0: can't be read", path);
 	std::stringstream s;
 	s << f.rdbuf();
 	std::string text = s.str();
-	return cf_parse(str_t{text.data(), text.size()}, path, out);
+	return toml_parse(str_t{text.data(), text.size()}, path, out);
 }
 
-extern "C" void cf_free(cf_t *c)
+extern "C" void toml_free(toml_doc_t *c)
 {
 	delete c;
 }
 
-extern "C" void cf_cleanup(cf_t **c)
+extern "C" void toml_cleanup(toml_doc_t **c)
 {
 	delete *c;
 }
 
-extern "C" const cf_table_t *cf_root(const cf_t *c)
+extern "C" const toml_table_t *toml_root(const toml_doc_t *c)
 {
 	return as_c(&c->root);
 }
 
-extern "C" const char *cf_name(const cf_t *c)
+extern "C" const char *toml_name(const toml_doc_t *c)
 {
 	return c->name.c_str();
 }
 
-extern "C" void cf_strs_free(cf_strs_t *s)
+extern "C" void toml_strs_free(toml_strs_t *s)
 {
 	for (size_t i = 0; i < s->n; i++)
 		free(s->v[i]);
 	free(s->v);
-	*s = cf_strs_t{nullptr, 0};
+	*s = toml_strs_t{nullptr, 0};
 }
 
 static char *copy(const std::string &s)
@@ -96,38 +96,38 @@
 	return str_dup(str_t{s.data(), s.size()});
 }
 
-static status_t wrong(const cf_t *c, const toml::node &n, const char *key, const char *what)
+static status_t wrong(const toml_doc_t *c, const toml::node &n, const char *key, const char *what)
 {
-	return st_fail(ST_INVALID, "%s:%u: %s: %s", c->name.c_str(), line_of(n), key, what);
+	return status_fail(STATUS_INVALID, "%s:%u: %s: %s", c->name.c_str(), line_of(n), key, what);
 }
 
-static status_t out_of_bounds(const cf_t *c, const toml::node &n, const cf_key_t &k, const char *what)
+static status_t out_of_bounds(const toml_doc_t *c, const toml::node &n, const toml_key_t &k, const char *what)
 {
-	return st_fail(ST_INVALID, "%s:%u: %s: %s must be %lld to %lld", c->name.c_str(), line_of(n), k.key,
+	return status_fail(STATUS_INVALID, "%s:%u: %s: %s must be %lld to %lld", c->name.c_str(), line_of(n), k.key,
 		       what, (long long)k.min, (long long)k.max);
 }
 
-static status_t read_strs(const cf_t *c, const toml::node &n, const cf_key_t &k)
+static status_t read_strs(const toml_doc_t *c, const toml::node &n, const toml_key_t &k)
 {
 	const toml::array *a = n.as_array();
 	if (!a)
 		return wrong(c, n, k.key, "must be an array of strings");
 	if ((int64_t)a->size() < k.min || (int64_t)a->size() > k.max)
 		return out_of_bounds(c, n, k, "its size");
-	cf_strs_t s = {(char **)mem_new((a->size() + 1) * sizeof(char *)), 0};
+	toml_strs_t s = {(char **)mem_new((a->size() + 1) * sizeof(char *)), 0};
 	for (const toml::node &e : *a) {
 		if (!e.is_string()) {
-			cf_strs_free(&s);
+			toml_strs_free(&s);
 			return wrong(c, e, k.key, "must be an array of strings");
 		}
 		s.v[s.n++] = copy(e.as_string()->get());
 	}
-	cf_strs_free((cf_strs_t *)k.out);
-	*(cf_strs_t *)k.out = s;
-	return ST_OK;
+	toml_strs_free((toml_strs_t *)k.out);
+	*(toml_strs_t *)k.out = s;
+	return STATUS_OK;
 }
 
-static status_t read_str(const cf_t *c, const toml::node &n, const cf_key_t &k)
+static status_t read_str(const toml_doc_t *c, const toml::node &n, const toml_key_t &k)
 {
 	if (!n.is_string())
 		return wrong(c, n, k.key, "must be a string");
@@ -137,10 +137,10 @@
 	char **out = (char **)k.out;
 	free(*out);
 	*out = copy(s);
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static status_t read_real(const cf_t *c, const toml::node &n, const cf_key_t &k)
+static status_t read_real(const toml_doc_t *c, const toml::node &n, const toml_key_t &k)
 {
 	if (!n.is_number())
 		return wrong(c, n, k.key, "must be a number");
@@ -148,35 +148,35 @@
 	if (!(v >= (double)k.min && v <= (double)k.max))
 		return out_of_bounds(c, n, k, "it");
 	*(double *)k.out = v;
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static status_t read_key(const cf_t *c, const toml::node &n, const cf_key_t &k)
+static status_t read_key(const toml_doc_t *c, const toml::node &n, const toml_key_t &k)
 {
 	switch (k.type) {
-	case cf_key_t::CF_STR:
+	case toml_key_t::TOML_STR:
 		return read_str(c, n, k);
-	case cf_key_t::CF_STRS:
+	case toml_key_t::TOML_STRS:
 		return read_strs(c, n, k);
-	case cf_key_t::CF_REAL:
+	case toml_key_t::TOML_REAL:
 		return read_real(c, n, k);
-	case cf_key_t::CF_BOOL:
+	case toml_key_t::TOML_BOOL:
 		if (!n.is_boolean())
 			return wrong(c, n, k.key, "must be true or false");
 		*(bool *)k.out = n.as_boolean()->get();
-		return ST_OK;
-	case cf_key_t::CF_INT:
+		return STATUS_OK;
+	case toml_key_t::TOML_INT:
 		if (!n.is_integer())
 			return wrong(c, n, k.key, "must be a whole number");
 		if (n.as_integer()->get() < k.min || n.as_integer()->get() > k.max)
 			return out_of_bounds(c, n, k, "it");
 		*(int64_t *)k.out = n.as_integer()->get();
-		return ST_OK;
+		return STATUS_OK;
 	}
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static bool is_known(const char *key, const cf_key_t *keys, const char *const *sub)
+static bool is_known(const char *key, const toml_key_t *keys, const char *const *sub)
 {
 	for (; keys->key; keys++)
 		if (strcmp(key, keys->key) == 0)
@@ -187,7 +187,7 @@
 	return false;
 }
 
-extern "C" status_t cf_read(const cf_t *c, const cf_table_t *t, const cf_key_t *keys, const char *const *sub)
+extern "C" status_t toml_read(const toml_doc_t *c, const toml_table_t *t, const toml_key_t *keys, const char *const *sub)
 {
 	const toml::table &table = *as_toml(t);
 	for (auto &&[key, node] : table) {
@@ -203,24 +203,24 @@
 	for (; keys->key; keys++) {
 		const toml::node *n = table.get(keys->key);
 		if (!n && keys->required)
-			return st_fail(ST_INVALID, "%s:%u: %s: missing", c->name.c_str(), line_of(table),
+			return status_fail(STATUS_INVALID, "%s:%u: %s: missing", c->name.c_str(), line_of(table),
 				       keys->key);
 		if (!n)
 			continue;
 		status_t st = read_key(c, *n, *keys);
-		if (st != ST_OK)
+		if (st != STATUS_OK)
 			return st;
 	}
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static const toml::array *tables_of(const cf_table_t *t, const char *key)
+static const toml::array *tables_of(const toml_table_t *t, const char *key)
 {
 	const toml::node *n = as_toml(t)->get(key);
 	return n && n->is_array_of_tables() ? n->as_array() : nullptr;
 }
 
-extern "C" size_t cf_count(const cf_table_t *t, const char *key)
+extern "C" size_t toml_table_count(const toml_table_t *t, const char *key)
 {
 	const toml::node *n = as_toml(t)->get(key);
 	if (n && n->is_table())
@@ -229,7 +229,7 @@
 	return a ? a->size() : 0;
 }
 
-extern "C" const cf_table_t *cf_at(const cf_table_t *t, const char *key, size_t i)
+extern "C" const toml_table_t *toml_table_at(const toml_table_t *t, const char *key, size_t i)
 {
 	const toml::node *n = as_toml(t)->get(key);
 	if (n && n->is_table())
@@ -238,7 +238,7 @@
 	return a && i < a->size() ? as_c(a->get(i)->as_table()) : nullptr;
 }
 
-extern "C" int cf_line(const cf_table_t *t, const char *key)
+extern "C" int toml_line(const toml_table_t *t, const char *key)
 {
 	const toml::node *n = key ? as_toml(t)->get(key) : nullptr;
 	return (int)line_of(n ? *n : *static_cast<const toml::node *>(as_toml(t)));
--- a/src/base/tr.c
+++ b/src/base/trace.c
@@ -1,10 +1,10 @@
-#include "base/tr.h"
+#include "base/trace.h"
 
 #include <stdio.h>
 #include <string.h>
 #include <sodium.h>
-#include "base/clk.h"
-#include "base/lg.h"
+#include "base/clock.h"
+#include "base/log.h"
 
 /* "00-" trace "-" span "-01" */
 #define TRACEPARENT_LEN 55
@@ -30,7 +30,7 @@
 	sodium_bin2hex(out, bytes * 2 + 1, raw, bytes);
 }
 
-static bool parse_parent(tr_span_t *sp, str_t tp)
+static bool parse_parent(trace_span_t *sp, str_t tp)
 {
 	if (tp.n != TRACEPARENT_LEN || tp.p[2] != '-' || tp.p[35] != '-' || tp.p[52] != '-')
 		return false;
@@ -41,24 +41,24 @@
 	return true;
 }
 
-void tr_begin(tr_span_t *sp, const char *name, str_t traceparent)
+void trace_begin(trace_span_t *sp, const char *name, str_t traceparent)
 {
 	memset(sp, 0, sizeof(*sp));
 	if (!parse_parent(sp, traceparent))
 		random_hex(sp->trace, 16);
 	random_hex(sp->span, 8);
 	sp->name = name;
-	sp->start_us = clk_now_us();
+	sp->start_us = clock_now_us();
 }
 
-void tr_parent(const tr_span_t *sp, char out[TR_PARENT_BYTES])
+void trace_parent(const trace_span_t *sp, char out[TRACE_PARENT_BYTES])
 {
-	snprintf(out, TR_PARENT_BYTES, "00-%s-%s-01", sp->trace, sp->span);
+	snprintf(out, TRACE_PARENT_BYTES, "00-%s-%s-01", sp->trace, sp->span);
 }
 
-void tr_end(const tr_span_t *sp, str_t key, const char *outcome)
+void trace_end(const trace_span_t *sp, str_t key, const char *outcome)
 {
-	lg(LG_INFO, "span", LG_C("name", sp->name), LG_C("trace", sp->trace),
-	   LG_C("span", sp->span), LG_C("parent", sp->parent), LG_S("key", key),
-	   LG_C("outcome", outcome), LG_I("us", clk_now_us() - sp->start_us));
+	log_event(LOG_LEVEL_INFO, "span", LOG_CSTR("name", sp->name), LOG_CSTR("trace", sp->trace),
+		  LOG_CSTR("span", sp->span), LOG_CSTR("parent", sp->parent), LOG_STR("key", key),
+		  LOG_CSTR("outcome", outcome), LOG_INT("us", clock_now_us() - sp->start_us));
 }
--- a/src/base/tr.h
+++ b/src/base/trace.h
@@ -1,11 +1,11 @@
 /** Trace spans with W3C ids, written as log events; `traceparent` carries them between hops. */
-#ifndef AUBURN_TR_H
-#define AUBURN_TR_H
+#ifndef AUBURN_TRACE_H
+#define AUBURN_TRACE_H
 
 #include <stdint.h>
 #include "base/str.h"
 
-#define TR_PARENT_BYTES 56
+#define TRACE_PARENT_BYTES 56
 
 typedef struct {
 	char trace[33];
@@ -13,13 +13,13 @@
 	char parent[17];
 	const char *name;
 	int64_t start_us;
-} tr_span_t;
+} trace_span_t;
 
 /** Begins a span; traceparent may be empty or malformed, then a new trace begins. */
-void tr_begin(tr_span_t *sp, const char *name, str_t traceparent);
+void trace_begin(trace_span_t *sp, const char *name, str_t traceparent);
 /** Writes the header value that makes this span the parent of the next hop's. */
-void tr_parent(const tr_span_t *sp, char out[TR_PARENT_BYTES]);
+void trace_parent(const trace_span_t *sp, char out[TRACE_PARENT_BYTES]);
 /** Ends the span with one event=span line; key may be empty. */
-void tr_end(const tr_span_t *sp, str_t key, const char *outcome);
+void trace_end(const trace_span_t *sp, str_t key, const char *outcome);
 
 #endif
--- /dev/null
+++ b/src/client/control_client.c
@@ -0,0 +1,321 @@
+#include "client/control_client.h"
+
+#include <assert.h>
+#include <pthread.h>
+#include <stdlib.h>
+#include "base/rpc.h"
+
+/* A control process that doesn't answer within this is passed over for another. */
+#define TRY_MAX_MS 700
+#define PAUSE_MS   20
+/* How long calls go on through another process after the leader itself wasn't reached. */
+#define FORWARD_MS   5000
+#define POOL_MAX     64
+#define GROUPS_MAX   64
+#define CONTROLS_MAX 18
+
+/* Idle connections to one control process. */
+typedef struct {
+	char *addr;
+	rpc_client_t *idle[POOL_MAX];
+	size_t n;
+} pool_t;
+
+struct cc {
+	pthread_mutex_t lock;
+	pool_t pools[CONTROLS_MAX];
+	size_t n;
+	unsigned groups;
+	size_t leader[GROUPS_MAX + 1]; /* guess for each group */
+	deadline_t forward[GROUPS_MAX + 1];
+};
+
+control_client_t *control_client_new(const char *const *addrs, size_t n, unsigned ledger_groups)
+{
+	control_client_t *c = mem_new(sizeof(*c));
+
+	assert(n > 0 && n <= CONTROLS_MAX && ledger_groups > 0 && ledger_groups <= GROUPS_MAX);
+	pthread_mutex_init(&c->lock, NULL);
+	c->n = n;
+	c->groups = ledger_groups;
+	for (size_t i = 0; i < n; i++)
+		c->pools[i].addr = str_dup(str_c(addrs[i]));
+	return c;
+}
+
+void control_client_free(control_client_t *c)
+{
+	if (!c)
+		return;
+	for (size_t i = 0; i < c->n; i++) {
+		while (c->pools[i].n > 0)
+			rpc_client_free(c->pools[i].idle[--c->pools[i].n]);
+		free(c->pools[i].addr);
+	}
+	pthread_mutex_destroy(&c->lock);
+	free(c);
+}
+
+const char *control_client_addr(const control_client_t *c, size_t i)
+{
+	return c->pools[i].addr;
+}
+
+unsigned control_client_groups(const control_client_t *c)
+{
+	return c->groups;
+}
+
+unsigned control_client_group(const control_client_t *c, str_t caller, str_t key)
+{
+	return wire_ledger_group(caller, key, c->groups);
+}
+
+static rpc_client_t *take(control_client_t *c, size_t i)
+{
+	rpc_client_t *r = NULL;
+
+	pthread_mutex_lock(&c->lock);
+	if (c->pools[i].n > 0)
+		r = c->pools[i].idle[--c->pools[i].n];
+	pthread_mutex_unlock(&c->lock);
+	return r ? r : rpc_client_new(c->pools[i].addr, AUBURN_CONTROL, AUBURN_CONTROL_V1);
+}
+
+static void give(control_client_t *c, size_t i, rpc_client_t *r)
+{
+	pthread_mutex_lock(&c->lock);
+	if (c->pools[i].n < POOL_MAX) {
+		c->pools[i].idle[c->pools[i].n++] = r;
+		r = NULL;
+	}
+	pthread_mutex_unlock(&c->lock);
+	rpc_client_free(r);
+}
+
+static status_t call(control_client_t *c, size_t i, unsigned proc, xdrproc_t xa, const void *arg,
+		     xdrproc_t xr, void *res, deadline_t deadline)
+{
+	deadline_t cap = clock_now_ms() + TRY_MAX_MS;
+	rpc_client_t *r = take(c, i);
+	status_t st = rpc_client_call(r, proc, xa, arg, xr, res, deadline < cap ? deadline : cap);
+
+	give(c, i, r);
+	return st;
+}
+
+static size_t leader_of(control_client_t *c, unsigned group)
+{
+	size_t i;
+
+	pthread_mutex_lock(&c->lock);
+	i = c->leader[group];
+	pthread_mutex_unlock(&c->lock);
+	return i;
+}
+
+status_t control_client_call_at(control_client_t *c, const char *addr, unsigned proc,
+				xdrproc_t xdr_arg, const void *arg, xdrproc_t xdr_res, void *res,
+				deadline_t deadline)
+{
+	for (size_t i = 0; i < c->n; i++) {
+		if (str_eq(str_c(c->pools[i].addr), str_c(addr)))
+			return call(c, i, proc, xdr_arg, arg, xdr_res, res, deadline);
+	}
+	return status_fail(STATUS_UNAVAILABLE, "%s is no known control process", addr);
+}
+
+/* True while calls of the group are to be passed on by processes that don't lead it. */
+static bool forwards(control_client_t *c, unsigned group)
+{
+	bool on;
+
+	pthread_mutex_lock(&c->lock);
+	on = clock_now_ms() < c->forward[group];
+	pthread_mutex_unlock(&c->lock);
+	return on;
+}
+
+static void start_forward(control_client_t *c, unsigned group)
+{
+	pthread_mutex_lock(&c->lock);
+	c->forward[group] = clock_now_ms() + FORWARD_MS;
+	pthread_mutex_unlock(&c->lock);
+}
+
+/* Follows a hint, or goes on to the next one. False when there is no hint to follow. */
+static bool move_on(control_client_t *c, unsigned group, size_t tried, str_t hint)
+{
+	size_t next = (tried + 1) % c->n;
+	bool hinted = false;
+
+	for (size_t i = 0; i < c->n; i++) {
+		if (hint.n && i != tried && str_eq(hint, str_c(c->pools[i].addr))) {
+			next = i;
+			hinted = true;
+		}
+	}
+	pthread_mutex_lock(&c->lock);
+	if (c->leader[group] == tried)
+		c->leader[group] = next;
+	pthread_mutex_unlock(&c->lock);
+	return hinted;
+}
+
+/* Sends to the group's leader until it answers or the deadline passes. */
+static status_t exec(control_client_t *c, unsigned group, unsigned proc, str_t payload,
+		     wire_exec_res_t *res, deadline_t deadline)
+{
+	status_t end = STATUS_UNAVAILABLE;
+
+	while (clock_left_ms(deadline) > 0) {
+		size_t i = leader_of(c, group);
+		wire_exec_arg_t arg = {group, (u_int)clock_left_ms(deadline), forwards(c, group),
+				       wire_bytes(payload)};
+		status_t st;
+
+		if (arg.wait_ms > TRY_MAX_MS)
+			arg.wait_ms = TRY_MAX_MS;
+		*res = (wire_exec_res_t){0};
+		st = call(c, i, proc, XDR_PROC(wire_exec_arg_t), &arg, XDR_PROC(wire_exec_res_t),
+			  res, deadline);
+		if (st == STATUS_OK)
+			st = (status_t)res->status;
+		if (st == STATUS_OK)
+			return STATUS_OK;
+		if (st == STATUS_INVALID || st == STATUS_LIMIT)
+			return status_fail(st, "%.*s", STR_ARG(wire_str(res->message)));
+		if (st == STATUS_TIMEOUT || st == STATUS_IO)
+			end = STATUS_TIMEOUT;
+		if (st == STATUS_TIMEOUT || st == STATUS_UNAVAILABLE)
+			start_forward(c, group);
+		if (!move_on(c, group, i, wire_str(res->leader)))
+			clock_sleep_ms(PAUSE_MS);
+		wire_free(XDR_PROC(wire_exec_res_t), res);
+	}
+	return status_fail(end, "no answer from the leader of group %u in time", group);
+}
+
+static status_t exec_typed(control_client_t *c, unsigned group, unsigned proc, xdrproc_t xcmd,
+			   const void *cmd, xdrproc_t xres, void *res, size_t res_size,
+			   deadline_t deadline)
+{
+	AUTO_BUF payload = {0};
+	wire_exec_res_t er = {0};
+	status_t st;
+
+	wire_encode(&payload, xcmd, cmd);
+	st = exec(c, group, proc, str_buf(&payload), &er, deadline);
+	if (st == STATUS_OK)
+		st = wire_decode(wire_str(er.payload), xres, res, res_size);
+	wire_free(XDR_PROC(wire_exec_res_t), &er);
+	return st;
+}
+
+status_t control_client_fleet(control_client_t *c, const wire_fleet_cmd_t *cmd,
+			      wire_fleet_res_t *res, deadline_t deadline)
+{
+	*res = (wire_fleet_res_t){0};
+	return exec_typed(c, 0, AUBURN_EXEC, XDR_PROC(wire_fleet_cmd_t), cmd,
+			  XDR_PROC(wire_fleet_res_t), res, sizeof(*res), deadline);
+}
+
+status_t control_client_ledger_group(control_client_t *c, unsigned group,
+				     const wire_ledger_cmd_t *cmd, wire_ledger_res_t *res,
+				     deadline_t deadline)
+{
+	*res = (wire_ledger_res_t){0};
+	return exec_typed(c, group, AUBURN_EXEC, XDR_PROC(wire_ledger_cmd_t), cmd,
+			  XDR_PROC(wire_ledger_res_t), res, sizeof(*res), deadline);
+}
+
+static unsigned group_of_cmd(const control_client_t *c, const wire_ledger_cmd_t *cmd)
+{
+	switch (cmd->kind) {
+	case WIRE_LEDGER_ACCEPT:
+		return control_client_group(c, wire_str(cmd->wire_ledger_cmd_t_u.accept.caller),
+					    wire_str(cmd->wire_ledger_cmd_t_u.accept.key));
+	case WIRE_LEDGER_ATTEMPT:
+		return control_client_group(c, wire_str(cmd->wire_ledger_cmd_t_u.attempt.caller),
+					    wire_str(cmd->wire_ledger_cmd_t_u.attempt.key));
+	case WIRE_LEDGER_FINISH:
+		return control_client_group(c, wire_str(cmd->wire_ledger_cmd_t_u.finish.caller),
+					    wire_str(cmd->wire_ledger_cmd_t_u.finish.key));
+	case WIRE_LEDGER_JOB_OPEN:
+		return control_client_group(c, wire_str(cmd->wire_ledger_cmd_t_u.open.caller),
+					    wire_str(cmd->wire_ledger_cmd_t_u.open.job));
+	case WIRE_LEDGER_JOB_ITEMS:
+		return control_client_group(c, wire_str(cmd->wire_ledger_cmd_t_u.items.caller),
+					    wire_str(cmd->wire_ledger_cmd_t_u.items.job));
+	case WIRE_LEDGER_JOB_SEAL:
+	case WIRE_LEDGER_JOB_CANCEL:
+		return control_client_group(c, wire_str(cmd->wire_ledger_cmd_t_u.seal.caller),
+					    wire_str(cmd->wire_ledger_cmd_t_u.seal.job));
+	default:
+		assert(!"the command names no key");
+		return 1;
+	}
+}
+
+status_t control_client_ledger(control_client_t *c, const wire_ledger_cmd_t *cmd,
+			       wire_ledger_res_t *res, deadline_t deadline)
+{
+	return control_client_ledger_group(c, group_of_cmd(c, cmd), cmd, res, deadline);
+}
+
+status_t control_client_query(control_client_t *c, unsigned group, const wire_query_t *q,
+			      wire_query_res_t *res, deadline_t deadline)
+{
+	*res = (wire_query_res_t){0};
+	return exec_typed(c, group, AUBURN_QUERY, XDR_PROC(wire_query_t), q,
+			  XDR_PROC(wire_query_res_t), res, sizeof(*res), deadline);
+}
+
+status_t control_client_heartbeat(control_client_t *c, const wire_heartbeat_arg_t *arg,
+				  wire_heartbeat_res_t *res, deadline_t deadline)
+{
+	status_t st = STATUS_UNAVAILABLE;
+
+	while (clock_left_ms(deadline) > 0) {
+		size_t i = leader_of(c, 0);
+		wire_heartbeat_arg_t a = *arg;
+
+		a.forward = forwards(c, 0);
+		*res = (wire_heartbeat_res_t){0};
+		st = call(c, i, AUBURN_HEARTBEAT, XDR_PROC(wire_heartbeat_arg_t), &a,
+			  XDR_PROC(wire_heartbeat_res_t), res, deadline);
+		if (st == STATUS_OK && res->status == STATUS_OK)
+			return STATUS_OK;
+		if (st != STATUS_OK)
+			start_forward(c, 0);
+		if (!move_on(c, 0, i, wire_str(res->leader)))
+			clock_sleep_ms(PAUSE_MS);
+		wire_free(XDR_PROC(wire_heartbeat_res_t), res);
+	}
+	return status_fail(STATUS_UNAVAILABLE, "no control process renewed the lease in time");
+}
+
+static status_t fetch_text(control_client_t *c, size_t i, unsigned proc, xdrproc_t xa,
+			   const void *arg, buf_t *out, deadline_t deadline)
+{
+	wire_text_t t = {0};
+	status_t st = call(c, i, proc, xa, arg, XDR_PROC(wire_text_t), &t, deadline);
+
+	if (st == STATUS_OK)
+		buf_add(out, wire_str(t.text));
+	wire_free(XDR_PROC(wire_text_t), &t);
+	return st;
+}
+
+status_t control_client_status(control_client_t *c, size_t i, buf_t *out, deadline_t deadline)
+{
+	return fetch_text(c, i, AUBURN_STATUS, rpc_xdr_void, NULL, out, deadline);
+}
+
+status_t control_client_events(control_client_t *c, size_t i, str_t needle, unsigned max,
+			       buf_t *out, deadline_t deadline)
+{
+	wire_events_arg_t arg = {wire_bytes(needle), max};
+
+	return fetch_text(c, i, AUBURN_EVENTS, XDR_PROC(wire_events_arg_t), &arg, out, deadline);
+}
--- a/src/client/rx.c
+++ b/src/client/delta.c
@@ -1,8 +1,8 @@
-#include "client/rx.h"
+#include "client/delta.h"
 
 #include <isa-l/igzip_lib.h>
 #include <stdlib.h>
-#include "proto/px.h"
+#include "proto/wire.h"
 
 /** Room for what deflate adds to bytes that don't shrink. */
 #define DEFLATE_MARGIN(n) ((n) / 16 + 1024)
@@ -26,9 +26,9 @@
 	z->next_out = to;
 	z->avail_out = (uint32_t)room;
 	if (isal_deflate_stateless(z) != COMP_OK)
-		return st_fail(ST_LIMIT, "%zu bytes could not be deflated", in.n);
+		return status_fail(STATUS_LIMIT, "%zu bytes could not be deflated", in.n);
 	buf_add(out, (str_t){(const char *)to, z->total_out});
-	return ST_OK;
+	return STATUS_OK;
 }
 
 static status_t inflate(str_t in, uint32_t size, char *out)
@@ -41,27 +41,28 @@
 	z->next_out = (uint8_t *)out;
 	z->avail_out = size;
 	if (isal_inflate_stateless(z) != ISAL_DECOMP_OK || z->total_out != size)
-		return st_fail(ST_CORRUPT, "a change of routes doesn't unpack to %u bytes", size);
-	return ST_OK;
+		return status_fail(STATUS_CORRUPT, "a change of routes doesn't unpack to %u bytes",
+				   size);
+	return STATUS_OK;
 }
 
 /* ---- from routes to a change; the message borrows from them ---- */
 
-static lw_route_t put_of(const ru_route_t *t, lw_share_t *shares)
+static link_route_t put_of(const route_spec_t *t, link_share_t *shares)
 {
 	for (size_t i = 0; i < t->nshares; i++)
-		shares[i] =
-			(lw_share_t){px_bytes(str_c(t->shares[i].service)), t->shares[i].weight};
-	return (lw_route_t){
-		.name = px_bytes(str_c(t->name)),
-		.host = px_bytes(str_c(t->host)),
-		.prefix = px_bytes(str_c(t->prefix)),
+		shares[i] = (link_share_t){wire_bytes(str_c(t->shares[i].service)),
+					   t->shares[i].weight};
+	return (link_route_t){
+		.name = wire_bytes(str_c(t->name)),
+		.host = wire_bytes(str_c(t->host)),
+		.prefix = wire_bytes(str_c(t->prefix)),
 		.kind = (u_int)t->kind,
 		.shares = {(u_int)t->nshares, shares},
 		.timeout_ms = t->timeout_ms,
 		.objective_ms = t->objective_ms,
 		.pause_ms = t->pause_ms,
-		.patience_ms = t->patience_ms,
+		.give_up_ms = t->give_up_ms,
 		.due_ms = t->due_ms,
 		.retention_ms = t->retention_ms,
 		.attempts = t->attempts,
@@ -71,7 +72,7 @@
 	};
 }
 
-static size_t count_shares(const ru_t *r)
+static size_t count_shares(const route_table_t *r)
 {
 	size_t n = 0;
 
@@ -80,51 +81,52 @@
 	return n;
 }
 
-static void fill_put(const ru_t *base, const ru_t *r, lw_routes_t *m, lw_share_t *shares)
+static void fill_put(const route_table_t *base, const route_table_t *r, link_routes_t *m,
+		     link_share_t *shares)
 {
 	for (size_t i = 0; i < r->nroutes; i++) {
-		const ru_route_t *t = &r->routes[i];
-		const ru_route_t *old =
-			base ? ru_find(base, str_c(t->host), str_c(t->prefix)) : NULL;
+		const route_spec_t *t = &r->routes[i];
+		const route_spec_t *old =
+			base ? route_table_find(base, str_c(t->host), str_c(t->prefix)) : NULL;
 
-		if (old && ru_route_eq(old, t))
+		if (old && route_spec_eq(old, t))
 			continue;
 		m->put.put_val[m->put.put_len++] = put_of(t, shares);
 		shares += t->nshares;
 	}
 }
 
-static void fill_removed(const ru_t *base, const ru_t *r, lw_routes_t *m)
+static void fill_removed(const route_table_t *base, const route_table_t *r, link_routes_t *m)
 {
 	for (size_t i = 0; base && i < base->nroutes; i++) {
-		const ru_route_t *t = &base->routes[i];
+		const route_spec_t *t = &base->routes[i];
 
-		if (!ru_find(r, str_c(t->host), str_c(t->prefix)))
-			m->removed.removed_val[m->removed.removed_len++] = (lw_route_key_t){
-				px_bytes(str_c(t->host)), px_bytes(str_c(t->prefix))};
+		if (!route_table_find(r, str_c(t->host), str_c(t->prefix)))
+			m->removed.removed_val[m->removed.removed_len++] = (link_route_key_t){
+				wire_bytes(str_c(t->host)), wire_bytes(str_c(t->prefix))};
 	}
 }
 
-static void fill_services(const ru_t *r, lw_routes_t *m)
+static void fill_services(const route_table_t *r, link_routes_t *m)
 {
 	for (size_t i = 0; i < r->nservices; i++) {
-		const ru_service_t *s = &r->services[i];
+		const route_service_t *s = &r->services[i];
 
-		m->services.services_val[m->services.services_len++] =
-			(lw_service_t){px_bytes(str_c(s->name)), px_bytes(str_c(s->health_path)),
-				       s->slots, s->connections_max};
+		m->services.services_val[m->services.services_len++] = (link_service_t){
+			wire_bytes(str_c(s->name)), wire_bytes(str_c(s->health_path)), s->slots,
+			s->connections_max};
 	}
 }
 
-status_t rx_pack(const ru_t *base, const ru_t *r, buf_t *out, uint32_t *size)
+status_t delta_pack(const route_table_t *base, const route_table_t *r, buf_t *out, uint32_t *size)
 {
-	AUTO_FREE lw_share_t *shares = mem_new((count_shares(r) + 1) * sizeof(*shares));
-	AUTO_FREE lw_route_t *put = mem_new((r->nroutes + 1) * sizeof(*put));
-	AUTO_FREE lw_service_t *services = mem_new((r->nservices + 1) * sizeof(*services));
-	AUTO_FREE lw_route_key_t *removed =
+	AUTO_FREE link_share_t *shares = mem_new((count_shares(r) + 1) * sizeof(*shares));
+	AUTO_FREE link_route_t *put = mem_new((r->nroutes + 1) * sizeof(*put));
+	AUTO_FREE link_service_t *services = mem_new((r->nservices + 1) * sizeof(*services));
+	AUTO_FREE link_route_key_t *removed =
 		mem_new(((base ? base->nroutes : 0) + 1) * sizeof(*removed));
 	AUTO_BUF plain = {0};
-	lw_routes_t m = {
+	link_routes_t m = {
 		.label = r->version,
 		.header_bytes = r->limits.header_bytes,
 		.body_bytes = r->limits.body_bytes,
@@ -138,16 +140,16 @@
 	fill_services(r, &m);
 	fill_put(base, r, &m, shares);
 	fill_removed(base, r, &m);
-	px_encode(&plain, PX(lw_routes_t), &m);
-	if (plain.n > RX_SIZE_MAX)
-		return st_fail(ST_LIMIT, "a change of routes of %zu bytes", plain.n);
+	wire_encode(&plain, XDR_PROC(link_routes_t), &m);
+	if (plain.n > DELTA_SIZE_MAX)
+		return status_fail(STATUS_LIMIT, "a change of routes of %zu bytes", plain.n);
 	*size = (uint32_t)plain.n;
 	return deflate(str_buf(&plain), out);
 }
 
 /* ---- from a change to routes ---- */
 
-static void copy_route(ru_route_t *to, const ru_route_t *from)
+static void copy_route(route_spec_t *to, const route_spec_t *from)
 {
 	*to = *from;
 	to->name = str_dup(str_c(from->name));
@@ -155,23 +157,23 @@
 	to->prefix = str_dup(str_c(from->prefix));
 	to->shares = mem_new((from->nshares + 1) * sizeof(*to->shares));
 	for (size_t i = 0; i < from->nshares; i++)
-		to->shares[i] = (ru_share_t){str_dup(str_c(from->shares[i].service)),
-					     from->shares[i].weight};
+		to->shares[i] = (route_share_t){str_dup(str_c(from->shares[i].service)),
+						from->shares[i].weight};
 }
 
-static void take_put(ru_route_t *to, const lw_route_t *m)
+static void take_put(route_spec_t *to, const link_route_t *m)
 {
-	*to = (ru_route_t){
-		.name = str_dup(px_str(m->name)),
-		.host = str_dup(px_str(m->host)),
-		.prefix = str_dup(px_str(m->prefix)),
-		.kind = (ru_kind_t)m->kind,
+	*to = (route_spec_t){
+		.name = str_dup(wire_str(m->name)),
+		.host = str_dup(wire_str(m->host)),
+		.prefix = str_dup(wire_str(m->prefix)),
+		.kind = (route_kind_t)m->kind,
 		.shares = mem_new((m->shares.shares_len + 1) * sizeof(*to->shares)),
 		.nshares = m->shares.shares_len,
 		.timeout_ms = m->timeout_ms,
 		.objective_ms = m->objective_ms,
 		.pause_ms = m->pause_ms,
-		.patience_ms = m->patience_ms,
+		.give_up_ms = m->give_up_ms,
 		.due_ms = m->due_ms,
 		.retention_ms = m->retention_ms,
 		.attempts = m->attempts,
@@ -180,29 +182,30 @@
 		.resumable = m->resumable,
 	};
 	for (u_int i = 0; i < m->shares.shares_len; i++)
-		to->shares[i] = (ru_share_t){str_dup(px_str(m->shares.shares_val[i].service)),
-					     m->shares.shares_val[i].weight};
+		to->shares[i] = (route_share_t){str_dup(wire_str(m->shares.shares_val[i].service)),
+						m->shares.shares_val[i].weight};
 }
 
 /* Marks the routes of base that the change removes or replaces. */
-static void mark_gone(const ru_t *base, const lw_routes_t *m, bool *gone)
+static void mark_gone(const route_table_t *base, const link_routes_t *m, bool *gone)
 {
-	const ru_route_t *t;
+	const route_spec_t *t;
 
 	for (u_int i = 0; i < m->removed.removed_len; i++) {
-		t = ru_find(base, px_str(m->removed.removed_val[i].host),
-			    px_str(m->removed.removed_val[i].prefix));
+		t = route_table_find(base, wire_str(m->removed.removed_val[i].host),
+				     wire_str(m->removed.removed_val[i].prefix));
 		if (t)
 			gone[t - base->routes] = true;
 	}
 	for (u_int i = 0; i < m->put.put_len; i++) {
-		t = ru_find(base, px_str(m->put.put_val[i].host), px_str(m->put.put_val[i].prefix));
+		t = route_table_find(base, wire_str(m->put.put_val[i].host),
+				     wire_str(m->put.put_val[i].prefix));
 		if (t)
 			gone[t - base->routes] = true;
 	}
 }
 
-static void take_routes(const ru_t *base, const lw_routes_t *m, ru_t *r)
+static void take_routes(const route_table_t *base, const link_routes_t *m, route_table_t *r)
 {
 	size_t n = base ? base->nroutes : 0;
 	AUTO_FREE bool *gone = mem_new((n + 1) * sizeof(*gone));
@@ -218,49 +221,50 @@
 		take_put(&r->routes[r->nroutes++], &m->put.put_val[i]);
 }
 
-static void take_services(const lw_routes_t *m, ru_t *r)
+static void take_services(const link_routes_t *m, route_table_t *r)
 {
 	r->services = mem_new((m->services.services_len + 1) * sizeof(*r->services));
 	for (u_int i = 0; i < m->services.services_len; i++) {
-		const lw_service_t *s = &m->services.services_val[i];
+		const link_service_t *s = &m->services.services_val[i];
 
-		r->services[r->nservices++] =
-			(ru_service_t){str_dup(px_str(s->name)), str_dup(px_str(s->health_path)),
-				       s->slots, s->connections_max};
+		r->services[r->nservices++] = (route_service_t){str_dup(wire_str(s->name)),
+								str_dup(wire_str(s->health_path)),
+								s->slots, s->connections_max};
 	}
 }
 
-static status_t apply(str_t plain, const ru_t *base, ru_t **out)
+static status_t apply(str_t plain, const route_table_t *base, route_table_t **out)
 {
-	ru_t *r = ru_new();
-	lw_routes_t m;
-	status_t st = px_decode(plain, PX(lw_routes_t), &m, sizeof(m));
+	route_table_t *r = route_table_new();
+	link_routes_t m;
+	status_t st = wire_decode(plain, XDR_PROC(link_routes_t), &m, sizeof(m));
 
-	if (st == ST_OK) {
+	if (st == STATUS_OK) {
 		r->version = m.label;
-		r->limits = (ru_limits_t){m.header_bytes, m.body_bytes, m.header_ms, m.idle_ms};
+		r->limits = (route_client_limits_t){m.header_bytes, m.body_bytes, m.header_ms,
+						    m.idle_ms};
 		take_services(&m, r);
 		take_routes(base, &m, r);
-		st = ru_seal(r) == ST_OK ? ST_OK : ST_CORRUPT;
+		st = route_table_build(r) == STATUS_OK ? STATUS_OK : STATUS_CORRUPT;
 	}
-	px_free(PX(lw_routes_t), &m);
-	if (st != ST_OK) {
-		ru_free(r);
+	wire_free(XDR_PROC(link_routes_t), &m);
+	if (st != STATUS_OK) {
+		route_table_free(r);
 		r = NULL;
 	}
 	*out = r;
 	return st;
 }
 
-status_t rx_unpack(str_t change, uint32_t size, const ru_t *base, ru_t **out)
+status_t delta_unpack(str_t change, uint32_t size, const route_table_t *base, route_table_t **out)
 {
 	AUTO_FREE char *plain = NULL;
 	status_t st;
 
 	*out = NULL;
-	if (size > RX_SIZE_MAX)
-		return st_fail(ST_CORRUPT, "a change of routes of %u bytes", size);
+	if (size > DELTA_SIZE_MAX)
+		return status_fail(STATUS_CORRUPT, "a change of routes of %u bytes", size);
 	plain = mem_new(size + 1);
 	st = inflate(change, size, plain);
-	return st == ST_OK ? apply((str_t){plain, size}, base, out) : st;
+	return st == STATUS_OK ? apply((str_t){plain, size}, base, out) : st;
 }
--- a/src/client/rx.h
+++ b/src/client/delta.h
@@ -3,19 +3,19 @@
  * another, deflated. Texts of thousands of routes change a few at a time, and a receiver needs no
  * parser of the text's format.
  */
-#ifndef AUBURN_RX_H
-#define AUBURN_RX_H
+#ifndef AUBURN_DELTA_H
+#define AUBURN_DELTA_H
 
-#include "proto/lw_xdr.h"
-#include "state/ru.h"
+#include "proto/link_xdr.h"
+#include "state/route_table.h"
 
 /** Largest change, unpacked, in bytes: some 200,000 routes. */
-#define RX_SIZE_MAX (32U << 20)
+#define DELTA_SIZE_MAX (32U << 20)
 
 /** Appends the change that makes r of base, which may be NULL; *size: its bytes when unpacked. */
-status_t rx_pack(const ru_t *base, const ru_t *r, buf_t *out, uint32_t *size);
-/** Makes the routes that a change on base leads to; base may be NULL. ST_CORRUPT: not a change, or
- *  one that leads to routes that can't be in force. */
-status_t rx_unpack(str_t change, uint32_t size, const ru_t *base, ru_t **out);
+status_t delta_pack(const route_table_t *base, const route_table_t *r, buf_t *out, uint32_t *size);
+/** Makes the routes that a change on base leads to; base may be NULL. STATUS_CORRUPT: not a change,
+ * or one that leads to routes that can't be in force. */
+status_t delta_unpack(str_t change, uint32_t size, const route_table_t *base, route_table_t **out);
 
 #endif
--- /dev/null
+++ b/src/client/leader_link.c
@@ -0,0 +1,337 @@
+#include "client/leader_link.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <uthash.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "base/rpc.h"
+#include "net/msgconn.h"
+
+/** A control process that doesn't answer a hello within this, in ms, is passed over. */
+#define HELLO_MS 150
+/** Pause before the next try after one that failed at once, in ms. */
+#define RETRY_MS     20
+#define CONTROLS_MAX 32
+
+typedef struct {
+	uint64_t id;
+	deadline_t deadline;
+	leader_link_reply_t reply;
+	void *ctx;
+	UT_hash_handle hh;
+} call_t;
+
+struct ll {
+	leader_link_options_t o;
+	char controls[CONTROLS_MAX][LEADER_LINK_ADDR_BYTES];
+	size_t n;
+	size_t next;
+	char hint[LEADER_LINK_ADDR_BYTES];
+	char rpc[LEADER_LINK_ADDR_BYTES]; /* of the process that is tried or linked */
+	char addr[LEADER_LINK_ADDR_BYTES]; /* where it takes links */
+	msgconn_t *link;
+	bool up;
+	bool idle;
+	deadline_t down_since;
+	deadline_t tried;
+	deadline_t retry_at;
+	deadline_t sent; /* when something was sent last */
+	deadline_t asked; /* when the oldest unacknowledged question was sent; 0: there is none */
+	uint64_t call_id;
+	call_t *calls;
+	ev_timer tick;
+	deadline_t ticked; /* when it ran last */
+};
+
+const char *leader_link_call_name(link_call_kind_t kind)
+{
+	static const char *const names[] = {
+		[LINK_CALL_LOT_OPEN] = "open",	      [LINK_CALL_LOT_READ] = "read",
+		[LINK_CALL_ITEM_BODY] = "body",	      [LINK_CALL_LOT_END] = "end",
+		[LINK_CALL_CONFIG_SUBMIT] = "submit", [LINK_CALL_CONFIG_GET] = "conf",
+		[LINK_CALL_RETIRE] = "retire",	      [LINK_CALL_RETIRE_STATUS] = "retired",
+	};
+
+	return (size_t)kind < sizeof(names) / sizeof(names[0]) && names[kind] ? names[kind]
+									      : "unknown";
+}
+
+status_t leader_link_make_addr(str_t rpc_addr, unsigned link_port, char out[LEADER_LINK_ADDR_BYTES])
+{
+	AUTO_FREE char *rpc = str_dup(rpc_addr);
+	char ip[64];
+	unsigned port;
+
+	if (rpc_parse_addr(rpc, ip, &port) != STATUS_OK)
+		return STATUS_INVALID;
+	snprintf(out, LEADER_LINK_ADDR_BYTES, "%.20s:%u", ip, link_port);
+	return STATUS_OK;
+}
+
+void leader_link_add_control(leader_link_t *l, str_t addr)
+{
+	for (size_t i = 0; i < l->n; i++) {
+		if (str_eq(str_c(l->controls[i]), addr))
+			return;
+	}
+	if (l->n < CONTROLS_MAX && addr.n < sizeof(l->controls[0]))
+		snprintf(l->controls[l->n++], sizeof(l->controls[0]), "%.*s", STR_ARG(addr));
+}
+
+void leader_link_hint(leader_link_t *l, str_t addr)
+{
+	if (l->up || addr.n == 0 || addr.n >= sizeof(l->hint))
+		return;
+	snprintf(l->hint, sizeof(l->hint), "%.*s", STR_ARG(addr));
+	leader_link_add_control(l, addr);
+}
+
+str_t leader_link_leader(const leader_link_t *l)
+{
+	return l->up ? str_c(l->rpc) : (str_t){"", 0};
+}
+
+size_t leader_link_controls(const leader_link_t *l, str_t *out, size_t max)
+{
+	size_t n = l->n < max ? l->n : max;
+
+	for (size_t i = 0; i < n; i++)
+		out[i] = str_c(l->controls[i]);
+	return n;
+}
+
+bool leader_link_is_up(const leader_link_t *l)
+{
+	return l->up;
+}
+
+deadline_t leader_link_down_since(const leader_link_t *l)
+{
+	return l->up ? 0 : l->down_since;
+}
+
+static void send_msg(leader_link_t *l, const link_msg_t *m)
+{
+	AUTO_BUF b = {0};
+
+	wire_encode(&b, XDR_PROC(link_msg_t), m);
+	msgconn_send(l->link, str_buf(&b));
+	l->sent = clock_now_ms();
+}
+
+void leader_link_send(leader_link_t *l, const link_msg_t *m)
+{
+	if (l->up)
+		send_msg(l, m);
+}
+
+void leader_link_send_acked(leader_link_t *l, const link_msg_t *m)
+{
+	if (!l->up)
+		return;
+	send_msg(l, m);
+	if (!l->asked)
+		l->asked = l->sent;
+}
+
+static void greet(leader_link_t *l)
+{
+	link_msg_t m = {.kind = LINK_HELLO};
+
+	l->o.hello(l->o.ctx, &m.link_msg_t_u.hello);
+	send_msg(l, &m);
+}
+
+void leader_link_resend_hello(leader_link_t *l)
+{
+	if (l->up)
+		greet(l);
+}
+
+static void end_call(leader_link_t *l, call_t *c, const link_reply_t *r)
+{
+	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+	HASH_DEL(l->calls, c);
+	if (c->reply)
+		c->reply(c->ctx, r, true);
+	free(c);
+}
+
+static void end_calls(leader_link_t *l, deadline_t due_by)
+{
+	call_t *c;
+	call_t *next;
+
+	HASH_ITER (hh, l->calls, c, next) {
+		if (c->deadline <= due_by)
+			end_call(l, c, NULL);
+	}
+}
+
+static void drop(leader_link_t *l, const char *reason)
+{
+	bool was_up = l->up;
+
+	if (l->link)
+		msgconn_close(l->link);
+	l->link = NULL;
+	l->up = false;
+	l->asked = 0;
+	l->retry_at = clock_now_ms() + RETRY_MS;
+	if (!was_up)
+		return;
+	l->down_since = clock_now_ms();
+	log_event(LOG_LEVEL_WARN, "leader_lost", LOG_CSTR("addr", l->addr),
+		  LOG_CSTR("reason", reason));
+	METRIC_INC("auburn_leader_lost_total");
+	l->o.down(l->o.ctx);
+	end_calls(l, DEADLINE_NEVER);
+}
+
+static void on_welcome(leader_link_t *l, const link_welcome_t *w)
+{
+	str_t leader = wire_str(w->leader);
+
+	if (!w->leads) {
+		leader_link_hint(l, leader);
+		drop(l, "doesn't lead");
+		return;
+	}
+	if (l->up)
+		return;
+	l->up = true;
+	log_event(LOG_LEVEL_INFO, "leader_found", LOG_CSTR("addr", l->addr),
+		  LOG_INT("after_ms", clock_now_ms() - l->down_since));
+	l->o.up(l->o.ctx);
+}
+
+static void on_reply(leader_link_t *l, const link_reply_t *r)
+{
+	uint64_t id = r->id;
+	call_t *c;
+
+	HASH_FIND(hh, l->calls, &id, sizeof(id), c);
+	if (c)
+		end_call(l, c, r);
+}
+
+static void on_message(void *ctx, msgconn_t *link, str_t s)
+{
+	leader_link_t *l = ctx;
+	link_msg_t m;
+
+	l->asked = 0;
+	if (wire_decode(s, XDR_PROC(link_msg_t), &m, sizeof(m)) != STATUS_OK) {
+		log_event(LOG_LEVEL_ERROR, "link_message_malformed", LOG_INT("bytes", s.n));
+		drop(l, "malformed message");
+	} else if (m.kind == LINK_WELCOME) {
+		on_welcome(l, &m.link_msg_t_u.welcome);
+	} else if (m.kind == LINK_REPLY) {
+		on_reply(l, &m.link_msg_t_u.reply);
+	} else if (m.kind != LINK_PING) {
+		l->o.message(l->o.ctx, &m);
+	}
+	wire_free(XDR_PROC(link_msg_t), &m);
+}
+
+static void on_closed(void *ctx, msgconn_t *link)
+{
+	leader_link_t *l = ctx;
+
+	l->link = NULL;
+	drop(l, "closed");
+}
+
+static void on_open(void *ctx, msgconn_t *link)
+{
+	greet(ctx);
+}
+
+static void try_next(leader_link_t *l)
+{
+	msgconn_options_t o = {l->o.loop, l, on_message, on_closed, on_open};
+
+	if (l->hint[0]) {
+		snprintf(l->rpc, sizeof(l->rpc), "%s", l->hint);
+		l->hint[0] = 0;
+	} else {
+		snprintf(l->rpc, sizeof(l->rpc), "%s", l->controls[l->next++ % l->n]);
+	}
+	l->tried = clock_now_ms();
+	l->retry_at = l->tried + RETRY_MS;
+	if (leader_link_make_addr(str_c(l->rpc), l->o.link_port, l->addr) == STATUS_OK)
+		l->link = msgconn_connect(l->addr, &o);
+}
+
+static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
+{
+	leader_link_t *l = w->data;
+	deadline_t now = clock_now_ms();
+	deadline_t seen;
+
+	/* What came during a pause of this process may not be read yet: it counts for no silence.
+	 */
+	seen = now < l->ticked + LEADER_LINK_TICK_MS ? now : l->ticked + LEADER_LINK_TICK_MS;
+	l->ticked = now;
+	end_calls(l, now);
+	if (l->idle)
+		return;
+	if (l->up && seen - msgconn_last_received(l->link) > LEADER_LINK_SILENCE_MS)
+		drop(l, "silent");
+	else if (l->up && l->asked && seen - l->asked > LEADER_LINK_ACK_MS &&
+		 seen - msgconn_last_received(l->link) > LEADER_LINK_ACK_MS)
+		drop(l, "no answer");
+	else if (l->link && !l->up && seen - l->tried > HELLO_MS)
+		drop(l, "no answer");
+	if (!l->link && now >= l->retry_at && l->n > 0)
+		try_next(l);
+	if (l->up && now - l->sent >= LEADER_LINK_PING_MS)
+		send_msg(l, &(link_msg_t){.kind = LINK_PING});
+}
+
+leader_link_t *leader_link_new(const leader_link_options_t *o)
+{
+	leader_link_t *l = mem_new(sizeof(*l));
+
+	l->o = *o;
+	l->down_since = clock_now_ms();
+	for (size_t i = 0; i < o->ncontrols; i++)
+		leader_link_add_control(l, str_c(o->controls[i]));
+	ev_timer_init(&l->tick, on_tick, 0.0, LEADER_LINK_TICK_MS / 1000.0);
+	ev_set_priority(&l->tick, EV_MINPRI); /* behind the reads of its turn */
+	l->tick.data = l;
+	ev_timer_start(o->loop, &l->tick);
+	return l;
+}
+
+void leader_link_set_idle(leader_link_t *l, bool idle)
+{
+	if (idle && !l->idle && l->link)
+		drop(l, "leads itself");
+	if (!idle && l->idle)
+		l->down_since = clock_now_ms();
+	l->idle = idle;
+}
+
+void leader_link_call(leader_link_t *l, link_call_arg_t *what, deadline_t deadline,
+		      leader_link_reply_t reply, void *ctx)
+{
+	link_msg_t m = {.kind = LINK_CALL};
+	call_t *c;
+
+	if (!l->up) {
+		reply(ctx, NULL, false);
+		return;
+	}
+	c = mem_new(sizeof(*c));
+	c->id = ++l->call_id;
+	c->deadline = deadline;
+	c->reply = reply;
+	c->ctx = ctx;
+	HASH_ADD(hh, l->calls, id, sizeof(c->id), c);
+	m.link_msg_t_u.call.id = c->id;
+	m.link_msg_t_u.call.what = *what;
+	send_msg(l, &m);
+}
--- a/src/client/rc.c
+++ b/src/client/routes_decode.c
@@ -1,8 +1,8 @@
-#include "client/rc.h"
+#include "client/routes_decode.h"
 
 #include <ctype.h>
-#include "platform/pf.h"
-#include "state/tx.h"
+#include "platform/platform.h"
+#include "state/config.h"
 
 /* The platform's texts are JSON objects; no TOML document begins with a brace. */
 static bool is_platforms(str_t text)
@@ -14,20 +14,20 @@
 	return i < text.n && text.p[i] == '{';
 }
 
-status_t rc_decode(str_t text, uint64_t number, ru_t **out)
+status_t routes_decode(str_t text, uint64_t number, route_table_t **out)
 {
-	tx_text_t *t = NULL;
+	config_t *t = NULL;
 	status_t st;
 
 	if (is_platforms(text))
-		return pf_conf_decode(text, out);
+		return platform_config_decode(text, out);
 	*out = NULL;
-	st = tx_parse(text, &t);
-	if (st == ST_OK) {
+	st = config_parse(text, &t);
+	if (st == STATUS_OK) {
 		*out = t->routes;
 		(*out)->version = number;
 		t->routes = NULL;
 	}
-	tx_free(t);
+	config_free(t);
 	return st;
 }
--- /dev/null
+++ b/src/client/upstream_list.c
@@ -0,0 +1,135 @@
+#include "client/upstream_list.h"
+
+#include "base/log.h"
+#include "base/metric.h"
+#include "net/timeout.h"
+#include "platform/platform.h"
+
+/** A read that takes longer, in ms, is given up: the next one follows a second later. */
+#define READ_MS	   1500
+#define CONNECT_MS 500
+/** Bytes of an answer to a call for one page: a page of some hundred replicas is below 100 KB. */
+#define PAGE_BYTES_MAX (4U << 20)
+/** Replicas of a whole list: several times those of the size designed for. */
+#define REPLICAS_MAX 20000
+
+struct ul {
+	upstream_list_options_t o;
+	http_call_t *call;
+	timeout_t timer;
+	link_view_t list;
+	buf_t cursor;
+	buf_t body;
+	int status;
+	bool failing;
+};
+
+static void stop(upstream_list_t *u)
+{
+	timeout_stop(&u->timer);
+	wire_free(XDR_PROC(link_view_t), &u->list);
+	u->list = (link_view_t){0};
+	u->call = NULL;
+}
+
+static void fail(upstream_list_t *u, const char *reason)
+{
+	METRIC_INC("auburn_list_reads_failed_total");
+	if (!u->failing)
+		log_event(LOG_LEVEL_WARN, "list_lost", LOG_CSTR("addr", u->o.addr),
+			  LOG_CSTR("reason", reason), LOG_INT("status", u->status));
+	u->failing = true;
+	stop(u);
+}
+
+static void read_page(upstream_list_t *u);
+
+static void on_end(void *ctx, http_call_end_t how)
+{
+	upstream_list_t *u = ctx;
+
+	u->call = NULL;
+	if (how != HTTP_CALL_DONE || u->status != 200) {
+		fail(u, how == HTTP_CALL_TOO_LONG ? "page too long"
+			: how == HTTP_CALL_DONE	  ? "refused"
+						  : "connection broken");
+		return;
+	}
+	if (platform_list_decode(str_buf(&u->body), &u->list, &u->cursor) != STATUS_OK) {
+		fail(u, status_message());
+		return;
+	}
+	if (u->list.upstreams.upstreams_len > REPLICAS_MAX) {
+		fail(u, "too many replicas");
+		return;
+	}
+	if (u->cursor.n) {
+		read_page(u);
+		return;
+	}
+	if (u->failing)
+		log_event(LOG_LEVEL_INFO, "list_regained", LOG_CSTR("addr", u->o.addr));
+	u->failing = false;
+	u->o.list(u->o.ctx, &u->list);
+	stop(u);
+}
+
+static bool on_head(void *ctx, const http_head_t *h)
+{
+	((upstream_list_t *)ctx)->status = h->status;
+	return true;
+}
+
+static void on_body(void *ctx, str_t piece)
+{
+	buf_add(&((upstream_list_t *)ctx)->body, piece);
+}
+
+static void read_page(upstream_list_t *u)
+{
+	AUTO_BUF req = {0};
+
+	platform_list_request(&req, str_c(u->o.addr), str_buf(&u->cursor));
+	u->body.n = 0;
+	u->status = 0;
+	u->call = http_call_start(u->o.http,
+				  &(http_call_options_t){
+					  .request = str_buf(&req),
+					  .addr = u->o.addr,
+					  /* A late copy of a page would be taken for the next. */
+					  .new_conn = true,
+					  .max_bytes = PAGE_BYTES_MAX,
+					  .connect_deadline = clock_now_ms() + CONNECT_MS,
+					  .ctx = u,
+					  .head = on_head,
+					  .body = on_body,
+					  .end = on_end,
+				  });
+}
+
+static void on_timer(void *ctx)
+{
+	upstream_list_t *u = ctx;
+
+	if (u->call)
+		http_call_cancel(u->call);
+	fail(u, "no answer");
+}
+
+upstream_list_t *upstream_list_new(const upstream_list_options_t *o)
+{
+	upstream_list_t *u = mem_new(sizeof(*u));
+
+	u->o = *o;
+	timeout_init(&u->timer, o->loop, on_timer, u);
+	return u;
+}
+
+void upstream_list_read(upstream_list_t *u)
+{
+	if (u->call)
+		return;
+	u->cursor.n = 0;
+	timeout_set(&u->timer, READ_MS);
+	read_page(u);
+}
--- a/src/control/cn.h
+++ b/src/control/control.h
@@ -1,22 +1,22 @@
 /** auburn-control: one replica of the durable state. What its files show each other. */
-#ifndef AUBURN_CN_H
-#define AUBURN_CN_H
+#ifndef AUBURN_CONTROL_H
+#define AUBURN_CONTROL_H
 
 #include <pthread.h>
 #include <stdatomic.h>
-#include "base/cf.h"
-#include "base/clk.h"
-#include "client/cc.h"
-#include "raft/gr.h"
-#include "state/fl.h"
-#include "state/ld.h"
-#include "state/lo.h"
-
-#define CN_GROUPS_MAX 65 /* group 0 and the ledger groups */
+#include "base/toml.h"
+#include "base/clock.h"
+#include "client/control_client.h"
+#include "raft/group.h"
+#include "state/fleet.h"
+#include "state/ledger.h"
+#include "state/lots.h"
+
+#define CONTROL_GROUPS_MAX 65 /* group 0 and the ledger groups */
 /** Added to a lease on the granting side for clocks that run at different rates. */
-#define CN_LEASE_MARGIN_MS 300
+#define CONTROL_LEASE_MARGIN_MS 300
 /** Control processes that may become voters, as the hub knows them. */
-#define CN_CANDIDATES_MAX 32
+#define CONTROL_CANDIDATES_MAX 32
 
 /** Settings of the process; times in ms. */
 typedef struct {
@@ -26,9 +26,9 @@
 	char *http; /* ip:port of /metrics, /healthz and /readyz; may be NULL */
 	char *data; /* folder */
 	char *platform; /* URL of the list of VMs; may be NULL */
-	cf_strs_t controls; /* addresses of the first control processes, own included */
-	cf_strs_t routes; /* "addr=via": an address that is reached another way */
-	cf_strs_t spares; /* addresses of control processes that may replace a lost one */
+	toml_strs_t controls; /* addresses of the first control processes, own included */
+	toml_strs_t addr_routes; /* "addr=via": an address that is reached another way */
+	toml_strs_t spares; /* addresses of control processes that may replace a lost one */
 	char *operators; /* ip:port for operators; may be NULL */
 	char *directory; /* ip:port for callers that look for an entry; may be NULL */
 	char *upstream_list; /* ip:port of the list of replicas; may be NULL */
@@ -48,92 +48,93 @@
 	int64_t platform_poll_ms;
 	int64_t snapshot_entries;
 	int64_t snapshot_mib;
-} cn_settings_t;
+} control_settings_t;
 
-status_t cn_settings_load(const char *path, cn_settings_t *s);
+status_t control_settings_load(const char *path, control_settings_t *s);
 
 /** One group: its log and the state machine behind it. */
 typedef struct {
-	unsigned n;
-	gr_t *gr;
+	unsigned number;
+	group_t *raft;
 	pthread_rwlock_t lock; /* guards fl or ld */
-	fl_t *fl; /* group 0 */
-	lo_t *lo; /* group 0 */
-	ld_t *ld; /* others */
-} cn_group_t;
+	fleet_state_t *fleet; /* group 0 */
+	lots_t *lots; /* group 0 */
+	ledger_t *ledger; /* others */
+} control_group_t;
 
 typedef struct {
-	cn_settings_t s;
+	control_settings_t settings;
 	unsigned ngroups;
-	cn_group_t *groups;
+	control_group_t *groups;
 	_Atomic bool ready; /* all groups are open */
 	_Atomic bool stopping;
 	_Atomic bool fresh; /* the data folder was new at start */
-	cc_t *cc; /* to the other control processes */
-	struct cn_peers *peers;
-	struct cn_sessions *sessions;
+	control_client_t *client; /* to the other control processes */
+	struct control_peers *peers;
+	struct control_sessions *sessions;
 	struct hub *hub; /* NULL without link_port */
-} cn_t;
+} control_t;
 
 /* cn_group.c */
-status_t cn_group_open(cn_t *cn, unsigned n, bool bootstrap);
+status_t control_group_open(control_t *cn, unsigned n, bool bootstrap);
 /** Reads the state under the lock, with no promise that it is the newest. */
-void cn_group_read(cn_group_t *g, void (*fn)(cn_group_t *g, void *arg), void *arg);
+void control_group_read(control_group_t *g, void (*fn)(control_group_t *g, void *arg), void *arg);
 /** Proposes a command of group 0 and decodes the answer. */
-status_t cn_fleet(cn_t *cn, const aw_fleet_cmd_t *cmd, aw_fleet_res_t *res, deadline_t deadline);
+status_t control_fleet_propose(control_t *cn, const wire_fleet_cmd_t *cmd, wire_fleet_res_t *res,
+			       deadline_t deadline);
 
 /* cn_peer.c: one sending thread for each other control process */
-struct cn_peers *cn_peers_new(cn_t *cn);
+struct control_peers *control_peers_new(control_t *cn);
 /** Queues a log message; drops the oldest when the peer is too slow. */
-void cn_peer_send(cn_t *cn, const char *addr, unsigned group, str_t msg);
+void control_peer_send(control_t *cn, const char *addr, unsigned group, str_t msg);
 
 /* cn_rpc.c */
-status_t cn_rpc_start(cn_t *cn);
+status_t control_rpc_start(control_t *cn);
 
 /* cn_session.c: leases of entries, soft state of the leader of group 0 */
-struct cn_sessions *cn_sessions_new(void);
-void cn_beat(cn_t *cn, const aw_beat_arg_t *arg, aw_beat_res_t *res);
+struct control_sessions *control_sessions_new(void);
+void control_heartbeat(control_t *cn, const wire_heartbeat_arg_t *arg, wire_heartbeat_res_t *res);
 /** True once the lease of the session has certainly ended. */
-bool cn_session_ended(cn_t *cn, uint64_t session, deadline_t led_since);
+bool control_session_expired(control_t *cn, uint64_t session, deadline_t led_since);
 
 /** True once the session's entry has said that it works by this view or a later one. */
-bool cn_session_seen(cn_t *cn, uint64_t session, uint64_t view_version);
+bool control_session_has_view(control_t *cn, uint64_t session, uint64_t view_version);
 
 /* cn_lead.c: the control thread's round while this process leads a group */
-void cn_lead_round(cn_t *cn);
+void control_leader_round(control_t *cn);
 
 /* cn_owner.c */
-void cn_owner_round(cn_t *cn);
+void control_owner_round(control_t *cn);
 
 /* cn_repair.c: replaces voters that are lost */
-void cn_repair_round(cn_t *cn, cn_group_t *g, const gr_status_t *st);
+void control_repair_round(control_t *cn, control_group_t *g, const group_status_t *st);
 
 /* cn_platform.c */
-void cn_platform_round(cn_t *cn);
+void control_platform_round(control_t *cn);
 
 /* cn_boot.c */
-typedef enum { CN_BOOT_MEMBER, CN_BOOT_NEW_FLEET, CN_BOOT_JOIN } cn_boot_t;
+typedef enum { CONTROL_BOOT_MEMBER, CONTROL_BOOT_NEW_FLEET, CONTROL_BOOT_JOIN } control_boot_t;
 /** Decides how to open the data folder; asks the other control processes when it is new. */
-cn_boot_t cn_boot_decide(cn_t *cn, bool bootstrap);
+control_boot_t control_boot_decide(control_t *cn, bool bootstrap);
 
 /** True when the operators want this replica of group 0 emptied. */
-bool cn_is_retired(cn_t *cn, uint64_t replica);
+bool control_is_retired(control_t *cn, uint64_t replica);
 /** Voters that group 0 is to have. */
-unsigned cn_voters(const cn_t *cn);
+unsigned control_voter_target(const control_t *cn);
 
 /* cn_hub.c */
-status_t cn_hub_start(cn_t *cn);
+status_t hub_start(control_t *cn);
 /** Further control processes that may lead; from any thread. */
-void cn_hub_add_controls(cn_t *cn, const cf_strs_t *addrs);
+void hub_add_controls(control_t *cn, const toml_strs_t *addrs);
 /** Control processes that are linked to this one while it leads; returns how many. */
-unsigned cn_hub_candidates(cn_t *cn, gr_peer_t out[CN_CANDIDATES_MAX]);
+unsigned hub_candidates(control_t *cn, group_peer_t out[CONTROL_CANDIDATES_MAX]);
 /** True while calls of operators, or look-ups, are under way. */
-bool cn_hub_busy(const cn_t *cn);
+bool hub_is_busy(const control_t *cn);
 
 /* cn_status.c */
-void cn_status_json(cn_t *cn, buf_t *out);
+void control_status_json(control_t *cn, buf_t *out);
 
 /* cn_http.c */
-status_t cn_http_start(cn_t *cn);
+status_t control_http_start(control_t *cn);
 
 #endif
--- a/src/control/cn_boot.c
+++ b/src/control/control_boot.c
@@ -1,31 +1,31 @@
 #include <jansson.h>
 #include <string.h>
 #include <sys/stat.h>
-#include "base/lg.h"
-#include "control/cn.h"
+#include "base/log.h"
+#include "control/control.h"
 
 #define ASK_MS	  1000
 #define RETRY_MS  200
 #define LOG_EVERY 50
 
-static bool folder_exists(cn_t *cn)
+static bool folder_exists(control_t *cn)
 {
 	AUTO_BUF path = {0};
 	struct stat sb;
 
-	buf_addf(&path, "%s/group-0", cn->s.data);
+	buf_addf(&path, "%s/group-0", cn->settings.data);
 	return stat(path.p, &sb) == 0;
 }
 
 /* "fresh", "seeded" or "member"; empty when the process doesn't answer. */
-static void ask_state(cn_t *cn, size_t i, char out[16])
+static void ask_state(control_t *cn, size_t i, char out[16])
 {
 	AUTO_BUF text = {0};
 	json_t *o;
 	const char *state;
 
 	out[0] = 0;
-	if (cc_status(cn->cc, i, &text, clk_now_ms() + ASK_MS) != ST_OK)
+	if (control_client_status(cn->client, i, &text, clock_now_ms() + ASK_MS) != STATUS_OK)
 		return;
 	o = json_loadb(text.p, text.n, 0, NULL);
 	state = json_string_value(json_object_get(o, "state"));
@@ -33,10 +33,10 @@
 	json_decref(o);
 }
 
-static bool is_founder(cn_t *cn)
+static bool is_founder(control_t *cn)
 {
-	for (size_t i = 0; i < cn->s.controls.n; i++) {
-		if (strcmp(cn->s.controls.v[i], cn->s.listen) == 0)
+	for (size_t i = 0; i < cn->settings.controls.n; i++) {
+		if (strcmp(cn->settings.controls.v[i], cn->settings.listen) == 0)
 			return true;
 	}
 	return false;
@@ -46,32 +46,33 @@
  * A VM that lost its disk must not vote again, so a new folder founds a fleet only when every other
  * control process was asked and none of them holds state. One that holds some: join it.
  */
-cn_boot_t cn_boot_decide(cn_t *cn, bool bootstrap)
+control_boot_t control_boot_decide(control_t *cn, bool bootstrap)
 {
 	if (folder_exists(cn))
-		return CN_BOOT_MEMBER;
+		return CONTROL_BOOT_MEMBER;
 	if (!bootstrap || !is_founder(cn))
-		return CN_BOOT_JOIN;
+		return CONTROL_BOOT_JOIN;
 	for (unsigned round = 0;; round++) {
 		size_t blank = 0;
 
-		for (size_t i = 0; i < cn->s.controls.n; i++) {
+		for (size_t i = 0; i < cn->settings.controls.n; i++) {
 			char state[16];
 
-			if (strcmp(cc_addr(cn->cc, i), cn->s.listen) == 0) {
+			if (strcmp(control_client_addr(cn->client, i), cn->settings.listen) == 0) {
 				blank++;
 				continue;
 			}
 			ask_state(cn, i, state);
 			if (strcmp(state, "member") == 0)
-				return CN_BOOT_JOIN;
+				return CONTROL_BOOT_JOIN;
 			blank += state[0] != 0;
 		}
-		if (blank == cn->s.controls.n)
-			return CN_BOOT_NEW_FLEET;
+		if (blank == cn->settings.controls.n)
+			return CONTROL_BOOT_NEW_FLEET;
 		if (round % LOG_EVERY == 0)
-			lg(LG_INFO, "waiting_for_founders", LG_I("answered", blank),
-			   LG_I("of", cn->s.controls.n));
-		clk_sleep_ms(RETRY_MS);
+			log_event(LOG_LEVEL_INFO, "waiting_for_founders",
+				  LOG_INT("answered", blank),
+				  LOG_INT("of", cn->settings.controls.n));
+		clock_sleep_ms(RETRY_MS);
 	}
 }
--- a/src/control/cn_http.c
+++ b/src/control/control_http.c
@@ -1,9 +1,9 @@
 #include <arpa/inet.h>
 #include <stdio.h>
 #include <ulfius.h>
-#include "base/mx.h"
-#include "base/rp.h"
-#include "control/cn.h"
+#include "base/metric.h"
+#include "base/rpc.h"
+#include "control/control.h"
 
 /* No endpoint reads a body. */
 #define BODY_MAX_BYTES 1024
@@ -13,15 +13,15 @@
 	char label[32];
 
 	snprintf(label, sizeof(label), "group=\"%u\"", group);
-	mx_set(mx_get(MX_GAUGE, name, label), v);
+	metric_set(metric_get(METRIC_GAUGE, name, label), v);
 }
 
-static void set_group_gauges(cn_t *cn)
+static void set_group_gauges(control_t *cn)
 {
 	for (unsigned n = 0; cn->ready && n < cn->ngroups; n++) {
-		gr_status_t st;
+		group_status_t st;
 
-		gr_status(cn->groups[n].gr, &st);
+		group_get_status(cn->groups[n].raft, &st);
 		set_gauge("auburn_group_leader", n, st.leader);
 		set_gauge("auburn_group_term", n, (int64_t)st.term);
 		set_gauge("auburn_group_applied", n, (int64_t)st.applied);
@@ -36,7 +36,7 @@
 	AUTO_BUF b = {0};
 
 	set_group_gauges(ctx);
-	mx_render(&b);
+	metric_render_all(&b);
 	ulfius_set_binary_body_response(res, 200, b.p, b.n);
 	u_map_put(res->map_header, "Content-Type", "text/plain; version=0.0.4");
 	return U_CALLBACK_COMPLETE;
@@ -48,12 +48,12 @@
 	return U_CALLBACK_COMPLETE;
 }
 
-static bool knows_leaders(cn_t *cn)
+static bool knows_leaders(control_t *cn)
 {
 	for (unsigned n = 0; cn->ready && n < cn->ngroups; n++) {
-		gr_status_t st;
+		group_status_t st;
 
-		gr_status(cn->groups[n].gr, &st);
+		group_get_status(cn->groups[n].raft, &st);
 		if (!st.leader_addr[0])
 			return false;
 	}
@@ -68,27 +68,27 @@
 	return U_CALLBACK_COMPLETE;
 }
 
-status_t cn_http_start(cn_t *cn)
+status_t control_http_start(control_t *cn)
 {
 	static struct _u_instance instance;
 	struct sockaddr_in sa = {.sin_family = AF_INET};
 	char ip[64];
 	unsigned port = 0;
 
-	if (!cn->s.http)
-		return ST_OK;
-	if (rp_split_addr(cn->s.http, ip, &port) != ST_OK ||
+	if (!cn->settings.http)
+		return STATUS_OK;
+	if (rpc_parse_addr(cn->settings.http, ip, &port) != STATUS_OK ||
 	    inet_pton(AF_INET, ip, &sa.sin_addr) != 1)
-		return ST_INVALID;
+		return STATUS_INVALID;
 	sa.sin_port = htons((uint16_t)port);
 	if (ulfius_init_instance(&instance, port, &sa, NULL) != U_OK)
-		return st_fail(ST_IO, "can't set up HTTP on %s", cn->s.http);
+		return status_fail(STATUS_IO, "can't set up HTTP on %s", cn->settings.http);
 	instance.max_post_body_size = BODY_MAX_BYTES;
 	instance.allowed_post_processor = U_POST_PROCESS_NONE;
 	ulfius_add_endpoint_by_val(&instance, "GET", "/metrics", NULL, 0, on_metrics, cn);
 	ulfius_add_endpoint_by_val(&instance, "GET", "/healthz", NULL, 0, on_health, cn);
 	ulfius_add_endpoint_by_val(&instance, "GET", "/readyz", NULL, 0, on_ready, cn);
 	if (ulfius_start_framework(&instance) != U_OK)
-		return st_fail(ST_IO, "can't listen on %s", cn->s.http);
-	return ST_OK;
+		return status_fail(STATUS_IO, "can't listen on %s", cn->settings.http);
+	return STATUS_OK;
 }
--- a/src/control/cn_peer.c
+++ b/src/control/control_peer.c
@@ -1,10 +1,10 @@
 #include <stdlib.h>
 #include <string.h>
-#include "base/mx.h"
-#include "base/rp.h"
-#include "control/cn.h"
+#include "base/metric.h"
+#include "base/rpc.h"
+#include "control/control.h"
 
-#define PEERS_MAX	  (2 * GR_PEERS_MAX)
+#define PEERS_MAX	  (2 * GROUP_PEERS_MAX)
 #define QUEUE_MAX	  4096
 #define BATCH_MAX	  512
 #define BATCH_MAX_BYTES	  (8 << 20)
@@ -19,8 +19,8 @@
 /* A ring of messages that wait, with the thread that sends them. */
 typedef struct {
 	char addr[64];
-	cn_t *cn;
-	rp_client_t *client;
+	control_t *cn;
+	rpc_client_t *client;
 	pthread_mutex_t lock;
 	pthread_cond_t wake;
 	queued_t queue[QUEUE_MAX];
@@ -28,15 +28,15 @@
 	size_t n;
 } peer_t;
 
-struct cn_peers {
+struct control_peers {
 	pthread_mutex_t lock;
 	peer_t *peers[PEERS_MAX];
 	size_t n;
 };
 
-struct cn_peers *cn_peers_new(cn_t *cn)
+struct control_peers *control_peers_new(control_t *cn)
 {
-	struct cn_peers *p = mem_new(sizeof(*p));
+	struct control_peers *p = mem_new(sizeof(*p));
 
 	pthread_mutex_init(&p->lock, NULL);
 	return p;
@@ -63,20 +63,20 @@
 
 static void send_batch(peer_t *p, queued_t *batch, size_t n)
 {
-	aw_raft_msg_t msgs[BATCH_MAX];
-	aw_raft_arg_t arg = {px_bytes(str_c(p->cn->s.listen)), {(u_int)n, msgs}};
+	wire_raft_msg_t msgs[BATCH_MAX];
+	wire_raft_arg_t arg = {wire_bytes(str_c(p->cn->settings.listen)), {(u_int)n, msgs}};
 	char none;
 	status_t st;
 
 	for (size_t i = 0; i < n; i++) {
 		msgs[i].group = batch[i].group;
-		msgs[i].payload = px_bytes(str_buf(&batch[i].msg));
+		msgs[i].payload = wire_bytes(str_buf(&batch[i].msg));
 	}
-	st = rp_call(p->client, AUBURN_RAFT, PX(aw_raft_arg_t), &arg, rp_xdr_void, &none,
-		     clk_now_ms() + SEND_TIMEOUT_MS);
-	if (st != ST_OK) {
-		MX_COUNT("auburn_log_send_failures_total");
-		clk_sleep_ms(RECONNECT_WAIT_MS);
+	st = rpc_client_call(p->client, AUBURN_RAFT, XDR_PROC(wire_raft_arg_t), &arg, rpc_xdr_void,
+			     &none, clock_now_ms() + SEND_TIMEOUT_MS);
+	if (st != STATUS_OK) {
+		METRIC_INC("auburn_log_send_failures_total");
+		clock_sleep_ms(RECONNECT_WAIT_MS);
 	}
 }
 
@@ -95,14 +95,14 @@
 	return NULL;
 }
 
-static peer_t *peer_start(cn_t *cn, const char *addr)
+static peer_t *peer_start(control_t *cn, const char *addr)
 {
 	peer_t *p = mem_new(sizeof(*p));
 	pthread_t t;
 
 	snprintf(p->addr, sizeof(p->addr), "%s", addr);
 	p->cn = cn;
-	p->client = rp_client_new(addr, AUBURN_CONTROL, AUBURN_CONTROL_V1);
+	p->client = rpc_client_new(addr, AUBURN_CONTROL, AUBURN_CONTROL_V1);
 	pthread_mutex_init(&p->lock, NULL);
 	pthread_cond_init(&p->wake, NULL);
 	if (pthread_create(&t, NULL, send_loop, p) != 0)
@@ -111,9 +111,9 @@
 	return p;
 }
 
-static peer_t *peer_of(cn_t *cn, const char *addr)
+static peer_t *peer_of(control_t *cn, const char *addr)
 {
-	struct cn_peers *ps = cn->peers;
+	struct control_peers *ps = cn->peers;
 	peer_t *p = NULL;
 
 	pthread_mutex_lock(&ps->lock);
@@ -129,7 +129,7 @@
 	return p;
 }
 
-void cn_peer_send(cn_t *cn, const char *addr, unsigned group, str_t msg)
+void control_peer_send(control_t *cn, const char *addr, unsigned group, str_t msg)
 {
 	peer_t *p = peer_of(cn, addr);
 	queued_t *q;
@@ -141,7 +141,7 @@
 		buf_free(&p->queue[p->head].msg);
 		p->head = (p->head + 1) % QUEUE_MAX;
 		p->n--;
-		MX_COUNT("auburn_log_messages_dropped_total");
+		METRIC_INC("auburn_log_messages_dropped_total");
 	}
 	q = &p->queue[(p->head + p->n++) % QUEUE_MAX];
 	q->group = group;
--- /dev/null
+++ b/src/control/control_platform.c
@@ -0,0 +1,164 @@
+#include <curl/curl.h>
+#include <jansson.h>
+#include <string.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "control/control.h"
+
+#define FETCH_MS	 1000
+#define PROPOSE_MS	 2000
+#define ANSWER_MAX_BYTES (8 << 20)
+#define UPSTREAMS_MAX	 10000
+
+static size_t on_body(char *p, size_t size, size_t n, void *ctx)
+{
+	buf_t *b = ctx;
+
+	if (b->n + size * n > ANSWER_MAX_BYTES)
+		return 0;
+	buf_add(b, (str_t){p, size * n});
+	return size * n;
+}
+
+static status_t fetch(const char *url, buf_t *out)
+{
+	CURL *c = curl_easy_init();
+	CURLcode rc;
+	long code = 0;
+
+	curl_easy_setopt(c, CURLOPT_URL, url);
+	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, (long)FETCH_MS);
+	curl_easy_setopt(c, CURLOPT_NOSIGNAL, 1L);
+	curl_easy_setopt(c, CURLOPT_NOPROXY, "*");
+	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(c, CURLOPT_WRITEDATA, out);
+	rc = curl_easy_perform(c);
+	curl_easy_getinfo(c, CURLINFO_RESPONSE_CODE, &code);
+	curl_easy_cleanup(c);
+	if (rc != CURLE_OK || code != 200)
+		return status_fail(STATUS_UNAVAILABLE, "platform: %s, status %ld",
+				   curl_easy_strerror(rc), code);
+	return STATUS_OK;
+}
+
+static bool text_of(const json_t *o, const char *key, wire_bytes_t *out)
+{
+	const char *v = json_string_value(json_object_get(o, key));
+
+	if (v && *v)
+		*out = wire_copy(str_c(v));
+	return v && *v;
+}
+
+static bool read_vm(const json_t *o, wire_upstream_t *u)
+{
+	const char *state = json_string_value(json_object_get(o, "state"));
+
+	u->state =
+		state && strcmp(state, "leaving") == 0 ? WIRE_UPSTREAM_LEAVING : WIRE_UPSTREAM_LIVE;
+	return text_of(o, "id", &u->id) && text_of(o, "addr", &u->addr) &&
+	       text_of(o, "zone", &u->zone) && text_of(o, "service", &u->service);
+}
+
+static status_t parse(str_t body, wire_fleet_cmd_t *cmd)
+{
+	json_t *root = json_loadb(body.p, body.n, 0, NULL);
+	json_t *vms = json_object_get(root, "vms");
+	size_t n = json_array_size(vms);
+	status_t st = STATUS_OK;
+
+	cmd->kind = WIRE_FLEET_UPSTREAMS;
+	if (!json_is_array(vms) || n > UPSTREAMS_MAX) {
+		json_decref(root);
+		return status_fail(STATUS_INVALID, "the platform's list can't be read");
+	}
+	cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val =
+		mem_new((n + 1) * sizeof(wire_upstream_t));
+	cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len = (u_int)n;
+	for (size_t i = 0; i < n && st == STATUS_OK; i++) {
+		if (!read_vm(json_array_get(vms, i),
+			     &cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]))
+			st = status_fail(STATUS_INVALID,
+					 "VM %zu of the platform's list lacks a field", i);
+	}
+	json_decref(root);
+	return st;
+}
+
+typedef struct {
+	const wire_fleet_cmd_t *cmd;
+	bool differs;
+} compare_t;
+
+static bool same_upstream(const wire_upstream_t *a, const wire_upstream_t *b)
+{
+	return str_eq(wire_str(a->id), wire_str(b->id)) &&
+	       str_eq(wire_str(a->addr), wire_str(b->addr)) &&
+	       str_eq(wire_str(a->zone), wire_str(b->zone)) &&
+	       str_eq(wire_str(a->service), wire_str(b->service)) && a->state == b->state;
+}
+
+static bool listed(const wire_view_t *v, const wire_upstream_t *u)
+{
+	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
+		if (same_upstream(&v->upstreams.upstreams_val[i], u))
+			return true;
+	}
+	return false;
+}
+
+static void compare(control_group_t *g, void *arg)
+{
+	compare_t *c = arg;
+	wire_query_t q = {.kind = WIRE_QUERY_VIEW};
+	wire_query_res_t res = {0};
+	u_int n = c->cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len;
+	u_int known = 0;
+
+	fleet_query(g->fleet, &q, &res);
+	for (u_int i = 0; i < res.view.upstreams.upstreams_len; i++)
+		known += res.view.upstreams.upstreams_val[i].state != WIRE_UPSTREAM_GONE;
+	c->differs = known != n;
+	for (u_int i = 0; i < n && !c->differs; i++)
+		c->differs =
+			!listed(&res.view, &c->cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]);
+	wire_free(XDR_PROC(wire_query_res_t), &res);
+}
+
+/* An empty list after a full one is more likely a fault of the platform than an empty fleet. */
+static bool is_plausible(const wire_fleet_cmd_t *cmd)
+{
+	return cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len > 0;
+}
+
+void control_platform_round(control_t *cn)
+{
+	static deadline_t next;
+	AUTO_BUF body = {0};
+	wire_fleet_cmd_t cmd = {0};
+	wire_fleet_res_t res = {0};
+	compare_t c = {&cmd, false};
+	status_t st;
+
+	if (!cn->settings.platform || clock_now_ms() < next)
+		return;
+	next = clock_now_ms() + cn->settings.platform_poll_ms;
+	st = fetch(cn->settings.platform, &body);
+	if (st == STATUS_OK)
+		st = parse(str_buf(&body), &cmd);
+	if (st != STATUS_OK) {
+		log_event(LOG_LEVEL_WARN, "platform_unread", LOG_CSTR("what", status_message()));
+		METRIC_INC("auburn_platform_failures_total");
+	} else if (is_plausible(&cmd)) {
+		control_group_read(&cn->groups[0], compare, &c);
+	}
+	if (c.differs) {
+		st = control_fleet_propose(cn, &cmd, &res, clock_now_ms() + PROPOSE_MS);
+		log_event(LOG_LEVEL_INFO, "upstreams_changed",
+			  LOG_INT("count", cmd.wire_fleet_cmd_t_u.upstreams.upstreams_len),
+			  LOG_CSTR("status", status_name(st)));
+	}
+	wire_free(XDR_PROC(wire_fleet_res_t), &res);
+	if (cmd.kind)
+		wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
+}
--- a/src/control/cn_session.c
+++ b/src/control/control_session.c
@@ -1,7 +1,7 @@
 #include <stdlib.h>
 #include <uthash.h>
-#include "base/mx.h"
-#include "control/cn.h"
+#include "base/metric.h"
+#include "control/control.h"
 
 #define BEAT_MAX_MS 1000
 
@@ -14,20 +14,20 @@
 	UT_hash_handle hh;
 } heard_t;
 
-struct cn_sessions {
+struct control_sessions {
 	pthread_mutex_t lock;
 	heard_t *by_session;
 };
 
-struct cn_sessions *cn_sessions_new(void)
+struct control_sessions *control_sessions_new(void)
 {
-	struct cn_sessions *s = mem_new(sizeof(*s));
+	struct control_sessions *s = mem_new(sizeof(*s));
 
 	pthread_mutex_init(&s->lock, NULL);
 	return s;
 }
 
-static heard_t *find_heard(struct cn_sessions *s, uint64_t session)
+static heard_t *find_heard(struct control_sessions *s, uint64_t session)
 {
 	heard_t *h;
 
@@ -35,7 +35,7 @@
 	return h;
 }
 
-static void note_heard(struct cn_sessions *s, uint64_t session, deadline_t at,
+static void note_heard(struct control_sessions *s, uint64_t session, deadline_t at,
 		       uint64_t view_version)
 {
 	heard_t *h;
@@ -54,9 +54,9 @@
 	pthread_mutex_unlock(&s->lock);
 }
 
-bool cn_session_ended(cn_t *cn, uint64_t session, deadline_t led_since)
+bool control_session_expired(control_t *cn, uint64_t session, deadline_t led_since)
 {
-	struct cn_sessions *s = cn->sessions;
+	struct control_sessions *s = cn->sessions;
 	deadline_t heard = led_since;
 	heard_t *h;
 
@@ -66,12 +66,12 @@
 	if (h && h->heard > heard)
 		heard = h->heard;
 	pthread_mutex_unlock(&s->lock);
-	return clk_now_ms() > heard + cn->s.lease_ms + CN_LEASE_MARGIN_MS;
+	return clock_now_ms() > heard + cn->settings.lease_ms + CONTROL_LEASE_MARGIN_MS;
 }
 
-bool cn_session_seen(cn_t *cn, uint64_t session, uint64_t view_version)
+bool control_session_has_view(control_t *cn, uint64_t session, uint64_t view_version)
 {
-	struct cn_sessions *s = cn->sessions;
+	struct control_sessions *s = cn->sessions;
 	heard_t *h;
 	bool seen;
 
@@ -83,51 +83,51 @@
 }
 
 typedef struct {
-	const aw_member_t *member;
+	const wire_member_t *member;
 	uint64_t session;
 	uint64_t conf_number;
 	uint64_t view_version;
 } look_t;
 
-static void look_up(cn_group_t *g, void *arg)
+static void look_up(control_group_t *g, void *arg)
 {
 	look_t *l = arg;
 
-	l->session = fl_session_of(g->fl, px_str(l->member->name), l->member->boot);
-	l->conf_number = fl_conf_number(g->fl);
-	l->view_version = fl_view_version(g->fl);
+	l->session = fleet_find_session(g->fleet, wire_str(l->member->name), l->member->boot);
+	l->conf_number = fleet_config_number(g->fleet);
+	l->view_version = fleet_view_version(g->fleet);
 }
 
-static status_t propose(cn_t *cn, const aw_fleet_cmd_t *cmd)
+static status_t propose(control_t *cn, const wire_fleet_cmd_t *cmd)
 {
-	aw_fleet_res_t res;
-	status_t st = cn_fleet(cn, cmd, &res, clk_now_ms() + BEAT_MAX_MS);
+	wire_fleet_res_t res;
+	status_t st = control_fleet_propose(cn, cmd, &res, clock_now_ms() + BEAT_MAX_MS);
 
-	if (st == ST_OK)
+	if (st == STATUS_OK)
 		st = (status_t)res.status;
-	px_free(PX(aw_fleet_res_t), &res);
+	wire_free(XDR_PROC(wire_fleet_res_t), &res);
 	return st;
 }
 
-static status_t open_session(cn_t *cn, const aw_member_t *m)
+static status_t open_session(control_t *cn, const wire_member_t *m)
 {
-	aw_fleet_cmd_t cmd = {.kind = AW_FLEET_SESSION_OPEN};
+	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_SESSION_OPEN};
 
-	cmd.aw_fleet_cmd_t_u.open = *m;
+	cmd.wire_fleet_cmd_t_u.open = *m;
 	return propose(cn, &cmd);
 }
 
-static status_t drain_session(cn_t *cn, uint64_t session)
+static status_t drain_session(control_t *cn, uint64_t session)
 {
-	aw_fleet_cmd_t cmd = {.kind = AW_FLEET_SESSION_DRAIN};
+	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_SESSION_DRAIN};
 
-	cmd.aw_fleet_cmd_t_u.drain = session;
+	cmd.wire_fleet_cmd_t_u.drain = session;
 	return propose(cn, &cmd);
 }
 
-static status_t drain_once(cn_t *cn, uint64_t session)
+static status_t drain_once(control_t *cn, uint64_t session)
 {
-	struct cn_sessions *s = cn->sessions;
+	struct control_sessions *s = cn->sessions;
 	status_t st;
 	heard_t *h;
 	bool drained;
@@ -137,39 +137,39 @@
 	drained = h && h->drained;
 	pthread_mutex_unlock(&s->lock);
 	if (drained)
-		return ST_OK;
+		return STATUS_OK;
 	st = drain_session(cn, session);
 	pthread_mutex_lock(&s->lock);
 	h = find_heard(s, session);
 	if (h)
-		h->drained = st == ST_OK;
+		h->drained = st == STATUS_OK;
 	pthread_mutex_unlock(&s->lock);
 	return st;
 }
 
-void cn_beat(cn_t *cn, const aw_beat_arg_t *arg, aw_beat_res_t *res)
+void control_heartbeat(control_t *cn, const wire_heartbeat_arg_t *arg, wire_heartbeat_res_t *res)
 {
-	deadline_t received = clk_now_ms();
-	cn_group_t *g = &cn->groups[0];
+	deadline_t received = clock_now_ms();
+	control_group_t *g = &cn->groups[0];
 	look_t l = {.member = &arg->member};
-	status_t st = gr_barrier(g->gr, received + BEAT_MAX_MS);
+	status_t st = group_read_barrier(g->raft, received + BEAT_MAX_MS);
 
-	if (st == ST_OK) {
-		cn_group_read(g, look_up, &l);
+	if (st == STATUS_OK) {
+		control_group_read(g, look_up, &l);
 		if (!l.session && arg->member.session == 0)
 			st = open_session(cn, &arg->member);
 		else if (l.session && arg->member.draining)
 			st = drain_once(cn, l.session);
-		cn_group_read(g, look_up, &l);
+		control_group_read(g, look_up, &l);
 	}
 	res->status = (int)st;
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return;
 	if (l.session)
 		note_heard(cn->sessions, l.session, received, arg->view_version);
 	res->session = l.session;
-	res->lease_ms = l.session ? (u_int)cn->s.lease_ms : 0;
+	res->lease_ms = l.session ? (u_int)cn->settings.lease_ms : 0;
 	res->conf_number = l.conf_number;
 	res->view_version = l.view_version;
-	MX_COUNT("auburn_heartbeats_total");
+	METRIC_INC("auburn_heartbeats_total");
 }
--- /dev/null
+++ b/src/control/hub.c
@@ -0,0 +1,542 @@
+/* The hub's thread: links, roles, and calls that others make on this process. */
+#include "control/hub.h"
+
+#include <stdlib.h>
+#include <string.h>
+#include <utlist.h>
+#include "base/log.h"
+#include "net/tcp.h"
+
+/** A linked process that says nothing for this long, in ms, is taken for lost. */
+#define PEER_SILENT_MS 700
+/** A new leader's first barrier may take this long, in ms. */
+#define BARRIER_MS   2000
+#define CALL_THREADS 3
+/** Control processes that aren't linked are told who leads on this period, in ms. */
+#define ANNOUNCE_MS 500
+
+hub_peer_t *hub_peer(hub_t *h, uint64_t id)
+{
+	hub_peer_t *p;
+
+	HASH_FIND(hh, h->peers, &id, sizeof(id), p);
+	return p;
+}
+
+void hub_send(hub_peer_t *p, const link_msg_t *m)
+{
+	AUTO_BUF b = {0};
+
+	wire_encode(&b, XDR_PROC(link_msg_t), m);
+	msgconn_send(p->link, str_buf(&b));
+	p->last_sent = clock_now_ms();
+}
+
+void hub_reply(hub_t *h, const hub_origin_t *to, link_reply_t *r)
+{
+	link_msg_t m = {.kind = LINK_REPLY};
+	hub_peer_t *p;
+
+	if (to->reply) {
+		to->reply(to->ctx, r);
+		return;
+	}
+	p = hub_peer(h, to->peer);
+	if (!p)
+		return;
+	r->id = to->call_id;
+	m.link_msg_t_u.reply = *r;
+	hub_send(p, &m);
+}
+
+void hub_reply_status(hub_t *h, const hub_origin_t *to, status_t st)
+{
+	link_reply_t r = {.status = (int)st};
+
+	if (st != STATUS_OK)
+		r.message = wire_bytes(str_c(status_message()));
+	hub_reply(h, to, &r);
+}
+
+void hub_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what)
+{
+	if (h->role != HUB_LEADER)
+		hub_reply_status(h, from,
+				 status_fail(STATUS_UNAVAILABLE, "this process doesn't lead"));
+	else if (what->kind == LINK_CALL_CONFIG_SUBMIT || what->kind == LINK_CALL_CONFIG_GET)
+		hub_config_handle_call(h, from, what);
+	else if (what->kind == LINK_CALL_RETIRE || what->kind == LINK_CALL_RETIRE_STATUS)
+		hub_retire_handle_call(h, from, what);
+	else
+		hub_lots_handle_call(h, from, what);
+}
+
+/* ---- candidates for votes ---- */
+
+static void note_candidates(hub_t *h)
+{
+	pthread_mutex_lock(&h->lock);
+	h->ncandidates = 0;
+	for (hub_peer_t *p = h->peers; p; p = p->hh.next) {
+		group_peer_t *c = &h->candidates[h->ncandidates];
+
+		if (!p->rpc_addr[0] || !p->replica || h->ncandidates == CONTROL_CANDIDATES_MAX)
+			continue;
+		*c = (group_peer_t){.id = p->replica};
+		snprintf(c->addr, sizeof(c->addr), "%s", p->rpc_addr);
+		snprintf(c->zone, sizeof(c->zone), "%s", p->zone);
+		h->ncandidates++;
+	}
+	pthread_mutex_unlock(&h->lock);
+}
+
+unsigned hub_candidates(control_t *cn, group_peer_t out[CONTROL_CANDIDATES_MAX])
+{
+	hub_t *h = cn->hub;
+	unsigned n;
+
+	pthread_mutex_lock(&h->lock);
+	n = h->ncandidates;
+	memcpy(out, h->candidates, n * sizeof(*out));
+	pthread_mutex_unlock(&h->lock);
+	return n;
+}
+
+bool hub_is_busy(const control_t *cn)
+{
+	return cn->hub->busy;
+}
+
+/* ---- links ---- */
+
+static void peer_drop(hub_peer_t *p, const char *reason)
+{
+	hub_t *h = p->hub;
+
+	HASH_DEL(h->peers, p);
+	if (p->registered)
+		log_event(LOG_LEVEL_INFO, "peer_lost", LOG_CSTR("peer", p->name),
+			  LOG_CSTR("reason", reason));
+	hub_routes_remove_peer(h, p);
+	if (h->dispatch)
+		dispatch_entry_remove(h->dispatch, p->id, clock_now_ms());
+	h->view_changed = true;
+	free(p);
+	note_candidates(h);
+}
+
+static void on_closed(void *ctx, msgconn_t *l)
+{
+	peer_drop(msgconn_data(l), "closed");
+}
+
+static void copy(char *out, size_t size, wire_bytes_t b)
+{
+	snprintf(out, size, "%.*s", STR_ARG(wire_str(b)));
+}
+
+static void welcome(hub_t *h, hub_peer_t *p)
+{
+	link_msg_t m = {.kind = LINK_WELCOME};
+	group_status_t st;
+
+	group_get_status(h->control->groups[0].raft, &st);
+	m.link_msg_t_u.welcome.leads = h->role == HUB_LEADER;
+	m.link_msg_t_u.welcome.leader = st.leader ? wire_bytes(STR(""))
+					: st.leader_addr[0]
+						? wire_bytes(str_c(st.leader_addr))
+						: wire_bytes(leader_link_leader(h->leader_link));
+	hub_send(p, &m);
+}
+
+static void on_hello(hub_t *h, hub_peer_t *p, const link_hello_t *m)
+{
+	bool first = !p->registered;
+
+	copy(p->name, sizeof(p->name), m->name);
+	copy(p->addr, sizeof(p->addr), m->addr);
+	copy(p->zone, sizeof(p->zone), m->zone);
+	copy(p->rpc_addr, sizeof(p->rpc_addr), m->control);
+	p->replica = m->replica;
+	p->draining = m->draining;
+	if (first)
+		welcome(h, p);
+	if (h->role != HUB_LEADER)
+		return;
+	if (first)
+		log_event(LOG_LEVEL_INFO, "peer_linked", LOG_CSTR("peer", p->name),
+			  LOG_CSTR("zone", p->zone), LOG_INT("runs", m->runs.runs_len));
+	else if (p->draining)
+		log_event(LOG_LEVEL_INFO, "peer_draining", LOG_CSTR("peer", p->name));
+	p->registered = true;
+	h->view_changed = true;
+	note_candidates(h);
+	hub_dispatch_hello(h, p, m);
+	hub_routes_add_peer(h, p, &m->text);
+	if (first)
+		hub_view_send(h, p);
+}
+
+static void on_message(void *ctx, msgconn_t *l, str_t s)
+{
+	hub_t *h = ctx;
+	hub_peer_t *p = msgconn_data(l);
+	link_msg_t m;
+
+	if (wire_decode(s, XDR_PROC(link_msg_t), &m, sizeof(m)) != STATUS_OK) {
+		log_event(LOG_LEVEL_ERROR, "link_message_malformed", LOG_CSTR("peer", p->name),
+			  LOG_INT("bytes", s.n));
+		peer_drop(p, "malformed message");
+		msgconn_close(l);
+	} else if (m.kind == LINK_HELLO) {
+		on_hello(h, p, &m.link_msg_t_u.hello);
+	} else if (m.kind == LINK_WELCOME) {
+		leader_link_hint(h->leader_link, wire_str(m.link_msg_t_u.welcome.leader));
+	} else if (m.kind == LINK_CALL) {
+		hub_origin_t from = {.peer = p->id, .call_id = m.link_msg_t_u.call.id};
+
+		hub_handle_call(h, &from, &m.link_msg_t_u.call.what);
+	} else if (m.kind == LINK_CONFIG_IN_FORCE) {
+		hub_routes_ack(h, p, &m.link_msg_t_u.holds);
+	} else if (m.kind != LINK_PING && h->role == HUB_LEADER && p->registered) {
+		hub_dispatch_message(h, p, &m);
+	}
+	wire_free(XDR_PROC(link_msg_t), &m);
+}
+
+static void on_accept(struct ev_loop *loop, ev_io *w, int events)
+{
+	hub_t *h = w->data;
+	msgconn_options_t o = {loop, h, on_message, on_closed, NULL};
+	int fd;
+
+	while ((fd = tcp_accept(h->listener)) >= 0) {
+		hub_peer_t *p = mem_new(sizeof(*p));
+
+		p->hub = h;
+		p->id = ++h->peer_id;
+		p->link = msgconn_from_fd(fd, &o);
+		msgconn_set_data(p->link, p);
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		HASH_ADD(hh, h->peers, id, sizeof(p->id), p);
+	}
+}
+
+/* seen: until when what has come is read; what came during a pause of this process may not be. */
+static void watch_links(hub_t *h, deadline_t now, deadline_t seen)
+{
+	hub_peer_t *p;
+	hub_peer_t *next;
+
+	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+	HASH_ITER (hh, h->peers, p, next) {
+		if (seen - msgconn_last_received(p->link) > PEER_SILENT_MS) {
+			msgconn_t *l = p->link;
+
+			peer_drop(p, "silent");
+			msgconn_close(l);
+		} else if (now - p->last_sent >= LEADER_LINK_PING_MS) {
+			hub_send(p, &(link_msg_t){.kind = LINK_PING});
+		}
+	}
+}
+
+static void drop_links(hub_t *h)
+{
+	hub_peer_t *p;
+	hub_peer_t *next;
+
+	HASH_ITER (hh, h->peers, p, next) {
+		msgconn_t *l = p->link;
+
+		peer_drop(p, "no longer leads");
+		msgconn_close(l);
+	}
+}
+
+/* ---- announcements ---- */
+
+/*
+ * Entries that have restarted know only the seeds. When these aren't members, because they were
+ * replaced or lost their disks, nobody tells them who leads: so the leader does.
+ */
+static void announce_closed(void *ctx, msgconn_t *l)
+{
+	hub_t *h = ctx;
+
+	for (size_t i = 0; i < h->nannounce_links; i++) {
+		if (h->announce_links[i] == l)
+			h->announce_links[i] = NULL;
+	}
+}
+
+static void announce_message(void *ctx, msgconn_t *l, str_t s)
+{
+}
+
+static void announce_open(void *ctx, msgconn_t *l)
+{
+	hub_t *h = ctx;
+	link_msg_t m = {.kind = LINK_WELCOME};
+	AUTO_BUF b = {0};
+
+	m.link_msg_t_u.welcome.leads = true;
+	m.link_msg_t_u.welcome.leader = wire_bytes(str_c(h->control->settings.listen));
+	wire_encode(&b, XDR_PROC(link_msg_t), &m);
+	msgconn_send(l, str_buf(&b));
+}
+
+static bool is_linked(hub_t *h, str_t control)
+{
+	for (hub_peer_t *p = h->peers; p; p = p->hh.next) {
+		if (str_eq(str_c(p->rpc_addr), control))
+			return true;
+	}
+	return str_eq(str_c(h->control->settings.listen), control);
+}
+
+static void announce_end(hub_t *h)
+{
+	for (size_t i = 0; i < h->nannounce_links; i++) {
+		if (h->announce_links[i])
+			msgconn_close(h->announce_links[i]);
+	}
+	h->nannounce_links = 0;
+}
+
+static void announce(hub_t *h, deadline_t now)
+{
+	msgconn_options_t o = {h->loop, h, announce_message, announce_closed, announce_open};
+	str_t controls[HUB_ANNOUNCE_MAX];
+	size_t n;
+
+	if (now < h->next_announce)
+		return;
+	h->next_announce = now + ANNOUNCE_MS;
+	announce_end(h);
+	n = leader_link_controls(h->leader_link, controls, HUB_ANNOUNCE_MAX);
+	for (size_t i = 0; i < n; i++) {
+		char addr[LEADER_LINK_ADDR_BYTES];
+
+		if (is_linked(h, controls[i]) ||
+		    leader_link_make_addr(controls[i], (unsigned)h->control->settings.link_port,
+					  addr) != STATUS_OK)
+			continue;
+		h->announce_links[h->nannounce_links] = msgconn_connect(addr, &o);
+		h->nannounce_links += h->announce_links[h->nannounce_links] != NULL;
+	}
+}
+
+/* ---- roles ---- */
+
+static void lead_begin(hub_t *h)
+{
+	log_event(LOG_LEVEL_INFO, "dispatch_begins", LOG_INT("term", h->term));
+	leader_link_set_idle(h->leader_link, true);
+	hub_routes_start_leading(h);
+	hub_dispatch_start_leading(h);
+	hub_view_start_leading(h);
+}
+
+static void lead_end(hub_t *h)
+{
+	bool led = h->role == HUB_LEADER;
+
+	h->role = HUB_FOLLOWER;
+	if (!led)
+		return;
+	log_event(LOG_LEVEL_WARN, "dispatch_ends", LOG_INT("term", h->term));
+	announce_end(h);
+	hub_lots_stop_leading(h);
+	hub_dispatch_stop_leading(h);
+	hub_routes_stop_leading(h);
+	drop_links(h);
+	leader_link_set_idle(h->leader_link, false);
+}
+
+typedef struct {
+	worker_task_t job;
+	hub_t *h;
+	uint64_t term;
+	status_t st;
+} start_t;
+
+static void start_work(worker_task_t *j)
+{
+	start_t *s = (start_t *)j;
+
+	s->st = group_read_barrier(s->h->control->groups[0].raft, clock_now_ms() + BARRIER_MS);
+}
+
+static void start_done(worker_task_t *j)
+{
+	start_t *s = (start_t *)j;
+	hub_t *h = s->h;
+
+	if (h->role == HUB_STARTING && h->term == s->term) {
+		h->role = s->st == STATUS_OK ? HUB_LEADER : HUB_FOLLOWER;
+		if (h->role == HUB_LEADER)
+			lead_begin(h);
+	}
+	free(s);
+}
+
+static void check_role(hub_t *h)
+{
+	group_status_t st;
+	start_t *s;
+
+	group_get_status(h->control->groups[0].raft, &st);
+	if (h->role != HUB_FOLLOWER && (!st.leader || st.term != h->term))
+		lead_end(h);
+	if (h->role != HUB_FOLLOWER || !st.leader)
+		return;
+	h->role = HUB_STARTING;
+	h->term = st.term;
+	s = mem_new(sizeof(*s));
+	*s = (start_t){.job = {start_work, start_done, NULL}, .h = h, .term = st.term};
+	worker_pool_submit(h->call_workers, &s->job);
+}
+
+static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
+{
+	hub_t *h = w->data;
+	deadline_t now = clock_now_ms();
+
+	h->busy = (h->operators && http_server_pending(h->operators)) ||
+		  (h->directory && http_server_pending(h->directory));
+	check_role(h);
+	watch_links(h, now, now < h->last_tick + HUB_TICK_MS ? now : h->last_tick + HUB_TICK_MS);
+	h->last_tick = now;
+	if (h->role != HUB_LEADER)
+		return;
+	announce(h, now);
+	hub_routes_tick(h, now);
+	hub_view_tick(h, now);
+	hub_lots_tick(h, now);
+	dispatch_tick(h->dispatch, now);
+}
+
+/* ---- the link to the leader ---- */
+
+typedef struct {
+	worker_task_t job;
+	hub_t *h;
+	char **addrs;
+	size_t n;
+} controls_t;
+
+static void controls_work(worker_task_t *j)
+{
+}
+
+static void controls_done(worker_task_t *j)
+{
+	controls_t *c = (controls_t *)j;
+
+	for (size_t i = 0; i < c->n; i++) {
+		leader_link_add_control(c->h->leader_link, str_c(c->addrs[i]));
+		free(c->addrs[i]);
+	}
+	free(c->addrs);
+	free(c);
+}
+
+void hub_add_controls(control_t *cn, const toml_strs_t *addrs)
+{
+	controls_t *c = mem_new(sizeof(*c));
+
+	c->job = (worker_task_t){controls_work, controls_done, NULL};
+	c->h = cn->hub;
+	c->n = addrs->n;
+	c->addrs = mem_new((addrs->n + 1) * sizeof(*c->addrs));
+	for (size_t i = 0; i < addrs->n; i++)
+		c->addrs[i] = str_dup(str_c(addrs->v[i]));
+	worker_pool_submit(cn->hub->call_workers, &c->job);
+}
+
+static void fill_hello(void *ctx, link_hello_t *out)
+{
+	hub_t *h = ctx;
+	group_status_t st;
+
+	group_get_status(h->control->groups[0].raft, &st);
+	*out = (link_hello_t){
+		.name = wire_bytes(str_c(h->control->settings.name)),
+		.zone = wire_bytes(str_c(h->control->settings.zone)),
+		.control = wire_bytes(str_c(h->control->settings.listen)),
+		.replica = st.self,
+	};
+}
+
+static void on_leader_message(void *ctx, const link_msg_t *m)
+{
+	hub_t *h = ctx;
+
+	if (m->kind == LINK_VIEW)
+		hub_view_adopt(h, &m->link_msg_t_u.view);
+}
+
+static void on_link_change(void *ctx)
+{
+}
+
+static void *run(void *arg)
+{
+	hub_t *h = arg;
+
+	ev_run(h->loop, 0);
+	return NULL;
+}
+
+static status_t listen_links(hub_t *h)
+{
+	char addr[LEADER_LINK_ADDR_BYTES];
+
+	if (leader_link_make_addr(str_c(h->control->settings.listen),
+				  (unsigned)h->control->settings.link_port, addr) != STATUS_OK)
+		return STATUS_INVALID;
+	h->listener = tcp_listen(addr);
+	if (h->listener < 0)
+		return STATUS_IO;
+	ev_io_init(&h->accept_watcher, on_accept, h->listener, EV_READ);
+	h->accept_watcher.data = h;
+	ev_io_start(h->loop, &h->accept_watcher);
+	return STATUS_OK;
+}
+
+status_t hub_start(control_t *cn)
+{
+	hub_t *h = mem_new(sizeof(*h));
+	pthread_t t;
+
+	h->control = cn;
+	h->loop = ev_loop_new(EVFLAG_AUTO);
+	pthread_mutex_init(&h->lock, NULL);
+	h->http = http_client_new(h->loop);
+	h->commit_worker = worker_pool_new(h->loop, 1);
+	h->call_workers = worker_pool_new(h->loop, CALL_THREADS);
+	h->leader_link = leader_link_new(&(leader_link_options_t){
+		.loop = h->loop,
+		.controls = (const char *const *)cn->settings.controls.v,
+		.ncontrols = cn->settings.controls.n,
+		.link_port = (unsigned)cn->settings.link_port,
+		.ctx = h,
+		.hello = fill_hello,
+		.message = on_leader_message,
+		.up = on_link_change,
+		.down = on_link_change,
+	});
+	hub_view_init(h);
+	if (listen_links(h) != STATUS_OK || hub_http_start(h) != STATUS_OK)
+		return STATUS_IO;
+	ev_timer_init(&h->tick, on_tick, 0.0, HUB_TICK_MS / 1000.0);
+	ev_set_priority(&h->tick, EV_MINPRI); /* behind the reads of its turn */
+	h->tick.data = h;
+	ev_timer_start(h->loop, &h->tick);
+	cn->hub = h;
+	if (pthread_create(&t, NULL, run, h) != 0)
+		return status_fail(STATUS_IO, "no thread for the hub");
+	pthread_detach(t);
+	return STATUS_OK;
+}
--- /dev/null
+++ b/src/control/hub_dispatch.c
@@ -0,0 +1,487 @@
+/* The leader's dispatcher: online requests and items at entries. */
+#include <stdlib.h>
+#include <string.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "control/hub.h"
+
+/** A new leader holds items back for this long, in ms, until entries have told what they run:
+ * longer than their search for a leader, shorter than the time after which they give up. */
+#define ADOPT_HOLD_MS 800
+
+/* ---- effects of the dispatcher ---- */
+
+static void on_grant(void *ctx, uint64_t entry, uint64_t request, str_t replica)
+{
+	link_msg_t m = {.kind = LINK_GRANT};
+	hub_peer_t *p = hub_peer(ctx, entry);
+	const link_upstream_t *u = hub_find_replica(ctx, replica);
+
+	if (!p)
+		return;
+	m.link_msg_t_u.grant = (link_grant_t){.request = request, .replica = wire_bytes(replica)};
+	if (u) {
+		m.link_msg_t_u.grant.addr = u->addr;
+		m.link_msg_t_u.grant.start_time = u->start_time;
+	}
+	hub_send(p, &m);
+	METRIC_INC("auburn_granted_total");
+}
+
+static void log_refusal(hub_t *h, const hub_peer_t *p, uint64_t number, int64_t retry_ms,
+			dispatch_refusal_t why)
+{
+	dispatch_stats_t st;
+
+	dispatch_stats(h->dispatch, &st);
+	log_event(LOG_LEVEL_INFO, "place_refused", LOG_CSTR("entry", p->name),
+		  LOG_INT("number", number), LOG_CSTR("reason", dispatch_refusal_name(why)),
+		  LOG_INT("retry_ms", retry_ms), LOG_INT("replicas", st.replicas),
+		  LOG_INT("places", st.slots), LOG_INT("online", st.online),
+		  LOG_INT("items", st.items), LOG_INT("waiting", st.asks_waiting),
+		  LOG_INT("list_age_ms", hub_list_age_ms(h)));
+}
+
+static void on_refuse(void *ctx, uint64_t entry, uint64_t request, int64_t retry_ms,
+		      dispatch_refusal_t why)
+{
+	link_msg_t m = {.kind = LINK_REFUSE};
+	hub_peer_t *p = hub_peer(ctx, entry);
+
+	if (!p)
+		return;
+	m.link_msg_t_u.refuse.request = request;
+	m.link_msg_t_u.refuse.retry_ms = (int)retry_ms;
+	hub_send(p, &m);
+	log_refusal(ctx, p, request, retry_ms, why);
+	METRIC_INC("auburn_refused_total");
+}
+
+typedef struct {
+	hub_t *h;
+	hub_item_t *it;
+	hub_peer_t *p;
+	str_t replica;
+	bool sent;
+} run_t;
+
+static void send_run(control_group_t *g, void *arg)
+{
+	run_t *r = arg;
+	const lot_t *t = lots_find(g->lots, str_c(r->it->lot->id));
+	link_msg_t m = {.kind = LINK_ITEM_RUN};
+	link_item_run_t *x = &m.link_msg_t_u.run;
+	const link_upstream_t *u = hub_find_replica(r->h, r->replica);
+	const lot_item_t *item;
+
+	if (!t || t->ended || t->items[r->it->index].state != LOT_ITEM_OPEN)
+		return;
+	item = &t->items[r->it->index];
+	*x = (link_item_run_t){
+		.job = wire_bytes(str_c(t->id)),
+		.item = r->it->index,
+		.id = wire_bytes(str_c(item->id)),
+		.host = wire_bytes(str_c(t->host)),
+		.path = wire_bytes(str_c(item->path)),
+		.headers = wire_bytes((str_t){item->headers, item->headers_n}),
+		.body = wire_bytes((str_t){item->data, item->data_n}),
+		.replica = wire_bytes(r->replica),
+		.addr = u ? u->addr : (wire_bytes_t){0},
+		.start_time = u ? u->start_time : 0,
+		.text = wire_bytes(str_buf(&r->it->text)),
+		.events = r->it->events,
+		.deadline_ms = (int)(t->drop_wall_ms - clock_wall_ms()),
+	};
+	hub_send(r->p, &m);
+	r->sent = true;
+}
+
+static void on_run(void *ctx, void *data, uint64_t entry, str_t replica)
+{
+	hub_t *h = ctx;
+	run_t r = {h, data, hub_peer(h, entry), replica, false};
+
+	r.it->entry = entry;
+	if (r.p)
+		control_group_read(&h->control->groups[0], send_run, &r);
+	if (!r.sent) {
+		h->next_lots_sync = 0;
+		return;
+	}
+	log_event(LOG_LEVEL_INFO, "item_run", LOG_CSTR("lot", r.it->lot->id),
+		  LOG_INT("item", r.it->index), LOG_STR("replica", replica),
+		  LOG_CSTR("entry", r.p->name), LOG_INT("events", r.it->events),
+		  LOG_INT("failures", r.it->failures));
+	METRIC_INC("auburn_item_runs_total");
+}
+
+static void on_stop(void *ctx, void *data, uint64_t entry)
+{
+	hub_t *h = ctx;
+	hub_item_t *it = data;
+	hub_peer_t *p = hub_peer(h, entry);
+	link_msg_t m = {.kind = LINK_ITEM_STOP};
+
+	if (!p)
+		return;
+	m.link_msg_t_u.stop.job = wire_bytes(str_c(it->lot->id));
+	m.link_msg_t_u.stop.item = it->index;
+	hub_send(p, &m);
+	log_event(LOG_LEVEL_INFO, "item_stop", LOG_CSTR("lot", it->lot->id),
+		  LOG_INT("item", it->index), LOG_CSTR("entry", p->name));
+	METRIC_INC("auburn_item_stops_total");
+}
+
+/* ---- lots ---- */
+
+/* Where an item goes by the text in force; no service when its route has gone. */
+static const char *route_item(hub_t *h, const lot_t *t, hub_item_t *it)
+{
+	const lot_item_t *item = &t->items[it->index];
+	const route_spec_t *r = NULL;
+
+	if (h->routes)
+		r = route_table_match(h->routes, str_c(t->host), str_c(item->path));
+	if (!r)
+		return "";
+	it->attempts_max = (uint32_t)r->attempts;
+	return route_pick_service(r, str_hash(str_c(item->id)));
+}
+
+typedef struct {
+	hub_t *h;
+	deadline_t now;
+} sync_t;
+
+static hub_lot_t *lot_new(hub_t *h, const lot_t *t)
+{
+	hub_lot_t *lot = mem_new(sizeof(*lot));
+
+	lot->hub = h;
+	lot->id = str_dup(str_c(t->id));
+	lot->nitems = t->nitems;
+	lot->items = mem_new((t->nitems + 1) * sizeof(*lot->items));
+	HASH_ADD_KEYPTR(hh, h->lots, lot->id, strlen(lot->id), lot);
+	return lot;
+}
+
+static void take_new(control_group_t *g, void *arg)
+{
+	sync_t *s = arg;
+	hub_t *h = s->h;
+	int64_t wall = clock_wall_ms();
+
+	for (const lot_t *t = lots_first(g->lots); t; t = t->hh.next) {
+		hub_lot_t *lot;
+
+		if (t->serial <= h->last_lot_serial)
+			continue;
+		h->last_lot_serial = t->serial;
+		if (t->ended || t->nfinished == t->nitems)
+			continue;
+		lot = lot_new(h, t);
+		for (uint32_t i = 0; i < t->nitems; i++) {
+			hub_item_t *it = &lot->items[i];
+
+			it->lot = lot;
+			it->index = i;
+			if (t->items[i].state != LOT_ITEM_OPEN)
+				continue;
+			lot->unfinished++;
+			buf_add(&it->text,
+				(str_t){t->items[i].partial_text, t->items[i].partial_n});
+			it->events = it->saved_events = t->items[i].partial_events;
+			it->saved_bytes = t->items[i].partial_n;
+			it->dispatch_ref =
+				dispatch_item_add(h->dispatch, str_c(route_item(h, t, it)),
+						  s->now + t->due_wall_ms - wall, it);
+		}
+	}
+}
+
+static void item_finish(hub_item_t *it, bool ended)
+{
+	hub_lot_t *lot = it->lot;
+	dispatch_item_t *run = it->dispatch_ref;
+
+	if (!run)
+		return;
+	it->dispatch_ref = NULL;
+	buf_free(&it->text);
+	it->text = (buf_t){0};
+	lot->unfinished--;
+	dispatch_item_remove(lot->hub->dispatch, run, ended, clock_now_ms());
+}
+
+static void lot_free(hub_t *h, hub_lot_t *lot)
+{
+	HASH_DEL(h->lots, lot);
+	for (uint32_t i = 0; i < lot->nitems; i++)
+		buf_free(&lot->items[i].text);
+	free(lot->items);
+	free(lot->id);
+	free(lot);
+}
+
+typedef struct {
+	const hub_lot_t *lot;
+	bool gone; /* ended or forgotten */
+	bool *listed;
+} look_t;
+
+static void look(control_group_t *g, void *arg)
+{
+	look_t *l = arg;
+	const lot_t *t = lots_find(g->lots, str_c(l->lot->id));
+
+	l->gone = !t || t->ended;
+	for (uint32_t i = 0; t && i < t->nitems; i++)
+		l->listed[i] = t->items[i].state != LOT_ITEM_OPEN;
+}
+
+/* Stops what the log says is over; frees lots that have nothing left. */
+static void drop_over(hub_t *h)
+{
+	hub_lot_t *lot;
+	hub_lot_t *next;
+
+	HASH_ITER (hh, h->lots, lot, next) {
+		look_t l = {.lot = lot, .listed = mem_new(lot->nitems + 1)};
+
+		control_group_read(&h->control->groups[0], look, &l);
+		for (uint32_t i = 0; i < lot->nitems; i++) {
+			if (l.gone || l.listed[i])
+				item_finish(&lot->items[i], false);
+		}
+		free(l.listed);
+		if (lot->unfinished == 0)
+			lot_free(h, lot);
+	}
+}
+
+void hub_lots_sync(hub_t *h)
+{
+	sync_t s = {h, clock_now_ms()};
+
+	control_group_read(&h->control->groups[0], take_new, &s);
+	drop_over(h);
+	dispatch_tick(h->dispatch, clock_now_ms());
+}
+
+typedef struct {
+	hub_t *h;
+	hub_lot_t *lot;
+} route_t;
+
+static void set_services(control_group_t *g, void *arg)
+{
+	route_t *r = arg;
+	const lot_t *t = lots_find(g->lots, str_c(r->lot->id));
+
+	for (uint32_t i = 0; t && i < t->nitems; i++) {
+		hub_item_t *it = &r->lot->items[i];
+
+		if (it->dispatch_ref)
+			dispatch_item_set_service(r->h->dispatch, it->dispatch_ref,
+						  str_c(route_item(r->h, t, it)));
+	}
+}
+
+/* Items whose route has gone can't be run. */
+void hub_dispatch_reroute(hub_t *h)
+{
+	for (hub_lot_t *lot = h->lots; lot; lot = lot->hh.next)
+		control_group_read(&h->control->groups[0], set_services, &(route_t){h, lot});
+	for (hub_lot_t *lot = h->lots; lot; lot = lot->hh.next) {
+		for (uint32_t i = 0; i < lot->nitems; i++) {
+			hub_item_t *it = &lot->items[i];
+
+			if (it->dispatch_ref && dispatch_item_is_waiting(it->dispatch_ref) &&
+			    !dispatch_item_has_service(it->dispatch_ref)) {
+				log_event(LOG_LEVEL_WARN, "item_dead", LOG_CSTR("lot", lot->id),
+					  LOG_INT("item", i),
+					  LOG_CSTR("reason", "its route was removed"));
+				hub_lots_add_result(h, it, true, (str_t){"", 0});
+				item_finish(it, false);
+			}
+		}
+	}
+	hub_lots_commit(h);
+}
+
+/* ---- messages of entries ---- */
+
+static hub_item_t *find_item(hub_t *h, wire_bytes_t lot_id, u_int index)
+{
+	str_t id = wire_str(lot_id);
+	hub_lot_t *lot;
+
+	HASH_FIND(hh, h->lots, id.p, id.n, lot);
+	return lot && index < lot->nitems && lot->items[index].dispatch_ref ? &lot->items[index]
+									    : NULL;
+}
+
+static void adopt(hub_t *h, hub_peer_t *p, const link_run_t *r)
+{
+	link_msg_t stop = {.kind = LINK_ITEM_STOP};
+	hub_item_t *it;
+
+	if (r->request) {
+		dispatch_request_adopt(h->dispatch, p->id, r->request, wire_str(r->replica),
+				       clock_now_ms());
+		return;
+	}
+	it = find_item(h, r->job, r->item);
+	if (it && dispatch_item_is_adoptable(it->dispatch_ref, clock_now_ms())) {
+		it->entry = p->id;
+		dispatch_item_adopt(h->dispatch, it->dispatch_ref, p->id, wire_str(r->replica),
+				    clock_now_ms());
+		return;
+	}
+	stop.link_msg_t_u.stop.job = r->job;
+	stop.link_msg_t_u.stop.item = r->item;
+	hub_send(p, &stop);
+}
+
+void hub_dispatch_hello(hub_t *h, hub_peer_t *p, const link_hello_t *hello)
+{
+	if (!p->addr[0])
+		return;
+	dispatch_entry_add(h->dispatch, p->id, str_c(p->zone), !p->draining);
+	for (u_int i = 0; i < hello->leaving_replicas.leaving_replicas_len; i++)
+		hub_view_note_leaving(h, p, &hello->leaving_replicas.leaving_replicas_val[i]);
+	for (u_int i = 0; i < hello->runs.runs_len; i++)
+		adopt(h, p, &hello->runs.runs_val[i]);
+}
+
+static void on_ask(hub_t *h, hub_peer_t *p, const link_slot_request_t *m)
+{
+	deadline_t now = clock_now_ms();
+	dispatch_request_t a = {
+		.entry = p->id,
+		.request = m->request,
+		.service = wire_str(m->service),
+		.priority = m->priority,
+		.resumed = m->resumed,
+		.returning = m->returning,
+		.objective = now + m->objective_ms,
+		.deadline = now + m->deadline_ms,
+		.give_up_at = now + m->give_up_left_ms,
+		.prefix = m->prefix,
+	};
+
+	for (u_int i = 0; i < m->avoid.avoid_len && i < DISPATCH_AVOID_MAX; i++)
+		a.avoid[a.navoid++] = wire_str(m->avoid.avoid_val[i]);
+	dispatch_request_add(h->dispatch, &a, now);
+	/* A request that waits for a place shows its entry that this process is there. */
+	if (p->last_sent < now)
+		hub_send(p, &(link_msg_t){.kind = LINK_PING});
+}
+
+static void item_over(hub_t *h, hub_item_t *it, bool dead, str_t text, const char *reason)
+{
+	log_event(dead ? LOG_LEVEL_WARN : LOG_LEVEL_INFO, dead ? "item_dead" : "item_done",
+		  LOG_CSTR("lot", it->lot->id), LOG_INT("item", it->index),
+		  LOG_INT("events", it->events), LOG_INT("failures", it->failures),
+		  LOG_CSTR("reason", reason));
+	hub_lots_add_result(h, it, dead, text);
+	item_finish(it, true);
+	hub_lots_commit(h);
+}
+
+static void on_item_ended(hub_t *h, hub_peer_t *p, const link_item_ended_t *m)
+{
+	hub_item_t *it = find_item(h, m->job, m->item);
+
+	if (!it || (it->entry != p->id && m->end != LINK_ITEM_END_DONE))
+		return;
+	switch (m->end) {
+	case LINK_ITEM_END_DONE:
+		it->events = m->events;
+		item_over(h, it, false, wire_str(m->text), "complete");
+		return;
+	case LINK_ITEM_END_IMPOSSIBLE:
+		item_over(h, it, true, (str_t){"", 0}, "the replica says it can't be done");
+		return;
+	case LINK_ITEM_END_FAILED:
+		if (++it->failures >= it->attempts_max) {
+			item_over(h, it, true, (str_t){"", 0}, "failed at every attempt");
+			return;
+		}
+		dispatch_item_avoid(it->dispatch_ref, wire_str(m->replica));
+		break;
+	default:
+		break;
+	}
+	if (m->events > it->events) {
+		it->events = m->events;
+		it->text.n = 0;
+		buf_add(&it->text, wire_str(m->text));
+		hub_lots_add_progress(h, it);
+	}
+	log_event(LOG_LEVEL_INFO, "item_back", LOG_CSTR("lot", it->lot->id),
+		  LOG_INT("item", it->index),
+		  LOG_CSTR("outcome", dispatch_outcome_name((dispatch_outcome_t)m->outcome)),
+		  LOG_STR("replica", wire_str(m->replica)), LOG_INT("events", it->events),
+		  LOG_INT("failures", it->failures));
+	dispatch_item_requeue(h->dispatch, it->dispatch_ref, (dispatch_outcome_t)m->outcome,
+			      clock_now_ms());
+}
+
+static void on_item_progress(hub_t *h, hub_peer_t *p, const link_item_progress_t *m)
+{
+	hub_item_t *it = find_item(h, m->job, m->item);
+
+	if (!it || it->entry != p->id || m->from != it->events || m->events <= m->from)
+		return;
+	buf_add(&it->text, wire_str(m->text));
+	it->events = m->events;
+	hub_lots_add_progress(h, it);
+}
+
+void hub_dispatch_message(hub_t *h, hub_peer_t *p, const link_msg_t *m)
+{
+	switch (m->kind) {
+	case LINK_SLOT_REQUEST:
+		on_ask(h, p, &m->link_msg_t_u.ask);
+		break;
+	case LINK_WITHDRAW:
+		dispatch_request_withdraw(h->dispatch, p->id, m->link_msg_t_u.request);
+		break;
+	case LINK_ENDED:
+		dispatch_request_ended(h->dispatch, p->id, m->link_msg_t_u.ended.request,
+				       (dispatch_outcome_t)m->link_msg_t_u.ended.outcome,
+				       clock_now_ms());
+		break;
+	case LINK_LEAVING:
+		hub_view_note_leaving(h, p, &m->link_msg_t_u.leaving_replica);
+		break;
+	case LINK_ITEM_PROGRESS:
+		on_item_progress(h, p, &m->link_msg_t_u.progress);
+		break;
+	case LINK_ITEM_ENDED:
+		on_item_ended(h, p, &m->link_msg_t_u.item_ended);
+		break;
+	default:
+		break;
+	}
+}
+
+void hub_dispatch_start_leading(hub_t *h)
+{
+	dispatch_callbacks_t cb = {h, on_grant, on_refuse, on_run, on_stop};
+
+	h->dispatch = dispatch_new(&cb, (uint64_t)clock_now_us());
+	h->last_lot_serial = 0;
+	dispatch_hold_items(h->dispatch, clock_now_ms() + ADOPT_HOLD_MS);
+	hub_lots_sync(h);
+}
+
+void hub_dispatch_stop_leading(hub_t *h)
+{
+	while (h->lots)
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		lot_free(h, h->lots);
+	dispatch_free(h->dispatch);
+	h->dispatch = NULL;
+}
--- /dev/null
+++ b/src/control/hub_lots.c
@@ -0,0 +1,495 @@
+/* Calls on lots, and the commits that they need. */
+#include <stdlib.h>
+#include <string.h>
+#include <utlist.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "control/hub.h"
+
+/** A commit that takes longer, in ms, may still come to pass: its callers are told so. */
+#define COMMIT_MS 2000
+/** Bytes gathered for one commit; more wait for the next. */
+#define COMMIT_BYTES   (4U << 20)
+#define READ_BYTES_MAX 1000000
+/** Lots that were given up or forgotten are looked for on this period, in ms. */
+#define SYNC_MS 500
+/** Items are given up that long after their retention, in ms, so that no clock sees it early. */
+#define DROP_MARGIN_MS 5000
+#define BARRIER_MS     1000
+/** Part of the process's memory that lots may fill: a snapshot takes as much again while it is
+ * written, and log, links and messages take the rest. */
+#define LOTS_MEMORY_PERCENT 35
+#define MIB		    (1U << 20)
+
+typedef struct {
+	worker_task_t job;
+	hub_t *h;
+	uint64_t term;
+	hub_batch_t batch;
+	buf_t payload;
+	status_t st;
+	char message[128];
+	wire_fleet_res_t res;
+} commit_t;
+
+/* ---- gathering ---- */
+
+static void *grow(void *v, size_t n, size_t *cap, size_t size)
+{
+	if (n < *cap)
+		return v;
+	*cap = *cap ? *cap * 2 : 16;
+	return mem_grow(v, *cap * size);
+}
+
+static void add_open(hub_t *h, const hub_origin_t *from, const wire_lot_open_t *o)
+{
+	hub_batch_t *b = &h->batch;
+	u_int n = b->cmd.opens.opens_len;
+	size_t cap = b->opens_cap;
+
+	b->cmd.opens.opens_val =
+		grow(b->cmd.opens.opens_val, n, &b->opens_cap, sizeof(wire_lot_open_t));
+	b->open_origins = grow(b->open_origins, n, &cap, sizeof(hub_origin_t));
+	wire_dup(XDR_PROC(wire_lot_open_t), o, &b->cmd.opens.opens_val[n], sizeof(*o));
+	b->open_origins[n] = *from;
+	b->cmd.opens.opens_len++;
+	b->bytes += xdr_sizeof(XDR_PROC(wire_lot_open_t), (void *)o);
+}
+
+static void add_end(hub_t *h, const hub_origin_t *from, str_t lot)
+{
+	hub_batch_t *b = &h->batch;
+	u_int n = b->cmd.ends.ends_len;
+	size_t cap = b->ends_cap;
+
+	b->cmd.ends.ends_val = grow(b->cmd.ends.ends_val, n, &b->ends_cap, sizeof(wire_bytes_t));
+	b->end_origins = grow(b->end_origins, n, &cap, sizeof(hub_origin_t));
+	b->cmd.ends.ends_val[n] = wire_copy(lot);
+	b->end_origins[n] = *from;
+	b->cmd.ends.ends_len++;
+}
+
+static void add_result(hub_t *h, str_t lot, uint32_t item, bool dead, str_t text)
+{
+	hub_batch_t *b = &h->batch;
+	u_int n = b->cmd.results.results_len;
+
+	b->cmd.results.results_val =
+		grow(b->cmd.results.results_val, n, &b->results_cap, sizeof(wire_lot_result_t));
+	b->cmd.results.results_val[n] =
+		(wire_lot_result_t){wire_copy(lot), item, dead, wire_copy(text)};
+	b->cmd.results.results_len++;
+	b->bytes += text.n;
+}
+
+void hub_lots_add_result(hub_t *h, hub_item_t *it, bool dead, str_t text)
+{
+	add_result(h, str_c(it->lot->id), it->index, dead, text);
+}
+
+void hub_lots_add_progress(hub_t *h, hub_item_t *it)
+{
+	hub_batch_t *b = &h->batch;
+	u_int n = b->cmd.progress.progress_len;
+	str_t text = {it->text.p + it->saved_bytes, it->text.n - it->saved_bytes};
+
+	if (it->events <= it->saved_events)
+		return;
+	b->cmd.progress.progress_val = grow(b->cmd.progress.progress_val, n, &b->progress_cap,
+					    sizeof(wire_lot_progress_t));
+	b->cmd.progress.progress_val[n] =
+		(wire_lot_progress_t){wire_copy(str_c(it->lot->id)), it->index, it->saved_events,
+				      it->events, wire_copy(text)};
+	b->cmd.progress.progress_len++;
+	b->bytes += text.n;
+	it->saved_bytes = (uint32_t)it->text.n;
+	it->saved_events = it->events;
+}
+
+static void batch_free(hub_batch_t *b)
+{
+	wire_free(XDR_PROC(wire_lots_cmd_t), &b->cmd);
+	free(b->open_origins);
+	free(b->end_origins);
+	*b = (hub_batch_t){0};
+}
+
+/* ---- reads ---- */
+
+typedef struct {
+	str_t lot;
+	uint32_t after;
+	bool found;
+	bool over; /* nothing more will be listed */
+	link_reply_t r;
+} read_t;
+
+static void read_results(control_group_t *g, void *arg)
+{
+	read_t *x = arg;
+	const lot_t *t = lots_find(g->lots, x->lot);
+	size_t bytes = 0;
+
+	if (!t)
+		return;
+	x->found = true;
+	x->over = t->ended || t->nfinished == t->nitems;
+	x->r.total = t->nitems;
+	x->r.results.results_val = mem_new((t->nfinished + 1) * sizeof(link_result_t));
+	for (uint32_t i = x->after; i < t->nfinished && bytes < READ_BYTES_MAX; i++) {
+		const lot_item_t *it = &t->items[t->finished[i]];
+
+		if (i > x->after && bytes + it->data_n > READ_BYTES_MAX)
+			break;
+		bytes += it->data_n;
+		x->r.results.results_val[x->r.results.results_len++] = (link_result_t){
+			wire_copy(str_c(it->id)),
+			it->state == LOT_ITEM_DEAD,
+			wire_copy((str_t){it->data, it->data_n}),
+		};
+	}
+}
+
+/* Answers a read; false when it is to wait on. */
+static bool answer_read(hub_t *h, const hub_origin_t *from, str_t lot, uint32_t after, bool wait)
+{
+	read_t x = {.lot = lot, .after = after};
+	bool done;
+
+	control_group_read(&h->control->groups[0], read_results, &x);
+	done = x.found && (!wait || x.over || x.r.results.results_len > 0);
+	if (done)
+		hub_reply(h, from, &x.r);
+	wire_free(XDR_PROC(link_reply_t), &x.r);
+	return done;
+}
+
+static void waiter_free(hub_t *h, hub_waiter_t *w)
+{
+	DL_DELETE(h->waiters, w);
+	free(w->lot);
+	free(w);
+}
+
+static void wake_waiters(hub_t *h, deadline_t now)
+{
+	hub_waiter_t *w;
+	hub_waiter_t *next;
+
+	DL_FOREACH_SAFE(h->waiters, w, next)
+	{
+		if (answer_read(h, &w->origin, str_c(w->lot), w->after, now < w->deadline))
+			waiter_free(h, w);
+	}
+}
+
+typedef struct {
+	worker_task_t job;
+	hub_t *h;
+	hub_origin_t from;
+	link_call_arg_t what;
+	status_t st;
+} check_t;
+
+static void check_work(worker_task_t *j)
+{
+	check_t *c = (check_t *)j;
+
+	c->st = group_read_barrier(c->h->control->groups[0].raft, clock_now_ms() + BARRIER_MS);
+}
+
+typedef struct {
+	str_t lot;
+	str_t item;
+	status_t st;
+	buf_t body;
+} body_t;
+
+static void read_body(control_group_t *g, void *arg)
+{
+	body_t *b = arg;
+	const lot_t *t = lots_find(g->lots, b->lot);
+	long i = t ? lot_find_item(t, b->item) : -1;
+
+	b->st = STATUS_NOT_FOUND;
+	if (i < 0 || t->ended || t->items[i].state != LOT_ITEM_OPEN)
+		return;
+	b->st = STATUS_OK;
+	buf_add(&b->body, (str_t){t->items[i].data, t->items[i].data_n});
+}
+
+/* False: the lot isn't known here, or the item isn't open. */
+static bool answer_body(hub_t *h, const hub_origin_t *from, const link_item_body_t *m)
+{
+	body_t b = {.lot = wire_str(m->job), .item = wire_str(m->item)};
+	link_reply_t r = {0};
+
+	control_group_read(&h->control->groups[0], read_body, &b);
+	r.bytes = wire_bytes(str_buf(&b.body));
+	if (b.st == STATUS_OK)
+		hub_reply(h, from, &r);
+	buf_free(&b.body);
+	return b.st == STATUS_OK;
+}
+
+static bool answer_known(hub_t *h, const hub_origin_t *from, const link_call_arg_t *w)
+{
+	const link_lot_read_t *m = &w->link_call_arg_t_u.read;
+	read_t x = {.lot = wire_str(m->job), .after = UINT32_MAX};
+	hub_waiter_t *waiter;
+
+	if (w->kind == LINK_CALL_ITEM_BODY)
+		return answer_body(h, from, &w->link_call_arg_t_u.body);
+	if (answer_read(h, from, wire_str(m->job), m->after, m->wait_ms > 0))
+		return true;
+	control_group_read(&h->control->groups[0], read_results, &x);
+	wire_free(XDR_PROC(link_reply_t), &x.r);
+	if (!x.found)
+		return false;
+	waiter = mem_new(sizeof(*waiter));
+	waiter->origin = *from;
+	waiter->lot = str_dup(wire_str(m->job));
+	waiter->after = m->after;
+	waiter->deadline = clock_now_ms() + m->wait_ms;
+	DL_APPEND(h->waiters, waiter);
+	return true;
+}
+
+static void check_done(worker_task_t *j)
+{
+	check_t *c = (check_t *)j;
+
+	if (c->st != STATUS_OK || c->h->role != HUB_LEADER)
+		hub_reply_status(c->h, &c->from, status_fail(STATUS_UNAVAILABLE, "can't be sure"));
+	else if (!answer_known(c->h, &c->from, &c->what))
+		hub_reply_status(c->h, &c->from,
+				 status_fail(STATUS_NOT_FOUND, "no such lot or item"));
+	wire_free(XDR_PROC(link_call_arg_t), &c->what);
+	free(c);
+}
+
+/* "Not found" is said only by a process that surely leads. */
+static void check_and_answer(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what)
+{
+	check_t *c = mem_new(sizeof(*c));
+
+	c->job = (worker_task_t){check_work, check_done, NULL};
+	c->h = h;
+	c->from = *from;
+	wire_dup(XDR_PROC(link_call_arg_t), what, &c->what, sizeof(c->what));
+	worker_pool_submit(h->call_workers, &c->job);
+}
+
+/* ---- commits ---- */
+
+static void commit_work(worker_task_t *j)
+{
+	commit_t *c = (commit_t *)j;
+	AUTO_BUF result = {0};
+
+	c->st = group_propose(c->h->control->groups[0].raft, str_buf(&c->payload),
+			      clock_now_ms() + COMMIT_MS, &result);
+	if (c->st == STATUS_OK)
+		c->st = wire_decode(str_buf(&result), XDR_PROC(wire_fleet_res_t), &c->res,
+				    sizeof(c->res));
+	snprintf(c->message, sizeof(c->message), "%s", c->st == STATUS_OK ? "" : status_message());
+}
+
+static void answer_opens(hub_t *h, commit_t *c)
+{
+	for (u_int i = 0; i < c->batch.cmd.opens.opens_len; i++) {
+		const wire_lot_open_t *o = &c->batch.cmd.opens.opens_val[i];
+		status_t st = c->st;
+
+		if (st == STATUS_OK)
+			st = i < c->res.opened.opened_len ? (status_t)c->res.opened.opened_val[i]
+							  : STATUS_CORRUPT;
+		else
+			st = status_fail(st, "%s", c->message);
+		log_event(LOG_LEVEL_INFO, "lot_opened", LOG_STR("lot", wire_str(o->lot)),
+			  LOG_INT("items", o->items.items_len), LOG_INT("quota", o->quota),
+			  LOG_CSTR("status", status_name(st)),
+			  LOG_CSTR("message", st == STATUS_OK ? "" : c->message));
+		hub_reply_status(h, &c->batch.open_origins[i], st);
+	}
+}
+
+static void answer_ends(hub_t *h, commit_t *c)
+{
+	for (u_int i = 0; i < c->batch.cmd.ends.ends_len; i++) {
+		str_t id = wire_str(c->batch.cmd.ends.ends_val[i]);
+		status_t st = c->st == STATUS_OK ? STATUS_OK : status_fail(c->st, "%s", c->message);
+
+		log_event(LOG_LEVEL_INFO, "lot_ended", LOG_STR("lot", id),
+			  LOG_CSTR("status", status_name(st)));
+		hub_reply_status(h, &c->batch.end_origins[i], st);
+	}
+}
+
+/* Results that may not have been committed are committed again: the first one stands. */
+static void retry_results(hub_t *h, commit_t *c)
+{
+	for (u_int i = 0; i < c->batch.cmd.results.results_len; i++) {
+		const wire_lot_result_t *r = &c->batch.cmd.results.results_val[i];
+
+		add_result(h, wire_str(r->lot), r->item, r->dead, wire_str(r->text));
+	}
+}
+
+static void commit_done(worker_task_t *j)
+{
+	commit_t *c = (commit_t *)j;
+	hub_t *h = c->h;
+	bool leads = h->role == HUB_LEADER && h->term == c->term;
+
+	h->committing = false;
+	if (c->st != STATUS_OK)
+		log_event(LOG_LEVEL_WARN, "commit_failed", LOG_CSTR("status", status_name(c->st)),
+			  LOG_CSTR("message", c->message),
+			  LOG_INT("results", c->batch.cmd.results.results_len));
+	answer_opens(h, c);
+	answer_ends(h, c);
+	if (leads) {
+		if (c->st != STATUS_OK)
+			retry_results(h, c);
+		hub_lots_sync(h);
+		wake_waiters(h, clock_now_ms());
+		hub_lots_commit(h);
+	}
+	batch_free(&c->batch);
+	buf_free(&c->payload);
+	wire_free(XDR_PROC(wire_fleet_res_t), &c->res);
+	free(c);
+}
+
+void hub_lots_commit(hub_t *h)
+{
+	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_LOTS};
+	wire_lots_cmd_t *l = &h->batch.cmd;
+	commit_t *c;
+
+	if (h->committing || l->opens.opens_len + l->results.results_len + l->ends.ends_len +
+					     l->progress.progress_len ==
+				     0)
+		return;
+	h->committing = true;
+	c = mem_new(sizeof(*c));
+	c->job = (worker_task_t){commit_work, commit_done, NULL};
+	c->h = h;
+	c->term = h->term;
+	c->batch = h->batch;
+	c->batch.cmd.now_wall_ms = clock_wall_ms();
+	h->batch = (hub_batch_t){0};
+	cmd.wire_fleet_cmd_t_u.lots = c->batch.cmd;
+	wire_encode(&c->payload, XDR_PROC(wire_fleet_cmd_t), &cmd);
+	worker_pool_submit(h->commit_worker, &c->job);
+}
+
+typedef struct {
+	str_t lot;
+	bool stands;
+	size_t bytes;
+} room_t;
+
+static void look_for_room(control_group_t *g, void *arg)
+{
+	room_t *r = arg;
+
+	r->stands = lots_find(g->lots, r->lot) != NULL;
+	r->bytes = r->stands ? 0 : lots_bytes_expected(g->lots);
+}
+
+/* An accepted lot is kept whatever comes, so what doesn't fit isn't accepted. */
+static bool has_room(hub_t *h, str_t lot)
+{
+	size_t most = (size_t)h->control->settings.memory_mib * MIB / 100 * LOTS_MEMORY_PERCENT;
+	room_t r = {.lot = lot};
+
+	if (most == 0)
+		return true;
+	control_group_read(&h->control->groups[0], look_for_room, &r);
+	if (r.stands || r.bytes + h->batch.bytes < most)
+		return true;
+	log_event(LOG_LEVEL_WARN, "lots_fill_memory", LOG_STR("lot", lot),
+		  LOG_INT("bytes", r.bytes), LOG_INT("most", most));
+	METRIC_INC("auburn_lots_refused_for_memory_total");
+	return false;
+}
+
+static void open_lot(hub_t *h, const hub_origin_t *from, const wire_lot_open_t *m)
+{
+	wire_lot_open_t o = *m;
+	const route_spec_t *r = NULL;
+	int64_t wall = clock_wall_ms();
+
+	if (h->routes && o.items.items_len > 0)
+		r = route_table_match(h->routes, wire_str(o.host),
+				      wire_str(o.items.items_val[0].path));
+	if (!r || r->kind != ROUTE_BATCH) {
+		hub_reply_status(h, from,
+				 status_fail(STATUS_UNAVAILABLE, "its route isn't known here"));
+		return;
+	}
+	if (h->batch.bytes > COMMIT_BYTES) {
+		hub_reply_status(h, from,
+				 status_fail(STATUS_UNAVAILABLE, "too much waits for the disk"));
+		return;
+	}
+	if (!has_room(h, wire_str(o.lot))) {
+		hub_reply_status(h, from, status_fail(STATUS_LIMIT, "lots fill the memory"));
+		return;
+	}
+	o.quota = (uint64_t)r->waiting_tokens_max;
+	o.due_wall_ms = wall + r->due_ms;
+	o.drop_wall_ms = wall + r->retention_ms + DROP_MARGIN_MS;
+	o.forget_wall_ms = wall + h->control->settings.lot_ttl_ms + DROP_MARGIN_MS;
+	if (o.forget_wall_ms < o.drop_wall_ms)
+		o.forget_wall_ms = o.drop_wall_ms;
+	add_open(h, from, &o);
+	hub_lots_commit(h);
+}
+
+void hub_lots_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what)
+{
+	switch (what->kind) {
+	case LINK_CALL_LOT_OPEN:
+		open_lot(h, from, &what->link_call_arg_t_u.open);
+		break;
+	case LINK_CALL_LOT_END:
+		add_end(h, from, wire_str(what->link_call_arg_t_u.job));
+		hub_lots_commit(h);
+		break;
+	default:
+		if (!answer_known(h, from, what))
+			check_and_answer(h, from, what);
+		break;
+	}
+}
+
+void hub_lots_tick(hub_t *h, deadline_t now)
+{
+	wake_waiters(h, now);
+	hub_lots_commit(h);
+	if (now < h->next_lots_sync)
+		return;
+	h->next_lots_sync = now + SYNC_MS;
+	hub_lots_sync(h);
+}
+
+void hub_lots_stop_leading(hub_t *h)
+{
+	while (h->waiters) {
+		hub_reply_status(h, &h->waiters->origin,
+				 status_fail(STATUS_UNAVAILABLE, "no longer leads"));
+		waiter_free(h, h->waiters);
+	}
+	/* Nothing of these was proposed. */
+	for (u_int i = 0; i < h->batch.cmd.opens.opens_len; i++)
+		hub_reply_status(h, &h->batch.open_origins[i],
+				 status_fail(STATUS_UNAVAILABLE, "no longer leads"));
+	for (u_int i = 0; i < h->batch.cmd.ends.ends_len; i++)
+		hub_reply_status(h, &h->batch.end_origins[i],
+				 status_fail(STATUS_UNAVAILABLE, "no longer leads"));
+	batch_free(&h->batch);
+}
--- /dev/null
+++ b/src/control/hub_routes.c
@@ -0,0 +1,201 @@
+/* The routes in force: decoded from the log's text by a worker, as a text of thousands of routes
+ * would hold up the loop, and sent to the entries as changes. */
+#include <stdlib.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "client/routes_decode.h"
+#include "client/delta.h"
+#include "control/hub.h"
+
+/* ---- sending ---- */
+
+static hub_routes_t *find_kept(hub_t *h, fanout_config_id_t text)
+{
+	for (size_t i = 0; i < HUB_RECENT_ROUTES; i++) {
+		if (h->recent_routes[i].routes &&
+		    fanout_config_id_eq(h->recent_routes[i].config, text))
+			return &h->recent_routes[i];
+	}
+	return NULL;
+}
+
+/* The entry at 0 holds the newest routes; what is packed there is all of them. */
+static hub_routes_t *packed(hub_t *h, fanout_config_id_t base)
+{
+	hub_routes_t *newest = &h->recent_routes[0];
+	hub_routes_t *from = base.number ? find_kept(h, base) : NULL;
+	hub_routes_t *k = from && from != newest ? from : newest;
+
+	if (k->delta_size == 0 && delta_pack(k == newest ? NULL : k->routes, newest->routes,
+					     &k->delta, &k->delta_size) != STATUS_OK)
+		log_event(LOG_LEVEL_ERROR, "routes_not_packed",
+			  LOG_INT("number", newest->config.number),
+			  LOG_CSTR("what", status_message()));
+	return k;
+}
+
+static size_t on_send(void *ctx, uint64_t peer, fanout_config_id_t base)
+{
+	hub_t *h = ctx;
+	hub_peer_t *p = hub_peer(h, peer);
+	hub_routes_t *newest = &h->recent_routes[0];
+	hub_routes_t *k = packed(h, base);
+	link_msg_t m = {.kind = LINK_CONFIG};
+
+	if (!p || k->delta_size == 0)
+		return 0;
+	m.link_msg_t_u.conf = (link_config_t){
+		.text = {newest->config.number, newest->config.digest},
+		.size = k->delta_size,
+		.change = wire_bytes(str_buf(&k->delta)),
+	};
+	if (k != newest)
+		m.link_msg_t_u.conf.base = (link_config_id_t){k->config.number, k->config.digest};
+	hub_send(p, &m);
+	METRIC_INC("auburn_routes_sent_total");
+	metric_add(metric_get(METRIC_COUNTER, "auburn_routes_sent_bytes_total", NULL),
+		   (int64_t)k->delta.n);
+	return k->delta.n;
+}
+
+static void on_held(void *ctx, fanout_config_id_t text, size_t peers, int64_t ms)
+{
+	log_event(LOG_LEVEL_INFO, "text_held", LOG_INT("number", text.number),
+		  LOG_INT("entries", peers), LOG_INT("ms", ms));
+	metric_record(metric_get(METRIC_HISTOGRAM, "auburn_text_held_ms", NULL), ms);
+}
+
+/* ---- decoding ---- */
+
+typedef struct {
+	worker_task_t job;
+	hub_t *h;
+	uint64_t known; /* number of the newest text that was looked at */
+	wire_query_res_t res;
+	route_table_t *routes;
+	char message[256];
+} decode_t;
+
+static void read_newer(control_group_t *g, void *arg)
+{
+	decode_t *d = arg;
+	wire_query_t q = {.kind = WIRE_QUERY_CONFIG};
+
+	if (fleet_config_number(g->fleet) > d->known)
+		fleet_query(g->fleet, &q, &d->res);
+}
+
+static void decode_work(worker_task_t *j)
+{
+	decode_t *d = (decode_t *)j;
+
+	if (routes_decode(wire_str(d->res.conf.text), d->res.conf.number, &d->routes) != STATUS_OK)
+		snprintf(d->message, sizeof(d->message), "%s", status_message());
+}
+
+static void keep(hub_t *h, fanout_config_id_t text, route_table_t *routes)
+{
+	hub_routes_t *last = &h->recent_routes[HUB_RECENT_ROUTES - 1];
+
+	route_table_free(last->routes);
+	buf_free(&last->delta);
+	for (size_t i = HUB_RECENT_ROUTES - 1; i > 0; i--) {
+		h->recent_routes[i] = h->recent_routes[i - 1];
+		buf_free(&h->recent_routes[i].delta);
+		h->recent_routes[i].delta = (buf_t){0};
+		h->recent_routes[i].delta_size = 0;
+	}
+	h->recent_routes[0] = (hub_routes_t){.config = text, .routes = routes};
+	h->routes = routes;
+}
+
+static void decode_done(worker_task_t *j)
+{
+	decode_t *d = (decode_t *)j;
+	hub_t *h = d->h;
+	fanout_config_id_t text = {d->res.conf.number, str_hash(wire_str(d->res.conf.text))};
+
+	h->decoding = false;
+	h->config_seen = text.number;
+	if (d->routes) {
+		keep(h, text, d->routes);
+		log_event(LOG_LEVEL_INFO, "text_in_force", LOG_INT("number", text.number),
+			  LOG_INT("version", d->routes->version),
+			  LOG_INT("routes", d->routes->nroutes));
+		if (h->fan_out)
+			fanout_set_config(h->fan_out, text, clock_now_ms());
+		if (h->dispatch)
+			hub_dispatch_reroute(h);
+	} else {
+		/* Texts were decoded before they were accepted. */
+		log_event(LOG_LEVEL_ERROR, "text_unreadable", LOG_INT("number", text.number),
+			  LOG_CSTR("what", d->message));
+	}
+	wire_free(XDR_PROC(wire_query_res_t), &d->res);
+	free(d);
+}
+
+static void look(hub_t *h)
+{
+	decode_t *d;
+
+	if (h->decoding)
+		return;
+	d = mem_new(sizeof(*d));
+	d->job = (worker_task_t){decode_work, decode_done, NULL};
+	d->h = h;
+	d->known = h->config_seen;
+	control_group_read(&h->control->groups[0], read_newer, d);
+	if (d->res.conf.number == 0 || d->res.status != STATUS_OK) {
+		wire_free(XDR_PROC(wire_query_res_t), &d->res);
+		free(d);
+		return;
+	}
+	h->decoding = true;
+	worker_pool_submit(h->call_workers, &d->job);
+}
+
+/* ---- entries ---- */
+
+void hub_routes_start_leading(hub_t *h)
+{
+	fanout_callbacks_t cb = {h, on_send, on_held};
+
+	h->fan_out = fanout_new(&cb);
+	if (h->routes)
+		fanout_set_config(h->fan_out, h->recent_routes[0].config, clock_now_ms());
+	look(h);
+}
+
+void hub_routes_stop_leading(hub_t *h)
+{
+	fanout_free(h->fan_out);
+	h->fan_out = NULL;
+}
+
+void hub_routes_tick(hub_t *h, deadline_t now)
+{
+	look(h);
+	fanout_tick(h->fan_out, now);
+}
+
+void hub_routes_add_peer(hub_t *h, const hub_peer_t *p, const link_config_id_t *holds)
+{
+	if (h->fan_out && p->addr[0])
+		fanout_peer_add(h->fan_out, p->id,
+				(fanout_config_id_t){holds->number, holds->digest}, clock_now_ms());
+}
+
+void hub_routes_remove_peer(hub_t *h, const hub_peer_t *p)
+{
+	if (h->fan_out)
+		fanout_peer_remove(h->fan_out, p->id);
+}
+
+void hub_routes_ack(hub_t *h, const hub_peer_t *p, const link_config_id_t *holds)
+{
+	if (h->fan_out)
+		fanout_peer_acked(h->fan_out, p->id,
+				  (fanout_config_id_t){holds->number, holds->digest},
+				  clock_now_ms());
+}
--- /dev/null
+++ b/src/control/hub_view.c
@@ -0,0 +1,348 @@
+/* What the hub tells of: replicas, entries and control processes. */
+#include <stdlib.h>
+#include <string.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "control/hub.h"
+
+/** Entries that were known before this process began to lead count this long, in ms, until they
+ * have linked themselves. */
+#define INHERIT_MS 2000
+/** Changes are gathered this long for each peer that is told of them, in ms: what a view costs the
+ * leader stays under a tenth of a core. */
+#define VIEW_PEER_MS 1
+
+static bool same_upstream(const link_upstream_t *a, const link_upstream_t *b)
+{
+	return str_eq(wire_str(a->id), wire_str(b->id)) &&
+	       str_eq(wire_str(a->addr), wire_str(b->addr)) &&
+	       str_eq(wire_str(a->service), wire_str(b->service)) && a->slots == b->slots &&
+	       a->leaving == b->leaving && a->start_time == b->start_time;
+}
+
+/* Lists mostly keep their order, so the place in the other one is looked at first. */
+static const link_upstream_t *find_near(const link_view_t *v, str_t id, u_int place)
+{
+	if (place < v->upstreams.upstreams_len &&
+	    str_eq(wire_str(v->upstreams.upstreams_val[place].id), id))
+		return &v->upstreams.upstreams_val[place];
+	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
+		if (str_eq(wire_str(v->upstreams.upstreams_val[i].id), id))
+			return &v->upstreams.upstreams_val[i];
+	}
+	return NULL;
+}
+
+const link_upstream_t *hub_find_replica(const hub_t *h, str_t id)
+{
+	return find_near(&h->view, id, 0);
+}
+
+/* Logs what the list says anew; true when it differs from what was believed. */
+static bool compare(const link_view_t *was, const link_view_t *now)
+{
+	bool changed = was->upstreams.upstreams_len != now->upstreams.upstreams_len;
+
+	for (u_int i = 0; i < now->upstreams.upstreams_len; i++) {
+		const link_upstream_t *u = &now->upstreams.upstreams_val[i];
+		const link_upstream_t *old = find_near(was, wire_str(u->id), i);
+
+		if (old && same_upstream(old, u))
+			continue;
+		changed = true;
+		log_event(LOG_LEVEL_INFO, "replica_listed", LOG_STR("replica", wire_str(u->id)),
+			  LOG_STR("addr", wire_str(u->addr)), LOG_INT("slots", u->slots),
+			  LOG_INT("leaving", u->leaving), LOG_INT("born", u->start_time));
+	}
+	for (u_int i = 0; i < was->upstreams.upstreams_len; i++) {
+		const link_upstream_t *u = &was->upstreams.upstreams_val[i];
+
+		if (find_near(now, wire_str(u->id), i))
+			continue;
+		changed = true;
+		log_event(LOG_LEVEL_INFO, "replica_unlisted", LOG_STR("replica", wire_str(u->id)));
+	}
+	return changed;
+}
+
+static void tell_dispatcher(hub_t *h)
+{
+	u_int n = h->view.upstreams.upstreams_len;
+	dispatch_replica_t *v = mem_new((n + 1) * sizeof(*v));
+
+	for (u_int i = 0; i < n; i++) {
+		const link_upstream_t *u = &h->view.upstreams.upstreams_val[i];
+
+		v[i] = (dispatch_replica_t){wire_str(u->id),	  wire_str(u->zone),
+					    wire_str(u->service), u->slots,
+					    u->leaving,		  u->start_time};
+	}
+	dispatch_set_replicas(h->dispatch, v, n, clock_now_ms());
+	free(v);
+}
+
+/* What entries were told by replicas themselves comes before the list, which lags. */
+static void mark_leavers(hub_t *h, link_view_t *v)
+{
+	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
+		link_upstream_t *u = &v->upstreams.upstreams_val[i];
+
+		if (leaving_check(h->leaving_replicas,
+				  (leaving_replica_t){wire_str(u->id), u->start_time}))
+			u->leaving = true;
+	}
+}
+
+void hub_view_note_leaving(hub_t *h, const hub_peer_t *p, const link_leaving_t *m)
+{
+	str_t id = wire_str(m->replica);
+	const link_upstream_t *u = hub_find_replica(h, id);
+
+	/* One that has started again since then doesn't leave. */
+	if ((u && m->start_time && u->start_time > m->start_time) ||
+	    !leaving_add(h->leaving_replicas, (leaving_replica_t){id, m->start_time}))
+		return;
+	log_event(LOG_LEVEL_INFO, "replica_leaves", LOG_STR("replica", id),
+		  LOG_INT("born", m->start_time), LOG_CSTR("entry", p->name));
+	mark_leavers(h, &h->view);
+	h->view_changed = true;
+	if (h->dispatch)
+		dispatch_replica_leaving(h->dispatch, id);
+}
+
+void hub_view_start_leading(hub_t *h)
+{
+	tell_dispatcher(h);
+	h->next_list_read = 0;
+	h->view_changed = true;
+}
+
+static void on_list(void *ctx, link_view_t *v)
+{
+	hub_t *h = ctx;
+
+	if (h->role != HUB_LEADER)
+		return;
+	h->last_list_read = clock_now_ms();
+	mark_leavers(h, v);
+	if (compare(&h->view, v)) {
+		link_view_t old = {.upstreams = h->view.upstreams};
+
+		h->view.upstreams = v->upstreams;
+		v->upstreams = old.upstreams;
+		h->rings_stale = true;
+		h->view_changed = true;
+	}
+	tell_dispatcher(h);
+}
+
+static void set_entries(hub_t *h)
+{
+	size_t n = HASH_COUNT(h->peers);
+	link_entry_t *v = mem_new((n + 1) * sizeof(*v));
+	wire_bytes_t *c = mem_new((n + 2) * sizeof(*c));
+	u_int entries = 0;
+	u_int controls = 0;
+
+	c[controls++] = wire_copy(str_c(h->control->settings.listen));
+	for (hub_peer_t *p = h->peers; p; p = p->hh.next) {
+		if (p->registered && p->rpc_addr[0])
+			c[controls++] = wire_copy(str_c(p->rpc_addr));
+		if (p->registered && p->addr[0] && !p->draining)
+			v[entries++] = (link_entry_t){wire_copy(str_c(p->addr)),
+						      wire_copy(str_c(p->zone))};
+	}
+	for (u_int i = 0; i < h->view.entries.entries_len; i++)
+		wire_free(XDR_PROC(link_entry_t), &h->view.entries.entries_val[i]);
+	for (u_int i = 0; i < h->view.controls.controls_len; i++)
+		wire_free(XDR_PROC(wire_bytes_t), &h->view.controls.controls_val[i]);
+	free(h->view.entries.entries_val);
+	free(h->view.controls.controls_val);
+	h->view.entries.entries_val = v;
+	h->view.entries.entries_len = entries;
+	h->view.controls.controls_val = c;
+	h->view.controls.controls_len = controls;
+	h->rings_stale = true;
+}
+
+int64_t hub_list_age_ms(const hub_t *h)
+{
+	return h->last_list_read ? clock_now_ms() - h->last_list_read : -1;
+}
+
+static uint64_t mix(uint64_t h, uint64_t x)
+{
+	return (h ^ x) * 0x9e3779b97f4a7c15ULL;
+}
+
+static uint64_t upstream_digest(const link_upstream_t *u)
+{
+	uint64_t h = mix(str_hash(wire_str(u->id)), str_hash(wire_str(u->addr)));
+
+	return mix(mix(h, str_hash(wire_str(u->service))), u->start_time * 2 + u->leaving);
+}
+
+static void build_rings(hub_t *h)
+{
+	const link_view_t *v = &h->view;
+
+	h->upstream_ring =
+		mem_grow(h->upstream_ring, (v->upstreams.upstreams_len + 1) * sizeof(ring_point_t));
+	h->entry_ring =
+		mem_grow(h->entry_ring, (v->entries.entries_len + 1) * sizeof(ring_point_t));
+	for (u_int i = 0; i < v->upstreams.upstreams_len; i++)
+		h->upstream_ring[i] =
+			(ring_point_t){str_hash(wire_str(v->upstreams.upstreams_val[i].id)), i};
+	for (u_int i = 0; i < v->entries.entries_len; i++)
+		h->entry_ring[i] =
+			(ring_point_t){str_hash(wire_str(v->entries.entries_val[i].addr)), i};
+	ring_sort(h->upstream_ring, v->upstreams.upstreams_len);
+	ring_sort(h->entry_ring, v->entries.entries_len);
+	h->rings_stale = false;
+}
+
+/* The share of the list of upstreams; returns its digest. */
+static uint64_t share_upstreams(const hub_t *h, uint64_t self, link_upstream_t *out, u_int *n)
+{
+	size_t at[HUB_SHARE_MAX];
+	uint64_t digest = 1;
+
+	*n = (u_int)ring_successors(h->upstream_ring, h->view.upstreams.upstreams_len, self, at,
+				    HUB_SHARE_MAX);
+	for (u_int k = 0; k < *n; k++) {
+		out[k] = h->view.upstreams.upstreams_val[at[k]];
+		digest = mix(digest, upstream_digest(&out[k]));
+	}
+	return digest | 1;
+}
+
+static uint64_t share_entries(const hub_t *h, uint64_t self, link_entry_t *out, u_int *n)
+{
+	size_t at[HUB_SHARE_MAX];
+	uint64_t digest = 1;
+
+	*n = (u_int)ring_successors(h->entry_ring, h->view.entries.entries_len, self, at,
+				    HUB_SHARE_MAX);
+	for (u_int k = 0; k < *n; k++) {
+		out[k] = h->view.entries.entries_val[at[k]];
+		digest = mix(digest, str_hash(wire_str(out[k].addr)));
+	}
+	return digest | 1;
+}
+
+static uint64_t controls_digest(const hub_t *h)
+{
+	uint64_t digest = 1;
+
+	for (u_int i = 0; i < h->view.controls.controls_len; i++)
+		digest = mix(digest, str_hash(wire_str(h->view.controls.controls_val[i])));
+	return digest | 1;
+}
+
+/*
+ * Grants name their replica's address, so an entry needs the list only while it has no leader, and
+ * a caller is told no more entries than this. With hundreds of entries before thousands of replicas
+ * whole lists to all would be most of what the leader sends; so would shares that it has told
+ * before.
+ */
+static void send_share(hub_t *h, hub_peer_t *p)
+{
+	link_msg_t m = {.kind = LINK_VIEW};
+	link_view_t *v = &m.link_msg_t_u.view;
+	link_upstream_t upstreams[HUB_SHARE_MAX];
+	link_entry_t entries[HUB_SHARE_MAX];
+	uint64_t self = str_hash(str_c(p->addr));
+	uint64_t upstreams_digest;
+	uint64_t entries_digest;
+	uint64_t controls = controls_digest(h);
+
+	if (h->rings_stale)
+		build_rings(h);
+	v->upstreams.upstreams_val = upstreams;
+	v->entries.entries_val = entries;
+	upstreams_digest = share_upstreams(h, self, upstreams, &v->upstreams.upstreams_len);
+	entries_digest = share_entries(h, self, entries, &v->entries.entries_len);
+	v->has_upstreams = upstreams_digest != p->sent_upstreams;
+	v->has_entries = entries_digest != p->sent_entries;
+	if (!v->has_upstreams && !v->has_entries && controls == p->sent_controls)
+		return;
+	if (!v->has_upstreams)
+		v->upstreams.upstreams_len = 0;
+	if (!v->has_entries)
+		v->entries.entries_len = 0;
+	p->sent_upstreams = upstreams_digest;
+	p->sent_entries = entries_digest;
+	p->sent_controls = controls;
+	v->controls = h->view.controls;
+	v->age_ms = (u_int)hub_list_age_ms(h); /* -1 becomes UINT32_MAX */
+	hub_send(p, &m);
+	METRIC_INC("auburn_views_sent_total");
+}
+
+/* A control process may lead next and needs all. */
+static void send_view(hub_t *h, hub_peer_t *p)
+{
+	link_msg_t m = {.kind = LINK_VIEW};
+
+	if (!p->rpc_addr[0]) {
+		send_share(h, p);
+		return;
+	}
+	m.link_msg_t_u.view = h->view;
+	m.link_msg_t_u.view.has_upstreams = m.link_msg_t_u.view.has_entries = true;
+	m.link_msg_t_u.view.age_ms = (u_int)hub_list_age_ms(h);
+	hub_send(p, &m);
+}
+
+void hub_view_send(hub_t *h, hub_peer_t *p)
+{
+	send_view(h, p);
+}
+
+void hub_view_init(hub_t *h)
+{
+	h->leaving_replicas = leaving_new();
+	if (h->control->settings.upstream_list)
+		h->upstream_list = upstream_list_new(
+			&(upstream_list_options_t){.loop = h->loop,
+						   .http = h->http,
+						   .addr = h->control->settings.upstream_list,
+						   .ctx = h,
+						   .list = on_list});
+}
+
+void hub_view_tick(hub_t *h, deadline_t now)
+{
+	group_status_t st;
+
+	if (h->upstream_list && now >= h->next_list_read) {
+		upstream_list_read(h->upstream_list);
+		h->next_list_read = now + HUB_LIST_PERIOD_MS;
+	}
+	if (!h->view_changed)
+		return;
+	group_get_status(h->control->groups[0].raft, &st);
+	/* Callers are still told the entries that the leader before knew. */
+	if (now - st.leader_since < INHERIT_MS &&
+	    h->view.entries.entries_len > HASH_COUNT(h->peers))
+		return;
+	if (now < h->next_view)
+		return;
+	h->next_view = now + (deadline_t)HASH_COUNT(h->peers) * VIEW_PEER_MS;
+	h->view_changed = false;
+	set_entries(h);
+	for (hub_peer_t *p = h->peers; p; p = p->hh.next) {
+		if (p->registered)
+			send_view(h, p);
+	}
+}
+
+void hub_view_adopt(hub_t *h, const link_view_t *v)
+{
+	wire_free(XDR_PROC(link_view_t), &h->view);
+	wire_dup(XDR_PROC(link_view_t), v, &h->view, sizeof(h->view));
+	h->rings_stale = true;
+	h->last_list_read = v->age_ms == UINT32_MAX ? 0 : clock_now_ms() - v->age_ms;
+	for (u_int i = 0; i < v->controls.controls_len; i++)
+		leader_link_add_control(h->leader_link, wire_str(v->controls.controls_val[i]));
+}
--- a/src/ctl/ct.h
+++ b/src/ctl/ctl.h
@@ -1,22 +1,22 @@
 /** auburnctl: what its files show each other. */
-#ifndef AUBURN_CT_H
-#define AUBURN_CT_H
+#ifndef AUBURN_CTL_H
+#define AUBURN_CTL_H
 
 #include <jansson.h>
-#include "base/cf.h"
+#include "base/toml.h"
 #include "base/status.h"
 #include "base/str.h"
 
 typedef struct {
-	cf_strs_t entries; /* ip:port of entries to start from */
-	cf_strs_t controls; /* ip:port of control processes */
+	toml_strs_t entries; /* ip:port of entries to start from */
+	toml_strs_t controls; /* ip:port of control processes */
 	char *key; /* caller's bearer key */
 	char *operator_key; /* operator's bearer key */
-} ct_settings_t;
+} ctl_settings_t;
 
 /** Options and words of the command line. */
 typedef struct {
-	ct_settings_t s;
+	ctl_settings_t s;
 	const char *words[4]; /* NULL-ended: group, action, argument */
 	const char *service;
 	const char *key;
@@ -27,27 +27,27 @@
 	int deadline_ms;
 	bool json;
 	bool wait;
-} ct_t;
+} ctl_t;
 
 /** Runs one command; gives the exit code. */
-typedef int (*ct_command_t)(ct_t *ct);
+typedef int (*ctl_command_t)(ctl_t *ct);
 
-int ct_config_check(ct_t *ct);
-int ct_config_submit(ct_t *ct);
-int ct_config_show(ct_t *ct);
-int ct_config_diff(ct_t *ct);
-int ct_job_submit(ct_t *ct);
-int ct_job_status(ct_t *ct);
-int ct_job_results(ct_t *ct);
-int ct_job_cancel(ct_t *ct);
-int ct_job_list(ct_t *ct);
-int ct_request_send(ct_t *ct);
-int ct_request_show(ct_t *ct);
-int ct_status(ct_t *ct);
-int ct_trace(ct_t *ct);
-int ct_explain(ct_t *ct);
+int ctl_config_check(ctl_t *ct);
+int ctl_config_submit(ctl_t *ct);
+int ctl_config_show(ctl_t *ct);
+int ctl_config_diff(ctl_t *ct);
+int ctl_job_submit(ctl_t *ct);
+int ctl_job_status(ctl_t *ct);
+int ctl_job_results(ctl_t *ct);
+int ctl_job_cancel(ctl_t *ct);
+int ctl_job_list(ctl_t *ct);
+int ctl_request_send(ctl_t *ct);
+int ctl_request_show(ctl_t *ct);
+int ctl_status(ctl_t *ct);
+int ctl_trace(ctl_t *ct);
+int ctl_explain(ctl_t *ct);
 
-status_t ct_settings_load(const char *path, ct_settings_t *s);
+status_t ctl_settings_load(const char *path, ctl_settings_t *s);
 
 /* ct_http.c */
 typedef struct {
@@ -60,21 +60,22 @@
 	/** Called with each piece of a good answer instead of keeping it; may be NULL. */
 	void (*on_piece)(void *ctx, str_t piece);
 	void *ctx;
-} ct_call_t;
+} ctl_call_t;
 
 /** Asks the entries in turn, first those that GET /v1/addresses names; *http gets the status code.
- *  ST_UNAVAILABLE when none was reached. */
-status_t ct_call(ct_t *ct, const ct_call_t *call, buf_t *out, long *http);
+ *  STATUS_UNAVAILABLE when none was reached. */
+status_t ctl_call(ctl_t *ct, const ctl_call_t *call, buf_t *out, long *http);
 /** The same to one entry only. */
-status_t ct_call_at(ct_t *ct, const char *addr, const ct_call_t *call, buf_t *out, long *http);
+status_t ctl_call_entry(ctl_t *ct, const char *addr, const ctl_call_t *call, buf_t *out,
+			long *http);
 /** All entries of the fleet that are known: from the view if one answers, else from the settings.
  */
-void ct_entries(ct_t *ct, cf_strs_t *out);
+void ctl_list_entries(ctl_t *ct, toml_strs_t *out);
 /** Prints an error answer and gives the exit code. */
-int ct_show_error(status_t st, long http, const buf_t *body);
+int ctl_print_error(status_t st, long http, const buf_t *body);
 /** Runs the call, prints the body and gives the exit code. */
-int ct_call_print(ct_t *ct, const ct_call_t *call);
+int ctl_call_print(ctl_t *ct, const ctl_call_t *call);
 /** Reads a file, "-" for standard input. */
-status_t ct_read_file(const char *path, buf_t *out);
+status_t ctl_read_file(const char *path, buf_t *out);
 
 #endif
