--- a/src/ctl/ct_explain.c
+++ b/src/ctl/ctl_explain.c
@@ -1,9 +1,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/ar.h"
-#include "client/cc.h"
-#include "ctl/ct.h"
+#include "base/args.h"
+#include "client/control_client.h"
+#include "ctl/ctl.h"
 
 #define ASK_MS	    2000
 #define LINES_MAX   500
@@ -29,44 +29,44 @@
 	}
 }
 
-static void from_entries(ct_t *ct, const char *needle, lines_t *l)
+static void from_entries(ctl_t *ct, const char *needle, lines_t *l)
 {
 	char path[PATH_BYTES];
-	ct_call_t call = {.method = "GET", .path = path, .as_operator = true};
-	cf_strs_t addrs;
+	ctl_call_t call = {.method = "GET", .path = path, .as_operator = true};
+	toml_strs_t addrs;
 
 	snprintf(path, sizeof(path), "/v1/events?key=%s&max=%d", needle, LINES_MAX);
-	ct_entries(ct, &addrs);
+	ctl_list_entries(ct, &addrs);
 	for (size_t i = 0; i < addrs.n; i++) {
 		AUTO_BUF body = {0};
 		long http = 0;
 
-		if (ct_call_at(ct, addrs.v[i], &call, &body, &http) == ST_OK && http == 200)
+		if (ctl_call_entry(ct, addrs.v[i], &call, &body, &http) == STATUS_OK && http == 200)
 			add_lines(l, str_buf(&body));
 		else
 			fprintf(stderr, "auburnctl: entry %s was not reached\n", addrs.v[i]);
 	}
-	cf_strs_free(&addrs);
+	toml_strs_free(&addrs);
 }
 
-static void from_controls(ct_t *ct, const char *needle, lines_t *l)
+static void from_controls(ctl_t *ct, const char *needle, lines_t *l)
 {
-	cc_t *cc;
+	control_client_t *cc;
 
 	if (ct->s.controls.n == 0)
 		return;
-	cc = cc_new((const char *const *)ct->s.controls.v, ct->s.controls.n, 1);
+	cc = control_client_new((const char *const *)ct->s.controls.v, ct->s.controls.n, 1);
 	for (size_t i = 0; i < ct->s.controls.n; i++) {
 		AUTO_BUF text = {0};
 
-		if (cc_events(cc, i, str_c(needle), LINES_MAX, &text, clk_now_ms() + ASK_MS) ==
-		    ST_OK)
+		if (control_client_events(cc, i, str_c(needle), LINES_MAX, &text,
+					  clock_now_ms() + ASK_MS) == STATUS_OK)
 			add_lines(l, str_buf(&text));
 		else
 			fprintf(stderr, "auburnctl: control %s was not reached\n",
 				ct->s.controls.v[i]);
 	}
-	cc_free(cc);
+	control_client_free(cc);
 }
 
 /* Lines begin with t=MS, so their text order is their order in time. */
@@ -84,7 +84,7 @@
 	return false;
 }
 
-static void gather(ct_t *ct, const char *needle, lines_t *l)
+static void gather(ctl_t *ct, const char *needle, lines_t *l)
 {
 	lines_t found = {0};
 
@@ -108,25 +108,25 @@
 	}
 	free(l->v);
 	if (l->n)
-		return AR_OK;
+		return EXIT_OK;
 	fprintf(stderr, "auburnctl: no process remembers %s\n", needle);
-	return AR_FAILED;
+	return EXIT_FAILED;
 }
 
-int ct_trace(ct_t *ct)
+int ctl_trace(ctl_t *ct)
 {
 	lines_t l = {0};
 
 	if (!ct->words[1]) {
 		fprintf(stderr, "auburnctl: a trace id is missing\n");
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	gather(ct, ct->words[1], &l);
 	return print_lines(&l, ct->words[1]);
 }
 
 /* The trace ids that lines of the key name; spans at other hops know only those. */
-static void add_traces(ct_t *ct, lines_t *l)
+static void add_traces(ctl_t *ct, lines_t *l)
 {
 	char last[TRACE_CHARS + 1] = "";
 	size_t n = l->n;
@@ -145,13 +145,13 @@
 	}
 }
 
-int ct_explain(ct_t *ct)
+int ctl_explain(ctl_t *ct)
 {
 	lines_t l = {0};
 
 	if (!ct->words[1]) {
 		fprintf(stderr, "auburnctl: a key is missing\n");
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	gather(ct, ct->words[1], &l);
 	add_traces(ct, &l);
--- a/src/ctl/ct_http.c
+++ b/src/ctl/ctl_http.c
@@ -3,8 +3,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/ar.h"
-#include "ctl/ct.h"
+#include "base/args.h"
+#include "ctl/ctl.h"
 
 #define CONNECT_MS   1000L
 #define HEADER_BYTES 512
@@ -12,7 +12,7 @@
 #define RETRY_ROUNDS 3
 
 typedef struct {
-	const ct_call_t *call;
+	const ctl_call_t *call;
 	CURL *curl;
 	buf_t *out;
 } sink_t;
@@ -50,7 +50,7 @@
 	return curl_slist_append(h, line.p);
 }
 
-static struct curl_slist *headers_of(const ct_t *ct, const ct_call_t *call)
+static struct curl_slist *headers_of(const ctl_t *ct, const ctl_call_t *call)
 {
 	const char *key = call->as_operator ? ct->s.operator_key : ct->s.key;
 	struct curl_slist *h = curl_slist_append(NULL, "Expect:");
@@ -64,7 +64,7 @@
 	return curl_slist_append(h, "Content-Type: application/octet-stream");
 }
 
-static void set_body(CURL *c, const ct_call_t *call)
+static void set_body(CURL *c, const ctl_call_t *call)
 {
 	curl_easy_setopt(c, CURLOPT_CUSTOMREQUEST, call->method);
 	if (!call->body.p)
@@ -73,7 +73,7 @@
 	curl_easy_setopt(c, CURLOPT_POSTFIELDSIZE_LARGE, (curl_off_t)call->body.n);
 }
 
-status_t ct_call_at(ct_t *ct, const char *addr, const ct_call_t *call, buf_t *out, long *http)
+status_t ctl_call_entry(ctl_t *ct, const char *addr, const ctl_call_t *call, buf_t *out, long *http)
 {
 	CURL *c = curl_easy_init();
 	struct curl_slist *h = headers_of(ct, call);
@@ -101,19 +101,19 @@
 	curl_slist_free_all(h);
 	curl_easy_cleanup(c);
 	if (rc != CURLE_OK)
-		return st_fail(ST_UNAVAILABLE, "%s: %s", addr, curl_easy_strerror(rc));
-	return ST_OK;
+		return status_fail(STATUS_UNAVAILABLE, "%s: %s", addr, curl_easy_strerror(rc));
+	return STATUS_OK;
 }
 
-static void add_strs(cf_strs_t *s, const char *v)
+static void add_strs(toml_strs_t *s, const char *v)
 {
 	s->v = mem_grow(s->v, (s->n + 1) * sizeof(*s->v));
 	s->v[s->n++] = str_dup(str_c(v));
 }
 
-static bool entries_from(ct_t *ct, const char *addr, cf_strs_t *out)
+static bool entries_from(ctl_t *ct, const char *addr, toml_strs_t *out)
 {
-	ct_call_t call = {.method = "GET", .path = "/v1/addresses"};
+	ctl_call_t call = {.method = "GET", .path = "/v1/addresses"};
 	AUTO_BUF body = {0};
 	long http = 0;
 	json_t *root;
@@ -121,7 +121,7 @@
 	json_t *a;
 	size_t i;
 
-	if (ct_call_at(ct, addr, &call, &body, &http) != ST_OK || http != 200)
+	if (ctl_call_entry(ct, addr, &call, &body, &http) != STATUS_OK || http != 200)
 		return false;
 	root = json_loadb(body.p, body.n, 0, NULL);
 	list = json_object_get(root, "addresses");
@@ -136,9 +136,9 @@
 	return out->n > 0;
 }
 
-void ct_entries(ct_t *ct, cf_strs_t *out)
+void ctl_list_entries(ctl_t *ct, toml_strs_t *out)
 {
-	*out = (cf_strs_t){0};
+	*out = (toml_strs_t){0};
 	for (size_t i = 0; i < ct->s.entries.n; i++) {
 		if (entries_from(ct, ct->s.entries.v[i], out))
 			return;
@@ -147,75 +147,75 @@
 		add_strs(out, ct->s.entries.v[i]);
 }
 
-static status_t try_all(ct_t *ct, const cf_strs_t *addrs, const ct_call_t *call, buf_t *out,
+static status_t try_all(ctl_t *ct, const toml_strs_t *addrs, const ctl_call_t *call, buf_t *out,
 			long *http)
 {
-	status_t st = ST_UNAVAILABLE;
+	status_t st = STATUS_UNAVAILABLE;
 
 	for (size_t i = 0; i < addrs->n; i++) {
 		out->n = 0;
-		st = ct_call_at(ct, addrs->v[i], call, out, http);
-		if (st == ST_OK && *http != 503)
-			return ST_OK;
+		st = ctl_call_entry(ct, addrs->v[i], call, out, http);
+		if (st == STATUS_OK && *http != 503)
+			return STATUS_OK;
 	}
 	return st;
 }
 
 /* Every call carries an idempotency key or is a read, so it may be sent again elsewhere. */
-status_t ct_call(ct_t *ct, const ct_call_t *call, buf_t *out, long *http)
+status_t ctl_call(ctl_t *ct, const ctl_call_t *call, buf_t *out, long *http)
 {
-	cf_strs_t addrs;
-	status_t st = ST_UNAVAILABLE;
+	toml_strs_t addrs;
+	status_t st = STATUS_UNAVAILABLE;
 
-	ct_entries(ct, &addrs);
+	ctl_list_entries(ct, &addrs);
 	for (int round = 0; round < RETRY_ROUNDS; round++) {
 		st = try_all(ct, &addrs, call, out, http);
-		if (st == ST_OK && *http != 503)
+		if (st == STATUS_OK && *http != 503)
 			break;
 	}
-	cf_strs_free(&addrs);
+	toml_strs_free(&addrs);
 	return st;
 }
 
-int ct_show_error(status_t st, long http, const buf_t *body)
+int ctl_print_error(status_t st, long http, const buf_t *body)
 {
-	if (st != ST_OK) {
-		fprintf(stderr, "auburnctl: no entry was reached: %s\n", st_message());
-		return AR_UNREACHED;
+	if (st != STATUS_OK) {
+		fprintf(stderr, "auburnctl: no entry was reached: %s\n", status_message());
+		return EXIT_UNREACHED;
 	}
 	fprintf(stderr, "auburnctl: status %ld: %s\n", http, body->p ? body->p : "");
-	return AR_FAILED;
+	return EXIT_FAILED;
 }
 
-int ct_call_print(ct_t *ct, const ct_call_t *call)
+int ctl_call_print(ctl_t *ct, const ctl_call_t *call)
 {
 	AUTO_BUF body = {0};
 	long http = 0;
-	status_t st = ct_call(ct, call, &body, &http);
+	status_t st = ctl_call(ct, call, &body, &http);
 
-	if (st != ST_OK || http >= 300)
-		return ct_show_error(st, http, &body);
+	if (st != STATUS_OK || http >= 300)
+		return ctl_print_error(st, http, &body);
 	if (body.n) {
 		fwrite(body.p, 1, body.n, stdout);
 		if (body.p[body.n - 1] != '\n')
 			putchar('\n');
 	}
-	return AR_OK;
+	return EXIT_OK;
 }
 
-status_t ct_read_file(const char *path, buf_t *out)
+status_t ctl_read_file(const char *path, buf_t *out)
 {
 	FILE *f = strcmp(path, "-") == 0 ? stdin : fopen(path, "rb");
 	char *piece;
 	size_t n;
 
 	if (!f)
-		return st_fail(ST_NOT_FOUND, "%s: %s", path, strerror(errno));
+		return status_fail(STATUS_NOT_FOUND, "%s: %s", path, strerror(errno));
 	piece = mem_new(READ_BYTES);
 	while ((n = fread(piece, 1, READ_BYTES, f)) > 0)
 		buf_add(out, (str_t){piece, n});
 	free(piece);
 	if (f != stdin)
 		fclose(f);
-	return ST_OK;
+	return STATUS_OK;
 }
--- a/src/ctl/ct_request.c
+++ b/src/ctl/ctl_request.c
@@ -1,8 +1,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/ar.h"
-#include "ctl/ct.h"
+#include "base/args.h"
+#include "ctl/ctl.h"
 
 #define PATH_BYTES 1024
 
@@ -41,28 +41,28 @@
 		size_t n = (size_t)(end - p->rest.p);
 
 		print_event(p, (str_t){p->rest.p, n});
-		buf_drop(&p->rest, n + 1);
+		buf_drop_front(&p->rest, n + 1);
 	}
 }
 
-static int call_plain(ct_t *ct)
+static int call_plain(ctl_t *ct)
 {
 	char path[PATH_BYTES];
-	ct_call_t call = {.method = "POST", .path = path, .idempotency_key = ct->key};
+	ctl_call_t call = {.method = "POST", .path = path, .idempotency_key = ct->key};
 
 	snprintf(path, sizeof(path), "/v1/services/%s/%s", ct->service, ct->path);
 	call.body = str_c(ct->prompt ? ct->prompt : "{}");
-	return ct_call_print(ct, &call);
+	return ctl_call_print(ct, &call);
 }
 
-int ct_request_send(ct_t *ct)
+int ctl_request_send(ctl_t *ct)
 {
 	printer_t printer = {.raw = ct->json};
-	ct_call_t call = {.method = "POST",
-			  .path = "/v1/completions",
-			  .idempotency_key = ct->key,
-			  .on_piece = on_piece,
-			  .ctx = &printer};
+	ctl_call_t call = {.method = "POST",
+			   .path = "/v1/completions",
+			   .idempotency_key = ct->key,
+			   .on_piece = on_piece,
+			   .ctx = &printer};
 	AUTO_BUF answer = {0};
 	char *body;
 	long http = 0;
@@ -71,7 +71,7 @@
 
 	if (!ct->service || (!ct->prompt && !ct->path)) {
 		fprintf(stderr, "auburnctl: --service and --prompt (or --path) are needed\n");
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	if (ct->path)
 		return call_plain(ct);
@@ -80,24 +80,24 @@
 	body = json_dumps(o, JSON_COMPACT);
 	json_decref(o);
 	call.body = str_c(body);
-	st = ct_call(ct, &call, &answer, &http);
+	st = ctl_call(ct, &call, &answer, &http);
 	free(body);
 	buf_free(&printer.rest);
-	if (st != ST_OK || http != 200)
-		return ct_show_error(st, http, &answer);
+	if (st != STATUS_OK || http != 200)
+		return ctl_print_error(st, http, &answer);
 	putchar('\n');
-	return AR_OK;
+	return EXIT_OK;
 }
 
-int ct_request_show(ct_t *ct)
+int ctl_request_show(ctl_t *ct)
 {
 	char path[PATH_BYTES];
-	ct_call_t call = {.method = "GET", .path = path};
+	ctl_call_t call = {.method = "GET", .path = path};
 
 	if (!ct->words[2]) {
 		fprintf(stderr, "auburnctl: a key is missing\n");
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	snprintf(path, sizeof(path), "/v1/requests/%s", ct->words[2]);
-	return ct_call_print(ct, &call);
+	return ctl_call_print(ct, &call);
 }
--- a/src/ctl/ct_status.c
+++ b/src/ctl/ctl_status.c
@@ -1,53 +1,53 @@
 #include <stdio.h>
 #include <string.h>
-#include "base/ar.h"
-#include "client/cc.h"
-#include "ctl/ct.h"
+#include "base/args.h"
+#include "client/control_client.h"
+#include "ctl/ctl.h"
 
 #define ASK_MS 2000
 
-static json_t *control_status(ct_t *ct)
+static json_t *control_status(ctl_t *ct)
 {
 	json_t *all = json_array();
-	cc_t *cc;
+	control_client_t *cc;
 
 	if (ct->s.controls.n == 0)
 		return all;
-	cc = cc_new((const char *const *)ct->s.controls.v, ct->s.controls.n, 1);
+	cc = control_client_new((const char *const *)ct->s.controls.v, ct->s.controls.n, 1);
 	for (size_t i = 0; i < ct->s.controls.n; i++) {
 		AUTO_BUF text = {0};
 		json_t *o = NULL;
 
-		if (cc_status(cc, i, &text, clk_now_ms() + ASK_MS) == ST_OK)
+		if (control_client_status(cc, i, &text, clock_now_ms() + ASK_MS) == STATUS_OK)
 			o = json_loadb(text.p, text.n, 0, NULL);
 		if (!o)
 			o = json_pack("{s:s,s:s}", "addr", ct->s.controls.v[i], "state",
 				      "unreached");
 		json_array_append_new(all, o);
 	}
-	cc_free(cc);
+	control_client_free(cc);
 	return all;
 }
 
-static json_t *entry_status(ct_t *ct)
+static json_t *entry_status(ctl_t *ct)
 {
-	ct_call_t call = {.method = "GET", .path = "/v1/status", .as_operator = true};
+	ctl_call_t call = {.method = "GET", .path = "/v1/status", .as_operator = true};
 	json_t *all = json_array();
-	cf_strs_t addrs;
+	toml_strs_t addrs;
 
-	ct_entries(ct, &addrs);
+	ctl_list_entries(ct, &addrs);
 	for (size_t i = 0; i < addrs.n; i++) {
 		AUTO_BUF body = {0};
 		long http = 0;
 		json_t *o = NULL;
 
-		if (ct_call_at(ct, addrs.v[i], &call, &body, &http) == ST_OK && http == 200)
+		if (ctl_call_entry(ct, addrs.v[i], &call, &body, &http) == STATUS_OK && http == 200)
 			o = json_loadb(body.p, body.n, 0, NULL);
 		if (!o)
 			o = json_pack("{s:s,s:i}", "unreached", addrs.v[i], "http", (int)http);
 		json_array_append_new(all, o);
 	}
-	cf_strs_free(&addrs);
+	toml_strs_free(&addrs);
 	return all;
 }
 
@@ -118,7 +118,7 @@
 	}
 }
 
-int ct_status(ct_t *ct)
+int ctl_status(ctl_t *ct)
 {
 	json_t *root =
 		json_pack("{s:o,s:o}", "controls", control_status(ct), "entries", entry_status(ct));
@@ -131,5 +131,5 @@
 		print_entries(json_object_get(root, "entries"));
 	}
 	json_decref(root);
-	return AR_OK;
+	return EXIT_OK;
 }
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -3,42 +3,42 @@
 #include <curl/curl.h>
 #include <stdio.h>
 #include <string.h>
-#include "base/ar.h"
-#include "ctl/ct.h"
+#include "base/args.h"
+#include "ctl/ctl.h"
 
 #define WORDS_MAX 3
 
 static const struct {
 	const char *group;
 	const char *action; /* NULL: the group alone is the command */
-	ct_command_t run;
+	ctl_command_t run;
 	const char *help;
 } commands[] = {
-	{"config", "check", ct_config_check, "config check FILE        check a text"},
-	{"config", "submit", ct_config_submit,
+	{"config", "check", ctl_config_check, "config check FILE        check a text"},
+	{"config", "submit", ctl_config_submit,
 	 "config submit FILE       submit a text [--number N]"},
-	{"config", "show", ct_config_show,
+	{"config", "show", ctl_config_show,
 	 "config show              the text in force [--number N]"},
-	{"config", "diff", ct_config_diff,
+	{"config", "diff", ctl_config_diff,
 	 "config diff FILE         lines that differ from the one in force"},
-	{"job", "submit", ct_job_submit,
+	{"job", "submit", ctl_job_submit,
 	 "job submit FILE          --service S --key ID [--deadline-ms N] [--wait]"},
-	{"job", "status", ct_job_status, "job status ID            counts of a job [--wait]"},
-	{"job", "results", ct_job_results, "job results ID           results as JSON lines"},
-	{"job", "cancel", ct_job_cancel, "job cancel ID            stop a job"},
-	{"job", "list", ct_job_list, "job list                 the caller's jobs"},
-	{"request", "send", ct_request_send,
+	{"job", "status", ctl_job_status, "job status ID            counts of a job [--wait]"},
+	{"job", "results", ctl_job_results, "job results ID           results as JSON lines"},
+	{"job", "cancel", ctl_job_cancel, "job cancel ID            stop a job"},
+	{"job", "list", ctl_job_list, "job list                 the caller's jobs"},
+	{"request", "send", ctl_request_send,
 	 "request send             --service S --prompt P [--max-tokens N] [--path P] [--key K]"},
-	{"request", "show", ct_request_show,
+	{"request", "show", ctl_request_show,
 	 "request show KEY         state and result of a request"},
-	{"status", NULL, ct_status,
+	{"status", NULL, ctl_status,
 	 "status                   every process, its number in force, owners, queues"},
-	{"trace", NULL, ct_trace, "trace ID                 the spans of a trace"},
-	{"explain", NULL, ct_explain,
+	{"trace", NULL, ctl_trace, "trace ID                 the spans of a trace"},
+	{"explain", NULL, ctl_explain,
 	 "explain KEY              what the processes decided about a key"},
 };
 
-static ct_command_t find_command(const ct_t *ct)
+static ctl_command_t find_command(const ctl_t *ct)
 {
 	for (size_t i = 0; i < sizeof(commands) / sizeof(commands[0]); i++) {
 		if (!ct->words[0] || strcmp(ct->words[0], commands[i].group) != 0)
@@ -60,22 +60,22 @@
 	arg_print_glossary(stdout, table, "  %-24s %s\n");
 }
 
-static int run(ct_t *ct, const char *config)
+static int run(ctl_t *ct, const char *config)
 {
-	ct_command_t command = find_command(ct);
-	bool local = command == ct_config_check;
+	ctl_command_t command = find_command(ct);
+	bool local = command == ctl_config_check;
 
 	if (!command) {
 		fprintf(stderr, "auburnctl: no such command, see --help\n");
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	if (!config && !local) {
 		fprintf(stderr, "auburnctl: --config FILE is missing\n");
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
-	if (config && ct_settings_load(config, &ct->s) != ST_OK) {
-		fprintf(stderr, "auburnctl: %s\n", st_message());
-		return AR_SETTINGS;
+	if (config && ctl_settings_load(config, &ct->s) != STATUS_OK) {
+		fprintf(stderr, "auburnctl: %s\n", status_message());
+		return EXIT_SETTINGS;
 	}
 	return command(ct);
 }
@@ -101,19 +101,19 @@
 	void *table[] = {help,	 version, config, check,  json,	    wait,  service, key,
 			 prompt, path,	  number, tokens, deadline, words, end};
 	int errors = arg_parse(argc, argv, table);
-	ct_t ct = {0};
+	ctl_t ct = {0};
 
 	if (help->count) {
 		print_help(table);
-		return AR_OK;
+		return EXIT_OK;
 	}
 	if (version->count) {
 		puts("auburnctl " AUBURN_VERSION);
-		return AR_OK;
+		return EXIT_OK;
 	}
 	if (errors) {
 		arg_print_errors(stderr, end, "auburnctl");
-		return AR_USAGE;
+		return EXIT_USAGE;
 	}
 	for (int i = 0; i < words->count; i++)
 		ct.words[i] = words->sval[i];
@@ -128,10 +128,10 @@
 	ct.wait = wait->count > 0;
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	if (check->count && config->count) {
-		if (ct_settings_load(config->filename[0], &ct.s) == ST_OK)
-			return AR_OK;
-		fprintf(stderr, "auburnctl: %s\n", st_message());
-		return AR_SETTINGS;
+		if (ctl_settings_load(config->filename[0], &ct.s) == STATUS_OK)
+			return EXIT_OK;
+		fprintf(stderr, "auburnctl: %s\n", status_message());
+		return EXIT_SETTINGS;
 	}
 	return run(&ct, config->count ? config->filename[0] : NULL);
 }
--- /dev/null
+++ b/src/entry/addresses.c
@@ -0,0 +1,94 @@
+#include "entry/addresses.h"
+
+#include <inttypes.h>
+#include "base/metric.h"
+
+#define MS_PER_S 1000
+
+int64_t addresses_ttl_ms(entry_ctx_t *en)
+{
+	AUTO_ENTRY_CONFIG *c = entry_config_get(en->snapshot);
+
+	if (c && c->config->address_ttl_s > 0)
+		return c->config->address_ttl_s * MS_PER_S;
+	return en->settings.address_ttl_ms;
+}
+
+typedef void (*each_t)(void *ctx, const wire_member_t *m);
+
+/* Members that take callers: those of the zone first, each group turned by a random start. */
+static void each_member(const wire_view_t *v, str_t zone, each_t each, void *ctx)
+{
+	u_int n = v->members.members_len;
+	u_int start = n ? (u_int)(entry_random() % n) : 0;
+
+	for (int near = 1; near >= 0; near--) {
+		for (u_int i = 0; i < n; i++) {
+			const wire_member_t *m = &v->members.members_val[(start + i) % n];
+
+			if (!m->draining && str_eq(wire_str(m->zone), zone) == near)
+				each(ctx, m);
+		}
+	}
+}
+
+typedef struct {
+	buf_t *out;
+	uint64_t skip; /* session */
+	const entry_ctx_t *en;
+} list_t;
+
+static void add_json(void *ctx, const wire_member_t *m)
+{
+	list_t *l = ctx;
+
+	if (m->session == l->skip)
+		return;
+	if (l->out->p[l->out->n - 1] != '[')
+		buf_addc(l->out, ',');
+	buf_add(l->out, STR("{\"addr\":"));
+	buf_add_json(l->out, wire_str(m->addr));
+	buf_add(l->out, STR(",\"zone\":"));
+	buf_add_json(l->out, wire_str(m->zone));
+	buf_addc(l->out, '}');
+}
+
+static void add_comma(void *ctx, const wire_member_t *m)
+{
+	list_t *l = ctx;
+
+	if (m->session == l->skip)
+		return;
+	if (l->out->n)
+		buf_add(l->out, STR(", "));
+	buf_add(l->out, wire_str(m->addr));
+}
+
+void addresses_list_others(entry_ctx_t *en, buf_t *out)
+{
+	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
+	list_t l = {out, entry_session(en->snapshot), en};
+
+	if (v)
+		each_member(&v->view, str_c(en->settings.zone), add_comma, &l);
+}
+
+int addresses_get(const struct _u_request *req, struct _u_response *res, void *ctx)
+{
+	entry_ctx_t *en = ctx;
+	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
+	AUTO_BUF b = {0};
+	str_t zone = httpd_param(req, "zone");
+	int64_t ttl = addresses_ttl_ms(en);
+	list_t l = {&b, atomic_load(&en->draining) ? entry_session(en->snapshot) : 0, en};
+
+	if (!v || !entry_lease_valid(en->snapshot))
+		return httpd_error(res, 503, "no_lease",
+				   STR("this entry has not heard from the control in time"),
+				   VERDICT_NOT_RUN, MS_PER_S);
+	buf_add(&b, STR("{\"addresses\":["));
+	each_member(&v->view, zone.n ? zone : str_c(en->settings.zone), add_json, &l);
+	buf_addf(&b, "],\"valid_ms\":%" PRId64 ",\"valid_until_wall_ms\":%" PRId64 "}", ttl,
+		 clock_wall_ms() + ttl);
+	return httpd_json(res, 200, str_buf(&b));
+}
--- a/src/entry/ad.c
+++ b/src/entry/admission.c
@@ -1,4 +1,4 @@
-#include "entry/ad.h"
+#include "entry/admission.h"
 
 #include <assert.h>
 #include <stdlib.h>
@@ -14,32 +14,33 @@
 
 struct ad {
 	pthread_mutex_t lock;
-	tb_map_t *buckets;
+	bucket_map_t *buckets;
 	count_t *counts;
 };
 
-ad_t *ad_new(void)
+admission_t *admission_new(void)
 {
-	ad_t *a = mem_new(sizeof(*a));
+	admission_t *a = mem_new(sizeof(*a));
 
 	pthread_mutex_init(&a->lock, NULL);
-	a->buckets = tb_map_new(CALLERS_MAX);
+	a->buckets = bucket_map_new(CALLERS_MAX);
 	return a;
 }
 
-bool ad_rate(ad_t *a, str_t caller, const tx_limit_t *limit, int64_t *retry_after_ms)
+bool admission_take_rate(admission_t *a, str_t caller, const config_limit_t *limit,
+			 int64_t *retry_after_ms)
 {
-	int64_t now = clk_now_ms();
+	int64_t now = clock_now_ms();
 	bool ok;
 
 	pthread_mutex_lock(&a->lock);
-	ok = tb_take(tb_map_get(a->buckets, str_hash(caller), now), limit->rate_per_s, limit->burst,
-		     now, retry_after_ms);
+	ok = bucket_take(bucket_map_get(a->buckets, str_hash(caller), now), limit->rate_per_s,
+			 limit->burst, now, retry_after_ms);
 	pthread_mutex_unlock(&a->lock);
 	return ok;
 }
 
-static count_t *count_of(ad_t *a, str_t service)
+static count_t *count_of(admission_t *a, str_t service)
 {
 	uint64_t h = str_hash(service);
 	count_t *c;
@@ -53,7 +54,7 @@
 	return c;
 }
 
-bool ad_enter(ad_t *a, str_t service, int64_t bound, unsigned entries)
+bool admission_enter(admission_t *a, str_t service, int64_t bound, unsigned entries)
 {
 	int64_t share = entries ? (bound + entries - 1) / entries : bound;
 	count_t *c;
@@ -68,7 +69,7 @@
 	return ok;
 }
 
-void ad_leave(ad_t *a, str_t service)
+void admission_leave(admission_t *a, str_t service)
 {
 	count_t *c;
 
--- a/src/entry/bj.c
+++ b/src/entry/batch.c
@@ -1,10 +1,10 @@
-#include "entry/bj_impl.h"
+#include "entry/batch_internal.h"
 
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
-#include "base/lg.h"
+#include "base/log.h"
 
 static void spawn(void *(*f)(void *), void *arg)
 {
@@ -25,49 +25,49 @@
 	pthread_condattr_destroy(&attr);
 }
 
-bj_t *bj_start(en_t *en)
+batch_runner_t *batch_start(entry_ctx_t *en)
 {
-	bj_t *b = mem_new(sizeof(*b));
-	unsigned groups = cc_groups(en->cc);
+	batch_runner_t *b = mem_new(sizeof(*b));
+	unsigned groups = control_client_groups(en->control_client);
 
-	assert(groups <= BJ_GROUPS_MAX);
+	assert(groups <= BATCH_GROUPS_MAX);
 	b->en = en;
 	pthread_mutex_init(&b->lock, NULL);
-	cond_init(&b->fed);
-	cond_init(&b->ended);
-	spawn(bj_feed_thread, b);
+	cond_init(&b->work_ready);
+	cond_init(&b->results_ready);
+	spawn(batch_feed_thread, b);
 	for (unsigned g = 1; g <= groups; g++) {
-		bj_group_t *group = mem_new(sizeof(*group));
+		batch_group_t *group = mem_new(sizeof(*group));
 
-		*group = (bj_group_t){b, g};
-		spawn(bj_group_thread, group);
+		*group = (batch_group_t){b, g};
+		spawn(batch_group_thread, group);
 	}
 	return b;
 }
 
-static bool is_of(const bj_item_t *it, str_t caller, str_t job)
+static bool is_of(const batch_item_t *it, str_t caller, str_t job)
 {
 	return str_eq(str_c(it->caller), caller) && str_eq(str_c(it->job), job);
 }
 
 typedef struct {
-	ro_t *ro;
+	local_replica_t *ro;
 	uint64_t stream;
 } stop_t;
 
 static void stop_all(stop_t *v, size_t n)
 {
 	for (size_t i = 0; i < n; i++) {
-		ro_stop(v[i].ro, v[i].stream);
-		ro_unref(v[i].ro);
+		local_replica_cancel(v[i].ro, v[i].stream);
+		local_replica_unref(v[i].ro);
 	}
 	free(v);
 }
 
-void bj_cancel(bj_t *b, str_t caller, str_t job)
+void batch_cancel_job(batch_runner_t *b, str_t caller, str_t job)
 {
-	bj_item_t *it;
-	bj_item_t *next;
+	batch_item_t *it;
+	batch_item_t *next;
 	stop_t *stops;
 	size_t n = 0;
 
@@ -78,55 +78,56 @@
 		if (!is_of(it, caller, job))
 			continue;
 		DL_DELETE(b->waiting, it);
-		bj_service(b, it->service)->waiting--;
-		bj_item_end(b, it, false, AW_BLAME_NONE, STR("cancelled"));
+		batch_service_get(b, it->service)->waiting--;
+		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("cancelled"));
 	}
 	DL_FOREACH (b->running, it) {
 		if (!is_of(it, caller, job) || it->cancelled)
 			continue;
 		it->cancelled = true;
-		if (it->stream)
-			stops[n++] = (stop_t){ro_ref(it->ro), it->stream};
+		if (it->stream_id)
+			stops[n++] = (stop_t){local_replica_ref(it->replica), it->stream_id};
 	}
 	pthread_mutex_unlock(&b->lock);
 	if (n)
-		lg(LG_INFO, "job_items_cancelled", LG_S("key", job), LG_I("running", n));
+		log_event(LOG_LEVEL_INFO, "job_items_cancelled", LOG_STR("key", job),
+			  LOG_INT("running", n));
 	stop_all(stops, n);
 }
 
-void bj_drain(bj_t *b)
+void batch_drain(batch_runner_t *b)
 {
-	bj_item_t *it;
-	bj_item_t *next;
+	batch_item_t *it;
+	batch_item_t *next;
 
 	pthread_mutex_lock(&b->lock);
 	b->draining = true;
 	DL_FOREACH_SAFE(b->waiting, it, next)
 	{
 		DL_DELETE(b->waiting, it);
-		bj_service(b, it->service)->waiting--;
-		bj_item_end(b, it, false, AW_BLAME_NONE, STR("its entry stops"));
+		batch_service_get(b, it->service)->waiting--;
+		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("its entry stops"));
 	}
 	pthread_mutex_unlock(&b->lock);
 }
 
-void bj_stop_running(bj_t *b)
+void batch_cancel_running(batch_runner_t *b)
 {
-	bj_item_t *it;
+	batch_item_t *it;
 	stop_t *stops;
 	size_t n = 0;
 
 	pthread_mutex_lock(&b->lock);
 	stops = mem_new(b->held * sizeof(*stops));
 	DL_FOREACH (b->running, it) {
-		if (it->stream)
-			stops[n++] = (stop_t){ro_ref(it->ro), it->stream};
+		if (it->stream_id)
+			stops[n++] = (stop_t){local_replica_ref(it->replica), it->stream_id};
 	}
 	pthread_mutex_unlock(&b->lock);
 	stop_all(stops, n);
 }
 
-size_t bj_held(bj_t *b)
+size_t batch_held(batch_runner_t *b)
 {
 	size_t n;
 
--- /dev/null
+++ b/src/entry/batch_commit.c
@@ -0,0 +1,146 @@
+#include "entry/batch_internal.h"
+
+#include <stdlib.h>
+#include <string.h>
+#include <utlist.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "entry/inflight.h"
+
+#define DONE_MAX     64
+#define DONE_WAIT_MS 50
+#define DONE_MS	     3000
+#define PAUSE_MS     50
+#define PROBE_MS     500
+#define NS_PER_MS    1000000
+#define NS_PER_S     1000000000
+
+static void free_items(batch_runner_t *b, batch_item_t *list)
+{
+	batch_item_t *it;
+	batch_item_t *next;
+
+	DL_FOREACH_SAFE(list, it, next)
+	{
+		if (it->key_held)
+			inflight_remove(str_c(it->caller), str_c(it->key));
+		batch_item_free(it);
+		pthread_mutex_lock(&b->lock);
+		b->held--;
+		pthread_mutex_unlock(&b->lock);
+	}
+}
+
+static unsigned count(const batch_item_t *list)
+{
+	const batch_item_t *it;
+	unsigned n = 0;
+
+	DL_FOREACH (list, it)
+		n++;
+	return n;
+}
+
+static bool is_reached(status_t st)
+{
+	return st != STATUS_UNAVAILABLE && st != STATUS_TIMEOUT && st != STATUS_NOT_LEADER;
+}
+
+static void fill(wire_done_t *d, batch_item_t *list, uint64_t session)
+{
+	batch_item_t *it;
+
+	d->session = session;
+	d->now_wall_ms = clock_wall_ms();
+	DL_FOREACH (list, it) {
+		d->results.results_val[d->results.results_len++] =
+			(wire_item_result_t){.caller = wire_bytes(str_c(it->caller)),
+					     .job = wire_bytes(str_c(it->job)),
+					     .key = wire_bytes(str_c(it->key)),
+					     .index = it->index,
+					     .attempt = it->attempt,
+					     .done = it->done,
+					     .blame = it->blame,
+					     .body = wire_bytes(str_buf(&it->result))};
+	}
+}
+
+/* Cancelled jobs that still have items leased to this entry. */
+static void take_cancelled(batch_runner_t *b, const wire_ledger_res_t *res)
+{
+	for (u_int i = 0; i < res->cancelled.cancelled_len; i++)
+		batch_cancel_job(b, wire_str(res->cancelled.cancelled_val[i].caller),
+				 wire_str(res->cancelled.cancelled_val[i].job));
+}
+
+/* Commits the results of items; goes on until the ledger has answered, unless the session
+ * that leased them is over. */
+static void commit_items(batch_group_t *g, batch_item_t *list, unsigned n)
+{
+	uint64_t session = list ? list->session : entry_session(g->b->en->snapshot);
+	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_DONE};
+	wire_done_t *d = &cmd.wire_ledger_cmd_t_u.done;
+	status_t st = STATUS_TIMEOUT;
+
+	d->results.results_val = mem_new(n * sizeof(wire_item_result_t));
+	fill(d, list, session);
+	while (!is_reached(st) && session == entry_session(g->b->en->snapshot)) {
+		wire_ledger_res_t res = {0};
+
+		st = control_client_ledger_group(g->b->en->control_client, g->group, &cmd, &res,
+						 clock_now_ms() + DONE_MS);
+		if (st == STATUS_OK)
+			take_cancelled(g->b, &res);
+		wire_free(XDR_PROC(wire_ledger_res_t), &res);
+		if (!is_reached(st))
+			clock_sleep_ms(PAUSE_MS);
+	}
+	if (st != STATUS_OK)
+		log_event(LOG_LEVEL_WARN, "results_not_committed", LOG_INT("items", n),
+			  LOG_CSTR("status", status_name(st)));
+	free(d->results.results_val);
+}
+
+/* Waits until results are due to be sent, or a while. */
+static batch_item_t *wait_results(batch_group_t *g)
+{
+	batch_runner_t *b = g->b;
+	struct timespec until;
+	batch_item_t *list;
+
+	clock_gettime(CLOCK_MONOTONIC, &until);
+	until.tv_nsec += (long)DONE_WAIT_MS * NS_PER_MS;
+	until.tv_sec += until.tv_nsec / NS_PER_S;
+	until.tv_nsec %= NS_PER_S;
+	pthread_mutex_lock(&b->lock);
+	while (b->nresults[g->group] < DONE_MAX)
+		if (pthread_cond_timedwait(&b->results_ready, &b->lock, &until) != 0)
+			break;
+	list = b->results[g->group];
+	b->results[g->group] = NULL;
+	b->nresults[g->group] = 0;
+	pthread_mutex_unlock(&b->lock);
+	return list;
+}
+
+void *batch_group_thread(void *arg)
+{
+	batch_group_t *g = arg;
+	deadline_t probe = 0;
+
+	for (;;) {
+		batch_item_t *list = wait_results(g);
+
+		if (list) {
+			commit_items(g, list, count(list));
+			free_items(g->b, list);
+		} else if (batch_held(g->b) && clock_now_ms() >= probe &&
+			   entry_lease_valid(g->b->en->snapshot)) {
+			commit_items(g, NULL, 0); /* asks which jobs were cancelled */
+			probe = clock_now_ms() + PROBE_MS;
+		}
+		if (entry_lease_valid(g->b->en->snapshot))
+			batch_lease_items(g);
+	}
+	return NULL;
+}
--- a/src/entry/ki.c
+++ b/src/entry/bearer_keys.c
@@ -1,4 +1,4 @@
-#include "entry/ki.h"
+#include "entry/bearer_keys.h"
 
 #include <assert.h>
 #include <sodium.h>
@@ -9,7 +9,7 @@
 /* Found by a hash under a secret of the process, then compared in constant time. */
 typedef struct {
 	unsigned char hash[crypto_shorthash_BYTES];
-	const en_identity_t *id;
+	const entry_identity_t *id;
 	UT_hash_handle hh;
 } entry_t;
 
@@ -18,14 +18,14 @@
 	entry_t *entries;
 };
 
-static void hash_key(const ki_t *k, str_t key, unsigned char out[crypto_shorthash_BYTES])
+static void hash_key(const bearer_keys_t *k, str_t key, unsigned char out[crypto_shorthash_BYTES])
 {
 	crypto_shorthash(out, (const unsigned char *)key.p, key.n, k->secret);
 }
 
-ki_t *ki_new(const en_identity_t *ids, size_t n)
+bearer_keys_t *bearer_keys_new(const entry_identity_t *ids, size_t n)
 {
-	ki_t *k = mem_new(sizeof(*k));
+	bearer_keys_t *k = mem_new(sizeof(*k));
 
 	crypto_shorthash_keygen(k->secret);
 	for (size_t i = 0; i < n; i++) {
@@ -38,7 +38,7 @@
 	return k;
 }
 
-bool ki_find(const ki_t *k, str_t key, str_t *name)
+bool bearer_keys_find(const bearer_keys_t *k, str_t key, str_t *name)
 {
 	unsigned char hash[crypto_shorthash_BYTES];
 	entry_t *e;
--- a/src/entry/rq.c
+++ b/src/entry/completion.c
@@ -1,15 +1,15 @@
-#include "entry/rq.h"
+#include "entry/completion.h"
 
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/lg.h"
-#include "base/mx.h"
-#include "entry/ad.h"
-#include "entry/dp.h"
-#include "entry/lc.h"
-#include "entry/rk.h"
-#include "policy/rt.h"
+#include "base/log.h"
+#include "base/metric.h"
+#include "entry/admission.h"
+#include "entry/attempt_start.h"
+#include "entry/ledger_client.h"
+#include "entry/inflight.h"
+#include "policy/retry.h"
 
 #define TRIES_MAX      8
 #define LOST_MAX       3 /* replicas that a request may lose before it is given up */
@@ -21,7 +21,7 @@
 
 struct rq {
 	atomic_int refs;
-	en_t *en;
+	entry_ctx_t *en;
 	uint64_t session; /* that accepted it */
 	char *caller;
 	char *key;
@@ -31,24 +31,24 @@
 	size_t prompt_n;
 	unsigned max_tokens;
 	deadline_t deadline;
-	tr_span_t span;
-	char trace[TR_PARENT_BYTES];
+	trace_span_t span;
+	char trace[TRACE_PARENT_BYTES];
 	pthread_mutex_t lock; /* guards all below */
 	pthread_cond_t cond;
 	unsigned attempt; /* number of the attempt whose tokens count */
 	bool attempt_ended;
-	rn_kind_t end_kind;
+	attempt_outcome_t end_kind;
 	int64_t end_retry_after_ms;
 	buf_t end_message;
 	unsigned ntokens;
 	buf_t text;
 	buf_t out; /* events not yet read */
 	bool ended;
-	rq_outcome_t outcome;
+	completion_outcome_t outcome;
 	buf_t message;
 	buf_t result;
 	/* used by the running thread only */
-	up_t *tried[TRIES_MAX];
+	upstream_t *tried[TRIES_MAX];
 	size_t ntried;
 	int lost;
 	int refused;
@@ -56,17 +56,17 @@
 
 /* The sink of one attempt; late callbacks of a dropped attempt find another number and are lost. */
 typedef struct {
-	rq_t *r;
+	completion_t *r;
 	unsigned attempt;
 } attempt_t;
 
-static rq_t *rq_ref(rq_t *r)
+static completion_t *rq_ref(completion_t *r)
 {
 	atomic_fetch_add(&r->refs, 1);
 	return r;
 }
 
-void rq_unref(rq_t *r)
+void completion_unref(completion_t *r)
 {
 	if (atomic_fetch_sub(&r->refs, 1) != 1)
 		return;
@@ -85,7 +85,7 @@
 	free(r);
 }
 
-static void add_event(rq_t *r, unsigned index, str_t text)
+static void add_event(completion_t *r, unsigned index, str_t text)
 {
 	buf_add(&r->out, STR("data: {\"id\":"));
 	buf_add_json(&r->out, str_c(r->key));
@@ -97,15 +97,15 @@
 static void on_token(void *ctx, unsigned index, str_t text)
 {
 	attempt_t *a = ctx;
-	rq_t *r = a->r;
+	completion_t *r = a->r;
 
 	pthread_mutex_lock(&r->lock);
 	if (a->attempt != r->attempt || r->attempt_ended || index != r->ntokens) {
-		MX_COUNT("auburn_late_tokens_dropped_total");
+		METRIC_INC("auburn_late_tokens_dropped_total");
 	} else {
 		if (r->ntokens++ == 0)
-			mx_record(mx_get(MX_HISTOGRAM, "auburn_first_token_us", NULL),
-				  clk_now_us() - r->span.start_us);
+			metric_record(metric_get(METRIC_HISTOGRAM, "auburn_first_token_us", NULL),
+				      clock_now_us() - r->span.start_us);
 		buf_add(&r->text, text);
 		add_event(r, index, text);
 		pthread_cond_broadcast(&r->cond);
@@ -113,74 +113,74 @@
 	pthread_mutex_unlock(&r->lock);
 }
 
-static void on_end(void *ctx, const rn_end_t *end)
+static void on_end(void *ctx, const attempt_end_t *end)
 {
 	attempt_t *a = ctx;
-	rq_t *r = a->r;
+	completion_t *r = a->r;
 
 	pthread_mutex_lock(&r->lock);
 	if (a->attempt == r->attempt) {
 		r->attempt_ended = true;
-		r->end_kind = end->kind;
+		r->end_kind = end->outcome;
 		r->end_retry_after_ms = end->retry_after_ms;
 		buf_free(&r->end_message);
 		buf_add(&r->end_message, end->message);
 		pthread_cond_broadcast(&r->cond);
 	}
 	pthread_mutex_unlock(&r->lock);
-	rq_unref(r);
+	completion_unref(r);
 	free(a);
 }
 
-static void run_attempt(rq_t *r, const up_choice_t *c)
+static void run_attempt(completion_t *r, const upstream_choice_t *c)
 {
 	attempt_t *a = mem_new(sizeof(*a));
-	rn_sink_t sink = {a, on_token, on_end};
-	rn_work_t w = {.cls = OW_ONLINE,
-		       .deadline = r->deadline,
-		       .max_tokens = r->max_tokens,
-		       .caller = str_c(r->caller),
-		       .key = str_c(r->key),
-		       .service = str_c(r->service),
-		       .model = str_c(r->model),
-		       .prompt = {r->prompt, r->prompt_n},
-		       .trace = str_c(r->trace)};
-	dp_handle_t h;
+	attempt_sink_t sink = {a, on_token, on_end};
+	attempt_params_t w = {.cls = OWNER_ONLINE,
+			      .deadline = r->deadline,
+			      .max_tokens = r->max_tokens,
+			      .caller = str_c(r->caller),
+			      .key = str_c(r->key),
+			      .service = str_c(r->service),
+			      .model = str_c(r->model),
+			      .prompt = {r->prompt, r->prompt_n},
+			      .trace = str_c(r->trace)};
+	attempt_handle_t h;
 
 	pthread_mutex_lock(&r->lock);
 	r->attempt++;
 	r->attempt_ended = false;
 	w.resume_from = r->ntokens;
 	if (r->ntokens)
-		w.deadline = clk_now_ms() + RESUME_WAIT_MS;
+		w.deadline = clock_now_ms() + RESUME_WAIT_MS;
 	pthread_mutex_unlock(&r->lock);
 	*a = (attempt_t){rq_ref(r), r->attempt};
 	if (w.resume_from) {
-		lg(LG_INFO, "resumed", LG_C("key", r->key), LG_C("upstream", c->id),
-		   LG_I("from", w.resume_from));
-		MX_COUNT("auburn_resumed_total");
+		log_event(LOG_LEVEL_INFO, "resumed", LOG_CSTR("key", r->key),
+			  LOG_CSTR("upstream", c->id), LOG_INT("from", w.resume_from));
+		METRIC_INC("auburn_resumed_total");
 	}
-	dp_start(r->en, c, &w, &sink, &h);
+	attempt_start(r->en, c, &w, &sink, &h);
 	pthread_mutex_lock(&r->lock);
 	while (!r->attempt_ended)
 		pthread_cond_wait(&r->cond, &r->lock);
 	pthread_mutex_unlock(&r->lock);
-	dp_release(&h);
+	attempt_release(&h);
 }
 
-static void set_outcome(rq_t *r, int http_status, verdict_t verdict, const char *code,
+static void set_outcome(completion_t *r, int http_status, verdict_t verdict, const char *code,
 			str_t message, int64_t retry_after_ms)
 {
 	buf_free(&r->message);
 	buf_add(&r->message, message);
-	r->outcome = (rq_outcome_t){.ok = code == NULL,
-				    .http_status = http_status,
-				    .verdict = verdict,
-				    .code = code,
-				    .retry_after_ms = retry_after_ms};
+	r->outcome = (completion_outcome_t){.ok = code == NULL,
+					    .http_status = http_status,
+					    .verdict = verdict,
+					    .code = code,
+					    .retry_after_ms = retry_after_ms};
 }
 
-static void fail_unplaced(rq_t *r, str_t message, int64_t retry_after_ms)
+static void fail_unplaced(completion_t *r, str_t message, int64_t retry_after_ms)
 {
 	verdict_t v = r->ntokens || r->lost ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
 
@@ -189,59 +189,59 @@
 }
 
 /* Time until which a replica is looked for. */
-static deadline_t place_deadline(const rq_t *r, deadline_t lost_at)
+static deadline_t place_deadline(const completion_t *r, deadline_t lost_at)
 {
 	return r->ntokens ? lost_at + RESUME_WAIT_MS : r->deadline;
 }
 
-static bool pick(rq_t *r, up_choice_t *c, deadline_t until)
+static bool pick(completion_t *r, upstream_choice_t *c, deadline_t until)
 {
-	while (!up_pick(r->en->ups, str_c(r->service), (str_t){r->prompt, r->prompt_n}, r->tried,
-			r->ntried, c)) {
-		if (clk_now_ms() >= until)
+	while (!upstream_pick(r->en->upstreams, str_c(r->service), (str_t){r->prompt, r->prompt_n},
+			      r->tried, r->ntried, c)) {
+		if (clock_now_ms() >= until)
 			return false;
 		r->ntried = 0; /* all have been tried: once more, after a pause */
-		clk_sleep_ms(NONE_PAUSE_MS);
+		clock_sleep_ms(NONE_PAUSE_MS);
 	}
 	return true;
 }
 
 /* True if the request goes on with another attempt. */
-static bool judge(rq_t *r, const up_choice_t *c)
+static bool judge(completion_t *r, const upstream_choice_t *c)
 {
-	lg(LG_INFO, "retried", LG_C("key", r->key), LG_C("upstream", c->id),
-	   LG_C("ended", rn_kind_name(r->end_kind)), LG_I("tokens", r->ntokens),
-	   LG_S("message", str_buf(&r->end_message)));
+	log_event(LOG_LEVEL_INFO, "retried", LOG_CSTR("key", r->key), LOG_CSTR("upstream", c->id),
+		  LOG_CSTR("ended", attempt_outcome_name(r->end_kind)),
+		  LOG_INT("tokens", r->ntokens), LOG_STR("message", str_buf(&r->end_message)));
 	if (r->ntried == TRIES_MAX)
 		r->ntried = 0;
-	r->tried[r->ntried++] = c->up;
+	r->tried[r->ntried++] = c->upstream;
 	switch (r->end_kind) {
-	case RN_REJECTED:
+	case ATTEMPT_REJECTED:
 		set_outcome(r, 422, VERDICT_NOT_RUN, "rejected", str_buf(&r->end_message), 0);
 		return false;
-	case RN_REFUSED:
+	case ATTEMPT_REFUSED:
 		r->refused += r->end_retry_after_ms > 0;
 		if (r->refused < REFUSED_MAX || r->ntokens)
 			return true;
 		fail_unplaced(r, str_buf(&r->end_message), r->end_retry_after_ms);
 		return false;
-	case RN_UNREACHED:
-	case RN_PREEMPTED:
-	case RN_CANCELLED:
+	case ATTEMPT_UNREACHED:
+	case ATTEMPT_PREEMPTED:
+	case ATTEMPT_CANCELLED:
 		return true;
 	default:
 		break;
 	}
 	if (++r->lost < LOST_MAX)
-		return lc_retry(r->en, str_c(r->service));
+		return ledger_client_take_retry(r->en, str_c(r->service));
 	set_outcome(r, 502, VERDICT_MAY_HAVE_RUN, "replicas_lost", str_buf(&r->end_message), 0);
 	return false;
 }
 
-static void run_attempts(rq_t *r)
+static void run_attempts(completion_t *r)
 {
-	deadline_t lost_at = clk_now_ms();
-	up_choice_t c;
+	deadline_t lost_at = clock_now_ms();
+	upstream_choice_t c;
 
 	for (;;) {
 		deadline_t until = place_deadline(r, lost_at);
@@ -253,32 +253,33 @@
 			return;
 		}
 		run_attempt(r, &c);
-		lost_at = clk_now_ms();
-		if (r->end_kind == RN_DONE) {
-			ro_unref(c.ro);
+		lost_at = clock_now_ms();
+		if (r->end_kind == ATTEMPT_DONE) {
+			local_replica_unref(c.replica);
 			assert(r->ntokens == r->max_tokens);
 			set_outcome(r, 200, VERDICT_RAN, NULL, STR(""), 0);
 			return;
 		}
 		more = judge(r, &c);
-		ro_unref(c.ro);
+		local_replica_unref(c.replica);
 		if (!more) {
 			if (!r->outcome.code)
 				fail_unplaced(r, STR("the retry budget is used up"), FAIL_RETRY_MS);
 			return;
 		}
-		if (r->end_kind == RN_REFUSED && clk_now_ms() >= place_deadline(r, lost_at)) {
+		if (r->end_kind == ATTEMPT_REFUSED &&
+		    clock_now_ms() >= place_deadline(r, lost_at)) {
 			fail_unplaced(r, str_buf(&r->end_message), r->end_retry_after_ms);
 			return;
 		}
 	}
 }
 
-static void write_result(rq_t *r)
+static void write_result(completion_t *r)
 {
 	if (!r->outcome.ok) {
-		lc_error_json(&r->result, r->outcome.code, str_buf(&r->message), r->outcome.verdict,
-			      r->outcome.retry_after_ms);
+		ledger_client_error_json(&r->result, r->outcome.code, str_buf(&r->message),
+					 r->outcome.verdict, r->outcome.retry_after_ms);
 		return;
 	}
 	buf_add(&r->result, STR("{\"id\":"));
@@ -288,7 +289,7 @@
 	buf_addf(&r->result, ",\"tokens\":%u,\"verdict\":\"ran\"}", r->ntokens);
 }
 
-static void add_last_event(rq_t *r)
+static void add_last_event(completion_t *r)
 {
 	if (r->outcome.ok) {
 		buf_add(&r->out, STR("data: [DONE]\n\n"));
@@ -299,7 +300,7 @@
 	buf_add(&r->out, STR("\n\n"));
 }
 
-static void disown(rq_t *r)
+static void disown(completion_t *r)
 {
 	set_outcome(r, 503, VERDICT_MAY_HAVE_RUN, "session_lost",
 		    STR("another entry may have taken it over: ask again under the same key"),
@@ -309,7 +310,7 @@
 }
 
 /* Another entry's end stands. Its answer can't follow the tokens that were given from here. */
-static void adopt(rq_t *r, const lc_end_t *standing)
+static void adopt(completion_t *r, const ledger_client_end_t *standing)
 {
 	buf_free(&r->result);
 	if (standing->done) {
@@ -324,31 +325,32 @@
 	buf_add(&r->result, str_buf(&standing->result));
 }
 
-static void commit(rq_t *r)
+static void commit(completion_t *r)
 {
-	const lc_finish_t f = {.caller = str_c(r->caller),
-			       .key = str_c(r->key),
-			       .done = r->outcome.ok,
-			       .verdict = r->outcome.verdict,
-			       .http_status = r->outcome.http_status,
-			       .result = str_buf(&r->result)};
-	lc_end_t standing = {0};
+	const ledger_client_finish_t f = {.caller = str_c(r->caller),
+					  .key = str_c(r->key),
+					  .done = r->outcome.ok,
+					  .verdict = r->outcome.verdict,
+					  .http_status = r->outcome.http_status,
+					  .result = str_buf(&r->result)};
+	ledger_client_end_t standing = {0};
 	status_t st;
 
 	/* In a later session another entry may run it: its end is not for this one to tell. */
-	if (!r->outcome.ok && en_session(r->en->snap) != r->session) {
+	if (!r->outcome.ok && entry_session(r->en->snapshot) != r->session) {
 		disown(r);
 		return;
 	}
-	st = lc_finish(r->en, &f, &standing);
-	if (st == ST_OK)
+	st = ledger_client_finish(r->en, &f, &standing);
+	if (st == STATUS_OK)
 		return;
-	if (st == ST_CONFLICT) {
+	if (st == STATUS_CONFLICT) {
 		adopt(r, &standing);
 		buf_free(&standing.result);
 		return;
 	}
-	lg(LG_ERROR, "result_not_committed", LG_C("key", r->key), LG_C("message", st_message()));
+	log_event(LOG_LEVEL_ERROR, "result_not_committed", LOG_CSTR("key", r->key),
+		  LOG_CSTR("message", status_message()));
 	if (!r->outcome.ok)
 		return;
 	set_outcome(r, 503, VERDICT_MAY_HAVE_RUN, "result_not_committed",
@@ -360,7 +362,7 @@
 
 static void *run_thread(void *arg)
 {
-	rq_t *r = arg;
+	completion_t *r = arg;
 
 	run_attempts(r);
 	write_result(r);
@@ -372,23 +374,23 @@
 	r->ended = true;
 	pthread_cond_broadcast(&r->cond);
 	pthread_mutex_unlock(&r->lock);
-	tr_end(&r->span, str_c(r->key), r->outcome.ok ? "done" : r->outcome.code);
-	rk_drop(str_c(r->caller), str_c(r->key));
-	ad_leave(r->en->admission, str_c(r->service));
-	atomic_fetch_sub(&r->en->requests, 1);
-	rq_unref(r);
+	trace_end(&r->span, str_c(r->key), r->outcome.ok ? "done" : r->outcome.code);
+	inflight_remove(str_c(r->caller), str_c(r->key));
+	admission_leave(r->en->admission, str_c(r->service));
+	atomic_fetch_sub(&r->en->running_requests, 1);
+	completion_unref(r);
 	return NULL;
 }
 
-rq_t *rq_start(const rq_options_t *o)
+completion_t *completion_start(const completion_options_t *o)
 {
-	rq_t *r = mem_new(sizeof(*r));
+	completion_t *r = mem_new(sizeof(*r));
 	pthread_attr_t attr;
 	pthread_t t;
 
 	atomic_init(&r->refs, 2);
 	r->en = o->en;
-	r->session = en_session(o->en->snap);
+	r->session = entry_session(o->en->snapshot);
 	r->caller = str_dup(o->caller);
 	r->key = str_dup(o->key);
 	r->service = str_dup(o->service);
@@ -398,10 +400,10 @@
 	r->max_tokens = o->max_tokens;
 	r->deadline = o->deadline;
 	r->span = *o->span;
-	tr_parent(&r->span, r->trace);
+	trace_parent(&r->span, r->trace);
 	pthread_mutex_init(&r->lock, NULL);
 	pthread_cond_init(&r->cond, NULL);
-	atomic_fetch_add(&r->en->requests, 1);
+	atomic_fetch_add(&r->en->running_requests, 1);
 	pthread_attr_init(&attr);
 	pthread_attr_setdetachstate(&attr, PTHREAD_CREATE_DETACHED);
 	pthread_attr_setstacksize(&attr, THREAD_STACK);
@@ -411,18 +413,18 @@
 	return r;
 }
 
-void rq_open(rq_t *r)
+void completion_stream_open(completion_t *r)
 {
-	atomic_fetch_add(&r->en->streams, 1);
+	atomic_fetch_add(&r->en->open_streams, 1);
 }
 
-void rq_close(rq_t *r)
+void completion_stream_close(completion_t *r)
 {
-	atomic_fetch_sub(&r->en->streams, 1);
-	rq_unref(r);
+	atomic_fetch_sub(&r->en->open_streams, 1);
+	completion_unref(r);
 }
 
-bool rq_wait_first(rq_t *r)
+bool completion_wait_first(completion_t *r)
 {
 	bool any;
 
@@ -434,7 +436,7 @@
 	return any;
 }
 
-size_t rq_read(rq_t *r, char *out, size_t max)
+size_t completion_read(completion_t *r, char *out, size_t max)
 {
 	size_t n;
 
@@ -444,12 +446,12 @@
 	n = r->out.n < max ? r->out.n : max;
 	if (n)
 		memcpy(out, r->out.p, n);
-	buf_drop(&r->out, n);
+	buf_drop_front(&r->out, n);
 	pthread_mutex_unlock(&r->lock);
 	return n;
 }
 
-void rq_wait_end(rq_t *r, rq_outcome_t *out)
+void completion_wait_end(completion_t *r, completion_outcome_t *out)
 {
 	pthread_mutex_lock(&r->lock);
 	while (!r->ended)
--- a/src/entry/rq.h
+++ b/src/entry/completion.h
@@ -2,16 +2,16 @@
  * An accepted online completion: runs attempts until it is done or has failed, commits the result,
  * and keeps what the caller's connection reads. Goes on when the caller has gone away.
  */
-#ifndef AUBURN_RQ_H
-#define AUBURN_RQ_H
+#ifndef AUBURN_COMPLETION_H
+#define AUBURN_COMPLETION_H
 
-#include "entry/en.h"
-#include "base/tr.h"
+#include "entry/entry.h"
+#include "base/trace.h"
 
-typedef struct rq rq_t;
+typedef struct rq completion_t;
 
 typedef struct {
-	en_t *en;
+	entry_ctx_t *en;
 	str_t caller;
 	str_t key;
 	str_t service;
@@ -19,8 +19,8 @@
 	str_t prompt;
 	unsigned max_tokens;
 	deadline_t deadline; /* of the first token */
-	const tr_span_t *span;
-} rq_options_t;
+	const trace_span_t *span;
+} completion_options_t;
 
 typedef struct {
 	bool ok;
@@ -30,20 +30,20 @@
 	str_t message; /* lives as long as the request */
 	int64_t retry_after_ms;
 	str_t result; /* JSON, as it was committed */
-} rq_outcome_t;
+} completion_outcome_t;
 
 /** Starts running; the caller's reference. */
-rq_t *rq_start(const rq_options_t *o);
-void rq_unref(rq_t *r);
-/** Counts the caller's stream, which holds up a planned stop until rq_close. */
-void rq_open(rq_t *r);
+completion_t *completion_start(const completion_options_t *o);
+void completion_unref(completion_t *r);
+/** Counts the caller's stream, which holds up a planned stop until completion_stream_close. */
+void completion_stream_open(completion_t *r);
 /** The stream ended or its caller went away; gives the reference back. */
-void rq_close(rq_t *r);
+void completion_stream_close(completion_t *r);
 /** Waits for the first token or the end. True if there are tokens to read. */
-bool rq_wait_first(rq_t *r);
+bool completion_wait_first(completion_t *r);
 /** Copies event-stream bytes that have come since; waits for some. 0 at the end. */
-size_t rq_read(rq_t *r, char *out, size_t max);
+size_t completion_read(completion_t *r, char *out, size_t max);
 /** Waits for the end. */
-void rq_wait_end(rq_t *r, rq_outcome_t *out);
+void completion_wait_end(completion_t *r, completion_outcome_t *out);
 
 #endif
--- /dev/null
+++ b/src/entry/entry.h
@@ -0,0 +1,39 @@
+/** The entry process: its modules, made once by main and shared by all threads. */
+#ifndef AUBURN_ENTRY_H
+#define AUBURN_ENTRY_H
+
+#include <pthread.h>
+#include <stdatomic.h>
+#include "client/control_client.h"
+#include "entry/fetch.h"
+#include "entry/entry_settings.h"
+#include "entry/entry_snapshot.h"
+#include "policy/bucket.h"
+
+typedef struct upstream_table upstream_table_t;
+typedef struct ad admission_t;
+typedef struct ki bearer_keys_t;
+typedef struct bj batch_runner_t;
+
+typedef struct en {
+	entry_settings_t settings;
+	uint64_t boot; /* random, new at each start */
+	control_client_t *control_client;
+	entry_snapshot_t *snapshot;
+	fetch_client_t *fetch_client;
+	upstream_table_t *upstreams;
+	admission_t *admission;
+	bearer_keys_t *caller_keys;
+	bearer_keys_t *operator_keys;
+	batch_runner_t *batch;
+	atomic_bool draining;
+	atomic_bool view_stale; /* an upstream saw a newer fence than ours */
+	atomic_int running_requests; /* accepted requests that run here */
+	atomic_int open_streams; /* answers being streamed to callers and other entries */
+	atomic_bool closing; /* the addresses given out have expired: nothing new is taken */
+} entry_ctx_t;
+
+/** A random number for ids and choices. */
+uint64_t entry_random(void);
+
+#endif
--- a/src/entry/ec.c
+++ b/src/entry/fetch.c
@@ -1,4 +1,4 @@
-#include "entry/ec.h"
+#include "entry/fetch.h"
 
 #include <assert.h>
 #include <curl/curl.h>
@@ -7,8 +7,8 @@
 #include <string.h>
 #include <uthash.h>
 #include <utlist.h>
-#include "base/mx.h"
-#include "net/ss.h"
+#include "base/metric.h"
+#include "net/sse.h"
 
 #define CONNECT_TIMEOUT_MS 1000
 #define POLL_MS		   20
@@ -21,13 +21,13 @@
 	struct curl_slist *headers;
 	char *body;
 	buf_t answer;
-	ss_t sse;
+	sse_parser_t sse;
 	int64_t silence_ms;
 	deadline_t silent_at;
 	deadline_t deadline;
 	bool aborted;
 	bool sent;
-	ec_options_t o;
+	fetch_options_t o;
 	struct call *next;
 	struct call *prev;
 	UT_hash_handle hh;
@@ -49,11 +49,11 @@
 	return type && strncmp(type, "text/event-stream", strlen("text/event-stream")) == 0;
 }
 
-static bool on_event(void *ctx, const ss_event_t *e)
+static bool on_event(void *ctx, const sse_event_t *e)
 {
 	call_t *c = ctx;
 
-	return !e->has_data || c->o.event(c->o.ctx, e->name, e->data);
+	return !e->has_data || c->o.on_event(c->o.ctx, e->name, e->data);
 }
 
 static size_t on_bytes(char *p, size_t size, size_t n, void *ctx)
@@ -62,9 +62,9 @@
 	str_t bytes = {p, size * n};
 
 	if (c->silence_ms)
-		c->silent_at = clk_now_ms() + c->silence_ms;
-	if (c->o.event && is_stream(c))
-		return ss_feed(&c->sse, bytes, on_event, c) ? bytes.n : 0;
+		c->silent_at = clock_now_ms() + c->silence_ms;
+	if (c->o.on_event && is_stream(c))
+		return sse_feed(&c->sse, bytes, on_event, c) ? bytes.n : 0;
 	if (c->answer.n + bytes.n > BODY_MAX_BYTES)
 		return 0;
 	buf_add(&c->answer, bytes);
@@ -107,17 +107,18 @@
 	c->headers = curl_slist_append(c->headers, "Expect:");
 }
 
-static call_t *call_new(const ec_options_t *o)
+static call_t *call_new(const fetch_options_t *o)
 {
 	call_t *c = mem_new(sizeof(*c));
 
 	c->o = *o;
 	c->body = str_dup(o->body);
 	c->o.body = (str_t){c->body, o->body.n};
-	c->silence_ms = o->silence_ms;
+	c->silence_ms = o->silence_timeout_ms;
 	c->silent_at = DEADLINE_NEVER;
-	if (o->first_ms || o->silence_ms)
-		c->silent_at = clk_now_ms() + (o->first_ms ? o->first_ms : o->silence_ms);
+	if (o->first_byte_timeout_ms || o->silence_timeout_ms)
+		c->silent_at = clock_now_ms() + (o->first_byte_timeout_ms ? o->first_byte_timeout_ms
+									  : o->silence_timeout_ms);
 	c->deadline = o->deadline ? o->deadline : DEADLINE_NEVER;
 	c->curl = curl_easy_init();
 	if (!c->curl)
@@ -130,8 +131,8 @@
 	curl_easy_setopt(c->curl, CURLOPT_PRIVATE, c);
 	curl_easy_setopt(c->curl, CURLOPT_WRITEFUNCTION, on_bytes);
 	curl_easy_setopt(c->curl, CURLOPT_WRITEDATA, c);
-	curl_easy_setopt(c->curl, CURLOPT_FRESH_CONNECT, o->fresh ? 1L : 0L);
-	curl_easy_setopt(c->curl, CURLOPT_FORBID_REUSE, o->fresh ? 1L : 0L);
+	curl_easy_setopt(c->curl, CURLOPT_FRESH_CONNECT, o->new_connection ? 1L : 0L);
+	curl_easy_setopt(c->curl, CURLOPT_FORBID_REUSE, o->new_connection ? 1L : 0L);
 	for (const char *const *h = o->headers; h && *h; h++)
 		c->headers = curl_slist_append(c->headers, *h);
 	if (strcmp(o->method, "POST") == 0)
@@ -146,38 +147,38 @@
 	curl_slist_free_all(c->headers);
 	free(c->body);
 	buf_free(&c->answer);
-	ss_free(&c->sse);
+	sse_free(&c->sse);
 	free(c);
 }
 
-static ec_kind_t kind_of(const call_t *c, CURLcode code)
+static fetch_result_t kind_of(const call_t *c, CURLcode code)
 {
 	long sent = 0;
 
 	if (code == CURLE_OK)
-		return EC_FINISHED;
+		return FETCH_FINISHED;
 	curl_easy_getinfo(c->curl, CURLINFO_REQUEST_SIZE, &sent);
 	if (!c->sent && sent == 0)
-		return EC_NOT_SENT;
-	return EC_BROKEN;
+		return FETCH_NOT_SENT;
+	return FETCH_BROKEN;
 }
 
-static void finish(ec_t *e, call_t *c, ec_kind_t kind)
+static void finish(fetch_client_t *e, call_t *c, fetch_result_t kind)
 {
 	long status = 0;
 	char *type = NULL;
-	ec_end_t end;
+	fetch_end_t end;
 
 	curl_easy_getinfo(c->curl, CURLINFO_RESPONSE_CODE, &status);
 	curl_easy_getinfo(c->curl, CURLINFO_CONTENT_TYPE, &type);
-	end = (ec_end_t){kind, (int)status, str_buf(&c->answer), type};
+	end = (fetch_end_t){kind, (int)status, str_buf(&c->answer), type};
 	HASH_DEL(e->running, c);
 	c->o.end(c->o.ctx, &end);
 	curl_multi_remove_handle(e->multi, c->curl);
 	call_free(c);
 }
 
-static void start_fresh(ec_t *e)
+static void start_fresh(fetch_client_t *e)
 {
 	call_t *list;
 	call_t *c;
@@ -194,7 +195,7 @@
 	}
 }
 
-static void finish_done(ec_t *e)
+static void finish_done(fetch_client_t *e)
 {
 	CURLMsg *m;
 	int left;
@@ -210,20 +211,20 @@
 	}
 }
 
-static void finish_silent(ec_t *e)
+static void finish_silent(fetch_client_t *e)
 {
-	int64_t now = clk_now_ms();
+	int64_t now = clock_now_ms();
 	call_t *c;
 	call_t *next;
 
 	HASH_ITER (hh, e->running, c, next)
 		if (c->silent_at <= now || c->deadline <= now)
-			finish(e, c, EC_STALLED);
+			finish(e, c, FETCH_TIMED_OUT);
 }
 
 static void *client_thread(void *arg)
 {
-	ec_t *e = arg;
+	fetch_client_t *e = arg;
 	int64_t checked = 0;
 
 	for (;;) {
@@ -232,8 +233,8 @@
 		start_fresh(e);
 		curl_multi_perform(e->multi, &n);
 		finish_done(e);
-		if (clk_now_ms() - checked >= POLL_MS) {
-			checked = clk_now_ms();
+		if (clock_now_ms() - checked >= POLL_MS) {
+			checked = clock_now_ms();
 			finish_silent(e);
 		}
 		curl_multi_poll(e->multi, NULL, 0, POLL_MS, NULL);
@@ -241,9 +242,9 @@
 	return NULL;
 }
 
-ec_t *ec_new(void)
+fetch_client_t *fetch_client_new(void)
 {
-	ec_t *e = mem_new(sizeof(*e));
+	fetch_client_t *e = mem_new(sizeof(*e));
 	pthread_t t;
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
@@ -256,7 +257,7 @@
 	return e;
 }
 
-void ec_start(ec_t *e, const ec_options_t *o)
+void fetch_start(fetch_client_t *e, const fetch_options_t *o)
 {
 	call_t *c = call_new(o);
 
@@ -272,17 +273,17 @@
 	pthread_mutex_t lock;
 	pthread_cond_t cond;
 	bool done;
-	ec_kind_t kind;
+	fetch_result_t kind;
 	int http_status;
 	buf_t *out;
 } wait_t;
 
-static void on_call_end(void *ctx, const ec_end_t *end)
+static void on_call_end(void *ctx, const fetch_end_t *end)
 {
 	wait_t *w = ctx;
 
 	pthread_mutex_lock(&w->lock);
-	w->kind = end->kind;
+	w->kind = end->result;
 	w->http_status = end->http_status;
 	if (w->out)
 		buf_add(w->out, end->body);
@@ -291,16 +292,16 @@
 	pthread_mutex_unlock(&w->lock);
 }
 
-ec_kind_t ec_call(ec_t *e, const ec_options_t *o, int *http_status, buf_t *out)
+fetch_result_t fetch_sync(fetch_client_t *e, const fetch_options_t *o, int *http_status, buf_t *out)
 {
 	wait_t w = {.lock = PTHREAD_MUTEX_INITIALIZER, .cond = PTHREAD_COND_INITIALIZER};
-	ec_options_t own = *o;
+	fetch_options_t own = *o;
 
 	w.out = out;
 	own.ctx = &w;
 	own.end = on_call_end;
-	own.event = NULL;
-	ec_start(e, &own);
+	own.on_event = NULL;
+	fetch_start(e, &own);
 	pthread_mutex_lock(&w.lock);
 	while (!w.done)
 		pthread_cond_wait(&w.cond, &w.lock);
--- /dev/null
+++ b/src/entry/filter_idempotency.c
@@ -0,0 +1,50 @@
+#include "entry/filter.h"
+
+#include <inttypes.h>
+#include <stdio.h>
+#include "entry/inflight.h"
+
+static bool take_key(filter_call_t *c)
+{
+	str_t key = httpd_header(c->req, "Idempotency-Key");
+
+	if (key.n >= sizeof(c->key) || (key.n && !httpd_key_valid(key))) {
+		filter_refuse(c, 400, "bad_key",
+			      STR("Idempotency-Key is too long or not printable ASCII"), 0);
+		return false;
+	}
+	if (key.n == 0 && c->service->kind == CONFIG_PLAIN && !c->service->repeatable) {
+		filter_refuse(c, 400, "key_required",
+			      STR("a call that may not be repeated needs an Idempotency-Key"), 0);
+		return false;
+	}
+	if (key.n == 0)
+		snprintf(c->key, sizeof(c->key), "made-%016" PRIx64 "%016" PRIx64, entry_random(),
+			 entry_random());
+	else
+		snprintf(c->key, sizeof(c->key), "%.*s", STR_ARG(key));
+	return true;
+}
+
+/* Digest of all that makes the request what it is. */
+static uint64_t digest(const filter_call_t *c)
+{
+	AUTO_BUF b = {0};
+
+	buf_add(&b, str_c(c->service->name));
+	buf_addc(&b, 0);
+	buf_add(&b, c->upstream_path);
+	buf_addc(&b, 0);
+	buf_add(&b, httpd_body(c->req));
+	return str_hash(str_buf(&b));
+}
+
+void filter_idempotency(filter_call_t *c, const filter_step_t *next)
+{
+	if (!take_key(c))
+		return;
+	u_map_put(c->res->map_header, "Idempotency-Key", c->key);
+	c->digest = digest(c);
+	c->key_held = inflight_add(c->caller, str_c(c->key));
+	filter_next(c, next);
+}
--- /dev/null
+++ b/src/entry/filter_identify.c
@@ -0,0 +1,45 @@
+#include "entry/filter.h"
+
+#include "entry/addresses.h"
+
+#define LEASE_RETRY_MS 1000
+
+void filter_identify(filter_call_t *c, const filter_step_t *next)
+{
+	if (!httpd_auth_caller(c->en, c->req, c->res, &c->caller))
+		return;
+	if (!httpd_check_body_size(c->en, c->req, c->res))
+		return;
+	filter_next(c, next);
+}
+
+/* An entry whose lease is over may hold an old text: it names others to go to. */
+static void refuse_unleased(filter_call_t *c)
+{
+	AUTO_BUF others = {0};
+
+	addresses_list_others(c->en, &others);
+	if (others.n)
+		u_map_put(c->res->map_header, "X-Auburn-Addresses", others.p);
+	filter_refuse(c, 503, "no_lease", STR("this entry has not heard from the control in time"),
+		      LEASE_RETRY_MS);
+}
+
+void filter_check_lease(filter_call_t *c, const filter_step_t *next)
+{
+	if (!entry_lease_valid(c->en->snapshot)) {
+		refuse_unleased(c);
+		return;
+	}
+	if (atomic_load(&c->en->closing)) {
+		refuse_unleased(c);
+		return;
+	}
+	c->config = entry_config_get(c->en->snapshot);
+	if (!c->config) {
+		filter_refuse(c, 503, "no_text", STR("no operators' text is in force"),
+			      LEASE_RETRY_MS);
+		return;
+	}
+	filter_next(c, next);
+}
--- a/src/entry/bt.h
+++ b/src/entry/heartbeat.h
@@ -2,11 +2,11 @@
  * The control thread: beats to the control leader, keeps the session and the lease, fetches newer
  * texts and views and publishes them. It alone changes the entry's control state.
  */
-#ifndef AUBURN_BT_H
-#define AUBURN_BT_H
+#ifndef AUBURN_HEARTBEAT_H
+#define AUBURN_HEARTBEAT_H
 
-#include "entry/en.h"
+#include "entry/entry.h"
 
-void bt_start(en_t *en);
+void heartbeat_start(entry_ctx_t *en);
 
 #endif
--- a/src/entry/hs.c
+++ b/src/entry/httpd.c
@@ -1,4 +1,4 @@
-#include "entry/hs.h"
+#include "entry/httpd.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -6,9 +6,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/mx.h"
-#include "base/rp.h"
-#include "entry/ki.h"
+#include "base/metric.h"
+#include "base/rpc.h"
+#include "entry/bearer_keys.h"
 
 #define HEADER_MAX_BYTES   (64 << 10)
 #define IDLE_TIMEOUT_S	   60
@@ -21,10 +21,10 @@
 
 static int not_found(const struct _u_request *req, struct _u_response *res, void *en)
 {
-	return hs_error(res, 404, "no_such_path", str_c(req->url_path), VERDICT_NOT_RUN, 0);
+	return httpd_error(res, 404, "no_such_path", str_c(req->url_path), VERDICT_NOT_RUN, 0);
 }
 
-status_t hs_start(en_t *en, const hs_route_t *routes)
+status_t httpd_start(entry_ctx_t *en, const httpd_endpoint_t *routes)
 {
 	struct sockaddr_in addr = {.sin_family = AF_INET};
 	char ip[64];
@@ -35,21 +35,22 @@
 		{MHD_OPTION_NOTIFY_COMPLETED, (intptr_t)mhd_request_completed, NULL},
 		{MHD_OPTION_URI_LOG_CALLBACK, (intptr_t)ulfius_uri_logger, NULL},
 		{MHD_OPTION_SOCK_ADDR, 0, &addr},
-		{MHD_OPTION_CONNECTION_LIMIT, (intptr_t)en->set.max_connections, NULL},
+		{MHD_OPTION_CONNECTION_LIMIT, (intptr_t)en->settings.max_connections, NULL},
 		{MHD_OPTION_CONNECTION_MEMORY_LIMIT, HEADER_MAX_BYTES, NULL},
 		{MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S, NULL},
 		{MHD_OPTION_THREAD_STACK_SIZE, THREAD_STACK_BYTES, NULL},
 		{MHD_OPTION_LISTENING_ADDRESS_REUSE, 1, NULL},
 		{MHD_OPTION_END, 0, NULL}};
 
-	if (rp_split_addr(en->set.listen, ip, &port) != ST_OK ||
+	if (rpc_parse_addr(en->settings.listen, ip, &port) != STATUS_OK ||
 	    inet_pton(AF_INET, ip, &addr.sin_addr) != 1)
-		return st_fail(ST_INVALID, "listen: \"%s\" is not ip:port", en->set.listen);
+		return status_fail(STATUS_INVALID, "listen: \"%s\" is not ip:port",
+				   en->settings.listen);
 	addr.sin_port = htons((uint16_t)port);
 	if (ulfius_init_instance(&instance, port, &addr, NULL) != U_OK)
-		return st_fail(ST_IO, "the HTTP server can't be made");
+		return status_fail(STATUS_IO, "the HTTP server can't be made");
 	/* The library cuts a longer body short without a word; one byte more lets that be seen. */
-	instance.max_post_body_size = (size_t)en->set.max_body_bytes + 1;
+	instance.max_post_body_size = (size_t)en->settings.max_body_bytes + 1;
 	instance.check_utf8 = 0;
 	instance.allowed_post_processor = U_POST_PROCESS_NONE;
 	for (; routes->method; routes++)
@@ -58,27 +59,28 @@
 					   routes->handler, en);
 	ulfius_set_default_endpoint(&instance, not_found, en);
 	if (ulfius_start_framework_with_mhd_options(&instance, flags, options) != U_OK)
-		return st_fail(ST_IO, "can't listen on %s: %s", en->set.listen, strerror(errno));
-	return ST_OK;
+		return status_fail(STATUS_IO, "can't listen on %s: %s", en->settings.listen,
+				   strerror(errno));
+	return STATUS_OK;
 }
 
-void hs_stop(void)
+void httpd_stop(void)
 {
 	ulfius_stop_framework(&instance);
 	ulfius_clean_instance(&instance);
 }
 
-str_t hs_header(const struct _u_request *req, const char *name)
+str_t httpd_header(const struct _u_request *req, const char *name)
 {
 	return str_c(u_map_get_case(req->map_header, name));
 }
 
-str_t hs_param(const struct _u_request *req, const char *name)
+str_t httpd_param(const struct _u_request *req, const char *name)
 {
 	return str_c(u_map_get(req->map_url, name));
 }
 
-int64_t hs_int(str_t s, int64_t other)
+int64_t httpd_int(str_t s, int64_t other)
 {
 	char *end;
 	long long v;
@@ -90,16 +92,16 @@
 	return errno || *end ? other : v;
 }
 
-int64_t hs_ms_left(str_t s, int64_t other)
+int64_t httpd_timeout_ms(str_t s, int64_t other)
 {
-	int64_t ms = hs_int(s, other);
+	int64_t ms = httpd_int(s, other);
 
 	if (ms < 0)
 		return 0;
 	return ms > MS_LEFT_MAX ? MS_LEFT_MAX : ms;
 }
 
-bool hs_key_valid(str_t key)
+bool httpd_key_valid(str_t key)
 {
 	for (size_t i = 0; i < key.n; i++) {
 		if (key.p[i] <= ' ' || key.p[i] > '~')
@@ -108,24 +110,24 @@
 	return key.n > 0;
 }
 
-str_t hs_body(const struct _u_request *req)
+str_t httpd_body(const struct _u_request *req)
 {
 	return (str_t){req->binary_body ? req->binary_body : "", req->binary_body_length};
 }
 
-int hs_reply(struct _u_response *res, int status, const char *type, str_t body)
+int httpd_reply(struct _u_response *res, int status, const char *type, str_t body)
 {
 	ulfius_set_binary_body_response(res, (unsigned)status, body.p, body.n);
 	u_map_put(res->map_header, "Content-Type", type);
 	return U_CALLBACK_COMPLETE;
 }
 
-int hs_json(struct _u_response *res, int status, str_t body)
+int httpd_json(struct _u_response *res, int status, str_t body)
 {
-	return hs_reply(res, status, "application/json", body);
+	return httpd_reply(res, status, "application/json", body);
 }
 
-int hs_error_json(struct _u_response *res, int status, str_t body, int64_t retry_after_ms)
+int httpd_error_json(struct _u_response *res, int status, str_t body, int64_t retry_after_ms)
 {
 	char seconds[24];
 
@@ -134,12 +136,12 @@
 			 (long long)(retry_after_ms + MS_PER_S - 1) / MS_PER_S);
 		u_map_put(res->map_header, "Retry-After", seconds);
 	}
-	MX_COUNT("auburn_error_replies_total");
-	return hs_json(res, status, body);
+	METRIC_INC("auburn_error_replies_total");
+	return httpd_json(res, status, body);
 }
 
-int hs_error(struct _u_response *res, int status, const char *code, str_t message,
-	     verdict_t verdict, int64_t retry_after_ms)
+int httpd_error(struct _u_response *res, int status, const char *code, str_t message,
+		verdict_t verdict, int64_t retry_after_ms)
 {
 	AUTO_BUF b = {0};
 
@@ -147,12 +149,12 @@
 	buf_add_json(&b, message);
 	buf_addf(&b, ",\"verdict\":\"%s\",\"retry_after_ms\":%lld}}", verdict_name(verdict),
 		 (long long)retry_after_ms);
-	return hs_error_json(res, status, str_buf(&b), retry_after_ms);
+	return httpd_error_json(res, status, str_buf(&b), retry_after_ms);
 }
 
 static str_t bearer(const struct _u_request *req)
 {
-	str_t h = hs_header(req, "Authorization");
+	str_t h = httpd_header(req, "Authorization");
 	str_t prefix = STR(BEARER);
 
 	if (!str_starts(h, prefix))
@@ -163,36 +165,38 @@
 static bool refuse_key(struct _u_response *res)
 {
 	u_map_put(res->map_header, "WWW-Authenticate", "Bearer");
-	hs_error(res, 401, "bad_key", STR("no or unknown bearer key"), VERDICT_NOT_RUN, 0);
+	httpd_error(res, 401, "bad_key", STR("no or unknown bearer key"), VERDICT_NOT_RUN, 0);
 	return false;
 }
 
-bool hs_caller(en_t *en, const struct _u_request *req, struct _u_response *res, str_t *name)
+bool httpd_auth_caller(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res,
+		       str_t *name)
 {
-	return ki_find(en->caller_keys, bearer(req), name) || refuse_key(res);
+	return bearer_keys_find(en->caller_keys, bearer(req), name) || refuse_key(res);
 }
 
-bool hs_operator(en_t *en, const struct _u_request *req, struct _u_response *res, str_t *name)
+bool httpd_auth_operator(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res,
+			 str_t *name)
 {
-	return ki_find(en->operator_keys, bearer(req), name) || refuse_key(res);
+	return bearer_keys_find(en->operator_keys, bearer(req), name) || refuse_key(res);
 }
 
-bool hs_peer(en_t *en, const struct _u_request *req, struct _u_response *res)
+bool httpd_auth_peer(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res)
 {
-	return str_eq_secret(str_c(en->set.peer_key), bearer(req)) || refuse_key(res);
+	return str_eq_secret(str_c(en->settings.peer_key), bearer(req)) || refuse_key(res);
 }
 
-bool hs_body_fits(en_t *en, const struct _u_request *req, struct _u_response *res)
+bool httpd_check_body_size(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res)
 {
-	str_t declared = hs_header(req, "Content-Length");
-	int64_t max = en->set.max_body_bytes;
+	str_t declared = httpd_header(req, "Content-Length");
+	int64_t max = en->settings.max_body_bytes;
 
 	/* A body of undeclared length that fills the bound may have been cut there. */
 	if (declared.n == 0 && (int64_t)req->binary_body_length < max)
 		return true;
-	if (declared.n && hs_int(declared, -1) >= 0 && hs_int(declared, -1) <= max)
+	if (declared.n && httpd_int(declared, -1) >= 0 && httpd_int(declared, -1) <= max)
 		return true;
-	hs_error(res, 413, "body_too_large", STR("the body is over max_body_bytes"),
-		 VERDICT_NOT_RUN, 0);
+	httpd_error(res, 413, "body_too_large", STR("the body is over max_body_bytes"),
+		    VERDICT_NOT_RUN, 0);
 	return false;
 }
--- a/src/entry/rk.c
+++ b/src/entry/inflight.c
@@ -1,4 +1,4 @@
-#include "entry/rk.h"
+#include "entry/inflight.h"
 
 #include <assert.h>
 #include <pthread.h>
@@ -20,7 +20,7 @@
 	buf_add(b, key);
 }
 
-bool rk_hold(str_t caller, str_t key)
+bool inflight_add(str_t caller, str_t key)
 {
 	AUTO_BUF name = {0};
 	held_t *h;
@@ -39,7 +39,7 @@
 	return ok;
 }
 
-void rk_drop(str_t caller, str_t key)
+void inflight_remove(str_t caller, str_t key)
 {
 	AUTO_BUF name = {0};
 	held_t *h;
--- a/src/entry/rk.h
+++ b/src/entry/inflight.h
@@ -1,12 +1,12 @@
 /** Idempotency keys that are being worked on in this process. */
-#ifndef AUBURN_RK_H
-#define AUBURN_RK_H
+#ifndef AUBURN_INFLIGHT_H
+#define AUBURN_INFLIGHT_H
 
 #include <stdbool.h>
 #include "base/str.h"
 
 /** False if the key is held already. */
-bool rk_hold(str_t caller, str_t key);
-void rk_drop(str_t caller, str_t key);
+bool inflight_add(str_t caller, str_t key);
+void inflight_remove(str_t caller, str_t key);
 
 #endif
--- /dev/null
+++ b/src/entry/local_replica.c
@@ -0,0 +1,370 @@
+#include "entry/local_replica.h"
+
+#include <assert.h>
+#include <inttypes.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <uthash.h>
+#include <utlist.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "base/trace.h"
+#include "entry/engine_stream.h"
+
+/* A cancel may overtake its stream's request: it is sent again after so many tokens. */
+#define RESEND_CANCEL_TOKENS 3
+/* Without ownership a stream may wait in the engine's own queue. */
+#define FIRST_UNOWNED_MS 30000
+
+struct ro {
+	atomic_int refs;
+	entry_ctx_t *en;
+	char *id;
+	char *addr;
+	uint64_t fence;
+	void *ctx;
+	void (*health)(void *ctx, bool ok);
+	pthread_mutex_t lock; /* guards all below */
+	int64_t stall_ms;
+	owner_t *ow;
+	bool closed;
+	metric_t *step_us;
+	engine_stream_t *streams; /* hash by id */
+	engine_stream_t *ended; /* taken out under the lock, told after it */
+};
+
+static atomic_ullong last_stream_id;
+
+static engine_stream_t *find(local_replica_t *r, uint64_t id)
+{
+	engine_stream_t *s;
+
+	HASH_FIND(hh, r->streams, &id, sizeof(id), s);
+	return s;
+}
+
+static void take_out(local_replica_t *r, engine_stream_t *s, attempt_outcome_t kind,
+		     int64_t retry_after_ms)
+{
+	HASH_DEL(r->streams, s);
+	s->kind = kind;
+	s->retry_after_ms = retry_after_ms;
+	DL_APPEND(r->ended, s);
+}
+
+static void drop_refs(local_replica_t *r, int n)
+{
+	if (atomic_fetch_sub(&r->refs, n) != n)
+		return;
+	assert(!r->streams && !r->ended);
+	owner_free(r->ow);
+	pthread_mutex_destroy(&r->lock);
+	free(r->id);
+	free(r->addr);
+	free(r);
+}
+
+/* Tells the sinks of streams that ended under the lock, which it gives back. */
+static void unlock(local_replica_t *r)
+{
+	int n = 0;
+	engine_stream_t *list = r->ended;
+	engine_stream_t *s;
+	engine_stream_t *next;
+
+	r->ended = NULL;
+	pthread_mutex_unlock(&r->lock);
+	DL_FOREACH_SAFE(list, s, next)
+	{
+		attempt_end_t end = {s->kind, s->retry_after_ms, str_buf(&s->message)};
+
+		trace_end(&s->span, str_c(s->key), attempt_outcome_name(s->kind));
+		s->sink.end(s->sink.ctx, &end);
+		engine_stream_free(s);
+		n++;
+	}
+	if (n)
+		drop_refs(r, n);
+}
+
+static void on_token(void *ctx, engine_stream_t *s, unsigned index, str_t text)
+{
+	local_replica_t *r = ctx;
+	int64_t now_us = clock_now_us();
+	int64_t step_us = s->last_token_us ? now_us - s->last_token_us : 0;
+
+	pthread_mutex_lock(&r->lock);
+	owner_record_token(r->ow, s->id, step_us, now_us / 1000);
+	s->last_token_us = now_us;
+	if (step_us)
+		metric_record(r->step_us, step_us);
+	if (s->cancelling && ++s->tokens_after_cancel % RESEND_CANCEL_TOKENS == 0)
+		engine_stream_cancel(r->en->fetch_client, r->addr, s);
+	unlock(r);
+	s->sink.on_token(s->sink.ctx, index, text);
+	if (step_us == 0)
+		r->health(r->ctx, true);
+}
+
+static void on_stream_end(void *ctx, engine_stream_t *s, attempt_outcome_t kind)
+{
+	local_replica_t *r = ctx;
+
+	bool failed;
+
+	local_replica_ref(r); /* the stream's own reference ends with it */
+	pthread_mutex_lock(&r->lock);
+	if (s->cancelling && (kind == ATTEMPT_LOST || kind == ATTEMPT_STALLED))
+		kind = s->cancel_outcome;
+	if (kind == ATTEMPT_REFUSED) /* an old fence, perhaps */
+		atomic_store(&r->en->view_stale, true);
+	failed = kind == ATTEMPT_LOST || kind == ATTEMPT_STALLED || kind == ATTEMPT_CROSSED ||
+		 kind == ATTEMPT_UNREACHED;
+	if (kind == ATTEMPT_STALLED || kind == ATTEMPT_CROSSED)
+		engine_stream_cancel(r->en->fetch_client, r->addr, s);
+	owner_stream_ended(r->ow, s->id, clock_now_ms());
+	take_out(r, s, kind, 0);
+	unlock(r);
+	if (failed)
+		r->health(r->ctx, false);
+	local_replica_unref(r);
+}
+
+static void start(void *ctx, uint64_t id)
+{
+	local_replica_t *r = ctx;
+	engine_stream_t *s = find(r, id);
+	const engine_stream_options_t o = {.fetch_client = r->en->fetch_client,
+					   .addr = r->addr,
+					   .fence = r->fence,
+					   .stall_ms = r->stall_ms,
+					   .first_token_timeout_ms =
+						   r->fence ? 0 : FIRST_UNOWNED_MS,
+					   .ctx = r,
+					   .on_token = on_token,
+					   .on_end = on_stream_end};
+
+	assert(s && !s->started);
+	if (r->fence && !entry_lease_valid(r->en->snapshot)) {
+		s->start_denied = true;
+		return;
+	}
+	s->started = true;
+	log_event(LOG_LEVEL_INFO, "dispatched", LOG_CSTR("key", s->key),
+		  LOG_CSTR("upstream", r->id), LOG_CSTR("attempt", s->attempt_id),
+		  LOG_INT("from", s->next_index));
+	engine_stream_start(&o, s);
+}
+
+static void cancel(void *ctx, uint64_t id)
+{
+	local_replica_t *r = ctx;
+	engine_stream_t *s = find(r, id);
+
+	if (!s || s->cancelling)
+		return;
+	s->cancelling = true;
+	s->cancel_outcome = ATTEMPT_PREEMPTED;
+	log_event(LOG_LEVEL_INFO, "preempted", LOG_STR("key", str_c(s->key)),
+		  LOG_CSTR("upstream", r->id), LOG_CSTR("attempt", s->attempt_id),
+		  LOG_INT("tokens", s->next_index));
+	METRIC_INC("auburn_preempted_total");
+	engine_stream_cancel(r->en->fetch_client, r->addr, s);
+}
+
+static void refuse(void *ctx, uint64_t id, int64_t retry_after_ms)
+{
+	local_replica_t *r = ctx;
+	engine_stream_t *s = find(r, id);
+
+	if (s)
+		take_out(r, s, ATTEMPT_REFUSED, retry_after_ms);
+}
+
+/* Ends streams whose start was not allowed, because the lease is over. */
+static void drop_unstartable(local_replica_t *r)
+{
+	engine_stream_t *s;
+	engine_stream_t *next;
+	bool again = true;
+
+	while (again) {
+		again = false;
+		HASH_ITER (hh, r->streams, s, next) {
+			if (!s->start_denied)
+				continue;
+			take_out(r, s, ATTEMPT_REFUSED, 0);
+			owner_stream_ended(r->ow, s->id, clock_now_ms());
+			again = true;
+			break;
+		}
+	}
+}
+
+static owner_options_t with_callbacks(local_replica_t *r, const owner_options_t *policy)
+{
+	owner_options_t o = *policy;
+
+	o.ctx = r;
+	o.start = start;
+	o.cancel = cancel;
+	o.refuse = refuse;
+	return o;
+}
+
+local_replica_t *local_replica_new(const local_replica_options_t *o)
+{
+	local_replica_t *r = mem_new(sizeof(*r));
+	owner_options_t policy = with_callbacks(r, &o->policy);
+
+	atomic_init(&r->refs, 1);
+	r->en = o->en;
+	r->id = str_dup(str_c(o->id));
+	r->addr = str_dup(str_c(o->addr));
+	r->fence = o->fence;
+	r->stall_ms = o->stall_ms;
+	r->ctx = o->ctx;
+	r->health = o->on_health;
+	pthread_mutex_init(&r->lock, NULL);
+	r->step_us = metric_get(METRIC_HISTOGRAM, "auburn_step_us", NULL);
+	r->ow = owner_new(&policy, clock_now_ms());
+	return r;
+}
+
+local_replica_t *local_replica_ref(local_replica_t *r)
+{
+	if (r)
+		atomic_fetch_add(&r->refs, 1);
+	return r;
+}
+
+void local_replica_unref(local_replica_t *r)
+{
+	if (r)
+		drop_refs(r, 1);
+}
+
+void local_replica_update(local_replica_t *r, const owner_options_t *policy, int64_t stall_ms)
+{
+	owner_options_t o = with_callbacks(r, policy);
+
+	pthread_mutex_lock(&r->lock);
+	r->stall_ms = stall_ms;
+	owner_update(r->ow, &o);
+	unlock(r);
+}
+
+uint64_t local_replica_fence(const local_replica_t *r)
+{
+	return r->fence;
+}
+
+static engine_stream_t *new_stream(local_replica_t *r, const attempt_params_t *w,
+				   const attempt_sink_t *sink)
+{
+	uint64_t id = atomic_fetch_add(&last_stream_id, 1) + 1;
+	engine_stream_t *s = engine_stream_new(id, w, sink);
+
+	snprintf(s->attempt_id, sizeof(s->attempt_id), "%" PRIx64 "-%" PRIu64, r->en->boot, id);
+	return s;
+}
+
+owner_answer_t local_replica_offer(local_replica_t *r, const attempt_params_t *w,
+				   const attempt_sink_t *sink, uint64_t *id,
+				   int64_t *retry_after_ms)
+{
+	engine_stream_t *s = new_stream(r, w, sink);
+	owner_stream_t os = {.id = s->id,
+			     .cls = w->cls,
+			     .deadline = w->deadline,
+			     .caller = str_hash(w->caller),
+			     .alone = w->alone};
+	owner_answer_t a = OWNER_REFUSED;
+
+	*id = s->id;
+	*retry_after_ms = 0;
+	pthread_mutex_lock(&r->lock);
+	if (!r->closed && (!r->fence || entry_lease_valid(r->en->snapshot))) {
+		HASH_ADD(hh, r->streams, id, sizeof(s->id), s);
+		local_replica_ref(r);
+		a = owner_offer(r->ow, &os, clock_now_ms(), retry_after_ms);
+		if (a == OWNER_REFUSED && find(r, *id)) {
+			HASH_DEL(r->streams, s);
+			atomic_fetch_sub(&r->refs, 1);
+		}
+		drop_unstartable(r);
+	}
+	unlock(r);
+	if (a == OWNER_REFUSED)
+		engine_stream_free(s);
+	return a;
+}
+
+void local_replica_cancel(local_replica_t *r, uint64_t id)
+{
+	engine_stream_t *s;
+
+	pthread_mutex_lock(&r->lock);
+	s = find(r, id);
+	if (s && !s->started) {
+		owner_withdraw(r->ow, id, clock_now_ms());
+		take_out(r, s, ATTEMPT_CANCELLED, 0);
+	} else if (s && !s->cancelling) {
+		s->cancelling = true;
+		s->cancel_outcome = ATTEMPT_CANCELLED;
+		engine_stream_cancel(r->en->fetch_client, r->addr, s);
+	}
+	unlock(r);
+}
+
+bool local_replica_preempt_newest(local_replica_t *r)
+{
+	engine_stream_t *s;
+	engine_stream_t *next;
+	engine_stream_t *newest = NULL;
+
+	pthread_mutex_lock(&r->lock);
+	HASH_ITER (hh, r->streams, s, next)
+		if (s->cls == OWNER_BATCH && !s->cancelling && (!newest || s->id > newest->id))
+			newest = s;
+	if (newest)
+		cancel(r, newest->id);
+	unlock(r);
+	return newest != NULL;
+}
+
+void local_replica_tick(local_replica_t *r)
+{
+	pthread_mutex_lock(&r->lock);
+	owner_tick(r->ow, clock_now_ms());
+	drop_unstartable(r);
+	unlock(r);
+}
+
+void local_replica_close(local_replica_t *r, bool cancel_batch)
+{
+	pthread_mutex_lock(&r->lock);
+	if (!r->closed) {
+		r->closed = true;
+		owner_close(r->ow, cancel_batch, clock_now_ms());
+	}
+	unlock(r);
+}
+
+unsigned local_replica_batch_headroom(local_replica_t *r)
+{
+	unsigned n;
+
+	pthread_mutex_lock(&r->lock);
+	n = r->closed ? 0 : owner_batch_headroom(r->ow, clock_now_ms());
+	unlock(r);
+	return n;
+}
+
+void local_replica_stats(local_replica_t *r, owner_stats_t *out)
+{
+	pthread_mutex_lock(&r->lock);
+	owner_stats(r->ow, clock_now_ms(), out);
+	unlock(r);
+}
--- a/src/entry/main.c
+++ b/src/entry/main.c
@@ -3,28 +3,28 @@
 #include <sodium.h>
 #include <stdio.h>
 #include <stdlib.h>
-#include "base/ar.h"
-#include "base/lg.h"
-#include "base/mx.h"
-#include "entry/aa.h"
-#include "entry/ad.h"
-#include "entry/bj.h"
-#include "entry/bt.h"
-#include "entry/en.h"
-#include "entry/en_drain.h"
-#include "entry/fi.h"
-#include "entry/ir.h"
-#include "entry/jb.h"
-#include "entry/ki.h"
-#include "entry/lx.h"
-#include "entry/oc.h"
-#include "entry/pr.h"
-#include "entry/sv.h"
-#include "entry/up.h"
+#include "base/args.h"
+#include "base/log.h"
+#include "base/metric.h"
+#include "entry/addresses.h"
+#include "entry/admission.h"
+#include "entry/batch.h"
+#include "entry/heartbeat.h"
+#include "entry/entry.h"
+#include "entry/entry_drain.h"
+#include "entry/filter.h"
+#include "entry/peer_api.h"
+#include "entry/job_api.h"
+#include "entry/bearer_keys.h"
+#include "entry/load_exchange.h"
+#include "entry/config_api.h"
+#include "entry/probe.h"
+#include "entry/status_api.h"
+#include "entry/upstream.h"
 
-static en_t en;
+static entry_ctx_t en;
 
-uint64_t en_random(void)
+uint64_t entry_random(void)
 {
 	uint64_t v;
 
@@ -34,46 +34,46 @@
 
 static int on_completion(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
-	static const fi_step_t chain[] = {{fi_identify},    {fi_leased}, {fi_match_model},
-					  {fi_idempotency}, {fi_admit},	 {fi_accept},
-					  {fi_complete},    {NULL}};
+	static const filter_step_t chain[] = {
+		{filter_identify}, {filter_check_lease}, {filter_match_model}, {filter_idempotency},
+		{filter_admit},	   {filter_accept},	 {filter_complete},    {NULL}};
 
-	return fi_run(ctx, req, res, "entry", chain);
+	return filter_run(ctx, req, res, "entry", chain);
 }
 
 static int on_plain(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
-	static const fi_step_t chain[] = {{fi_identify},    {fi_leased}, {fi_match_plain},
-					  {fi_idempotency}, {fi_admit},	 {fi_accept},
-					  {fi_plain},	    {NULL}};
+	static const filter_step_t chain[] = {
+		{filter_identify}, {filter_check_lease}, {filter_match_plain}, {filter_idempotency},
+		{filter_admit},	   {filter_accept},	 {filter_plain},       {NULL}};
 
-	return fi_run(ctx, req, res, "entry", chain);
+	return filter_run(ctx, req, res, "entry", chain);
 }
 
-static const hs_route_t routes[] = {{"GET", "/v1/addresses", aa_get},
-				    {"POST", "/v1/completions", on_completion},
-				    {"GET", "/v1/requests/:key", jb_request},
-				    {"POST", "/v1/services/:service/*", on_plain},
-				    {"POST", "/v1/jobs", jb_post},
-				    {"GET", "/v1/jobs", jb_list},
-				    {"GET", "/v1/jobs/:id", jb_get},
-				    {"GET", "/v1/jobs/:id/results", jb_results},
-				    {"DELETE", "/v1/jobs/:id", jb_delete},
-				    {"GET", "/v1/config", oc_get},
-				    {"PUT", "/v1/config", oc_put},
-				    {"POST", "/v1/config/check", oc_check},
-				    {"GET", "/v1/status", sv_status},
-				    {"GET", "/v1/events", sv_events},
-				    {"GET", "/metrics", sv_metrics},
-				    {"GET", "/healthz", sv_healthz},
-				    {"GET", "/readyz", sv_readyz},
-				    {"POST", "/internal/v1/run", ir_post},
-				    {"POST", "/internal/v1/cancel", ir_cancel},
-				    {NULL, NULL, NULL}};
+static const httpd_endpoint_t routes[] = {{"GET", "/v1/addresses", addresses_get},
+					  {"POST", "/v1/completions", on_completion},
+					  {"GET", "/v1/requests/:key", job_api_get_request},
+					  {"POST", "/v1/services/:service/*", on_plain},
+					  {"POST", "/v1/jobs", job_api_submit},
+					  {"GET", "/v1/jobs", job_api_list},
+					  {"GET", "/v1/jobs/:id", job_api_get},
+					  {"GET", "/v1/jobs/:id/results", job_api_results},
+					  {"DELETE", "/v1/jobs/:id", job_api_cancel},
+					  {"GET", "/v1/config", config_api_get},
+					  {"PUT", "/v1/config", config_api_put},
+					  {"POST", "/v1/config/check", config_api_check},
+					  {"GET", "/v1/status", status_api_status},
+					  {"GET", "/v1/events", status_api_events},
+					  {"GET", "/metrics", status_api_metrics},
+					  {"GET", "/healthz", status_api_healthz},
+					  {"GET", "/readyz", status_api_readyz},
+					  {"POST", "/internal/v1/run", peer_api_run},
+					  {"POST", "/internal/v1/cancel", peer_api_cancel},
+					  {NULL, NULL, NULL}};
 
 static int fail(int code)
 {
-	fprintf(stderr, "auburn-entry: %s\n", st_message());
+	fprintf(stderr, "auburn-entry: %s\n", status_message());
 	return code;
 }
 
@@ -87,44 +87,46 @@
 	sigaddset(&stop, SIGINT);
 	pthread_sigmask(SIG_BLOCK, &stop, NULL);
 	signal(SIGPIPE, SIG_IGN);
-	lg_open(en.set.name, LG_INFO);
-	en.boot = en_random();
-	en.cc = cc_new((const char *const *)en.set.controls.v, en.set.controls.n,
-		       (unsigned)en.set.ledger_groups);
-	en.snap = en_snap_new();
-	en.ec = ec_new();
-	en.ups = up_new(&en);
-	en.admission = ad_new();
-	en.caller_keys = ki_new(en.set.callers, en.set.ncallers);
-	en.operator_keys = ki_new(en.set.operators, en.set.noperators);
-	if (lx_start(&en) != ST_OK || hs_start(&en, routes) != ST_OK)
-		return fail(AR_LISTEN);
-	en.batch = bj_start(&en);
-	bt_start(&en);
-	pr_start(&en);
-	lg(LG_INFO, "entry_started", LG_C("listen", en.set.listen), LG_C("peer", en.set.peer));
+	log_open(en.settings.name, LOG_LEVEL_INFO);
+	en.boot = entry_random();
+	en.control_client =
+		control_client_new((const char *const *)en.settings.controls.v,
+				   en.settings.controls.n, (unsigned)en.settings.ledger_groups);
+	en.snapshot = entry_snapshot_new();
+	en.fetch_client = fetch_client_new();
+	en.upstreams = upstream_table_new(&en);
+	en.admission = admission_new();
+	en.caller_keys = bearer_keys_new(en.settings.callers, en.settings.ncallers);
+	en.operator_keys = bearer_keys_new(en.settings.operators, en.settings.noperators);
+	if (load_exchange_start(&en) != STATUS_OK || httpd_start(&en, routes) != STATUS_OK)
+		return fail(EXIT_LISTEN);
+	en.batch = batch_start(&en);
+	heartbeat_start(&en);
+	probe_start(&en);
+	log_event(LOG_LEVEL_INFO, "entry_started", LOG_CSTR("listen", en.settings.listen),
+		  LOG_CSTR("peer", en.settings.peer));
 	sigwait(&stop, &sig);
-	en_drain(&en);
-	hs_stop();
-	lg(LG_INFO, "entry_stopped", LG_I("signal", sig));
+	entry_drain(&en);
+	httpd_stop();
+	log_event(LOG_LEVEL_INFO, "entry_stopped", LOG_INT("signal", sig));
 	return 0;
 }
 
 int main(int argc, char **argv)
 {
-	const ar_options_t o = {"auburn-entry", "Answers callers and owns replicas of the models.",
-				NULL, NULL};
-	ar_t args;
-	int code = ar_parse(&o, argc, argv, &args);
+	const args_options_t o = {"auburn-entry",
+				  "Answers callers and owns replicas of the models.", NULL, NULL};
+	args_parsed_t args;
+	int code = args_parse(&o, argc, argv, &args);
 
 	if (code >= 0)
 		return code;
 	if (sodium_init() < 0)
-		return AR_FAILED;
-	if (en_settings_load(args.config, &en.set) != ST_OK)
-		return fail(AR_SETTINGS);
+		return EXIT_FAILED;
+	if (entry_settings_load(args.config, &en.settings) != STATUS_OK)
+		return fail(EXIT_SETTINGS);
 	if (args.check)
-		return AR_OK;
+		return EXIT_OK;
 	code = serve();
 	/* Detached threads still use what they were given; the process ends here. */
 	fflush(NULL);
--- a/src/entry/ir.c
+++ b/src/entry/peer_api.c
@@ -1,13 +1,13 @@
-#include "entry/ir.h"
+#include "entry/peer_api.h"
 
 #include <inttypes.h>
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/lg.h"
-#include "base/mx.h"
-#include "entry/rn.h"
-#include "entry/up.h"
+#include "base/log.h"
+#include "base/metric.h"
+#include "entry/attempt.h"
+#include "entry/upstream.h"
 
 #define KEEPALIVE_MS 500
 #define BLOCK_BYTES  4096
@@ -17,8 +17,8 @@
 /* The stream to the other entry: the replica's callbacks write, the connection's thread reads. */
 typedef struct {
 	atomic_int refs;
-	en_t *en;
-	ro_t *ro;
+	entry_ctx_t *en;
+	local_replica_t *ro;
 	uint64_t id;
 	pthread_mutex_t lock;
 	pthread_cond_t cond;
@@ -31,7 +31,7 @@
 	if (atomic_fetch_sub(&r->refs, 1) != 1)
 		return;
 	buf_free(&r->out);
-	ro_unref(r->ro);
+	local_replica_unref(r->ro);
 	free(r);
 }
 
@@ -47,16 +47,16 @@
 	pthread_mutex_unlock(&r->lock);
 }
 
-static void write_end(buf_t *b, const rn_end_t *end)
+static void write_end(buf_t *b, const attempt_end_t *end)
 {
 	buf_addf(b,
 		 "event: end\ndata: {\"kind\":\"%s\",\"retry_after_ms\":%" PRId64 ",\"message\":",
-		 rn_kind_name(end->kind), end->retry_after_ms);
+		 attempt_outcome_name(end->outcome), end->retry_after_ms);
 	buf_add_json(b, end->message);
 	buf_add(b, STR("}\n\n"));
 }
 
-static void on_end(void *ctx, const rn_end_t *end)
+static void on_end(void *ctx, const attempt_end_t *end)
 {
 	relay_t *r = ctx;
 
@@ -94,7 +94,7 @@
 	n = r->out.n < max ? r->out.n : max;
 	if (n)
 		memcpy(out, r->out.p, n);
-	buf_drop(&r->out, n);
+	buf_drop_front(&r->out, n);
 	pthread_mutex_unlock(&r->lock);
 	return n ? (ssize_t)n : (ssize_t)U_STREAM_END;
 }
@@ -107,23 +107,23 @@
 	pthread_mutex_lock(&r->lock);
 	gone = !r->ended;
 	pthread_mutex_unlock(&r->lock);
-	atomic_fetch_sub(&r->en->streams, 1);
+	atomic_fetch_sub(&r->en->open_streams, 1);
 	if (gone) {
-		MX_COUNT("auburn_forwards_dropped_total");
-		ro_stop(r->ro, r->id);
+		METRIC_INC("auburn_forwards_dropped_total");
+		local_replica_cancel(r->ro, r->id);
 	}
 	relay_unref(r);
 }
 
-static relay_t *relay_new(en_t *en, ro_t *ro)
+static relay_t *relay_new(entry_ctx_t *en, local_replica_t *ro)
 {
 	relay_t *r = mem_new(sizeof(*r));
 	pthread_condattr_t attr;
 
 	atomic_init(&r->refs, 2);
 	r->en = en;
-	atomic_fetch_add(&en->streams, 1);
-	r->ro = ro_ref(ro);
+	atomic_fetch_add(&en->open_streams, 1);
+	r->ro = local_replica_ref(ro);
 	pthread_mutex_init(&r->lock, NULL);
 	pthread_condattr_init(&attr);
 	pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
@@ -139,11 +139,11 @@
 	return (str_t){json_is_string(v) ? json_string_value(v) : "", json_string_length(v)};
 }
 
-static rn_work_t read_work(json_t *j, str_t trace)
+static attempt_params_t read_work(json_t *j, str_t trace)
 {
-	return (rn_work_t){
-		.cls = OW_ONLINE,
-		.deadline = clk_now_ms() + json_integer_value(json_object_get(j, "left_ms")),
+	return (attempt_params_t){
+		.cls = OWNER_ONLINE,
+		.deadline = clock_now_ms() + json_integer_value(json_object_get(j, "left_ms")),
 		.max_tokens = (unsigned)json_integer_value(json_object_get(j, "max_tokens")),
 		.resume_from = (unsigned)json_integer_value(json_object_get(j, "resume_from")),
 		.caller = text_of(j, "caller"),
@@ -154,32 +154,33 @@
 		.trace = trace};
 }
 
-static bool from_member(en_t *en, json_t *j)
+static bool from_member(entry_ctx_t *en, json_t *j)
 {
-	AUTO_VIEW *v = en_view_get(en->snap);
+	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
 	uint64_t session = (uint64_t)json_integer_value(json_object_get(j, "session"));
 
-	return v && session && en_member(&v->view, session);
+	return v && session && entry_find_member(&v->view, session);
 }
 
-static ro_t *find_owned(en_t *en, json_t *j)
+static local_replica_t *find_owned(entry_ctx_t *en, json_t *j)
 {
 	uint64_t fence = (uint64_t)json_integer_value(json_object_get(j, "fence"));
 
 	if (!from_member(en, j)) {
-		atomic_store(&en->view_wanted, true);
+		atomic_store(&en->view_stale, true);
 		return NULL;
 	}
-	return up_owned(en->ups, text_of(j, "upstream"), fence);
+	return upstream_find_owned(en->upstreams, text_of(j, "upstream"), fence);
 }
 
-static void run(en_t *en, ro_t *ro, const rn_work_t *w, struct _u_response *res)
+static void run(entry_ctx_t *en, local_replica_t *ro, const attempt_params_t *w,
+		struct _u_response *res)
 {
 	relay_t *r = relay_new(en, ro);
-	rn_sink_t sink = {r, on_token, on_end};
-	rn_end_t end = {RN_REFUSED, 0, STR("the owner takes no more")};
+	attempt_sink_t sink = {r, on_token, on_end};
+	attempt_end_t end = {ATTEMPT_REFUSED, 0, STR("the owner takes no more")};
 
-	if (ro_offer(ro, w, &sink, &r->id, &end.retry_after_ms) == OW_REFUSED) {
+	if (local_replica_offer(ro, w, &sink, &r->id, &end.retry_after_ms) == OWNER_REFUSED) {
 		write_end(&r->out, &end);
 		r->ended = true;
 		atomic_store(&r->refs, 1); /* the replica holds none */
@@ -189,25 +190,25 @@
 				   BLOCK_BYTES, r);
 }
 
-int ir_post(const struct _u_request *req, struct _u_response *res, void *ctx)
+int peer_api_run(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
-	en_t *en = ctx;
-	str_t body = hs_body(req);
+	entry_ctx_t *en = ctx;
+	str_t body = httpd_body(req);
 	json_t *j;
-	rn_work_t w;
-	ro_t *ro;
+	attempt_params_t w;
+	local_replica_t *ro;
 
-	if (!hs_peer(en, req, res))
+	if (!httpd_auth_peer(en, req, res))
 		return U_CALLBACK_COMPLETE;
 	j = json_loadb(body.p, body.n, 0, NULL);
-	w = read_work(j, hs_header(req, "traceparent"));
+	w = read_work(j, httpd_header(req, "traceparent"));
 	ro = j ? find_owned(en, j) : NULL;
-	if (ro && en_lease_valid(en->snap))
+	if (ro && entry_lease_valid(en->snapshot))
 		run(en, ro, &w, res);
 	else
-		hs_error(res, 503, "not_owner", STR("not the owner under this fence"),
-			 VERDICT_NOT_RUN, 1);
-	ro_unref(ro);
+		httpd_error(res, 503, "not_owner", STR("not the owner under this fence"),
+			    VERDICT_NOT_RUN, 1);
+	local_replica_unref(ro);
 	json_decref(j);
 	return U_CALLBACK_COMPLETE;
 }
--- /dev/null
+++ b/src/entry/plain_call.c
@@ -0,0 +1,188 @@
+#include "entry/plain_call.h"
+
+#include <stdio.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "base/trace.h"
+#include "entry/ledger_client.h"
+#include "entry/upstream.h"
+#include "policy/retry.h"
+
+#define URL_BYTES	  512
+#define HEADER_BYTES	  256
+#define ATTEMPT_LONG_MS	  60000
+#define ATTEMPT_MS	  3000
+#define CONNECT_TRIES	  4
+#define PAUSE_MS	  50
+#define RETRY_MS	  1000
+#define HTTP_SERVER_ERROR 500
+#define HTTP_UNAVAILABLE  503
+
+/* Commits that an attempt begins; after this only this process may send, and only once. Goes on
+ * past the call's deadline, because the record must not stay as it is. */
+static status_t open_attempt(entry_ctx_t *en, const plain_call_t *c, uint64_t token)
+{
+	deadline_t until = clock_now_ms() + ATTEMPT_LONG_MS;
+	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_ATTEMPT};
+	status_t st = STATUS_TIMEOUT;
+
+	cmd.wire_ledger_cmd_t_u.attempt = (wire_attempt_t){.caller = wire_bytes(c->caller),
+							   .key = wire_bytes(c->key),
+							   .token = token,
+							   .session = entry_session(en->snapshot),
+							   .upstream = wire_bytes(STR(""))};
+	while (clock_now_ms() < until) {
+		wire_ledger_res_t res = {0};
+
+		st = control_client_ledger(en->control_client, &cmd, &res,
+					   clock_now_ms() + ATTEMPT_MS);
+		if (st == STATUS_OK)
+			st = (status_t)res.status;
+		wire_free(XDR_PROC(wire_ledger_res_t), &res);
+		if (st != STATUS_UNAVAILABLE && st != STATUS_TIMEOUT && st != STATUS_NOT_LEADER)
+			return st;
+		clock_sleep_ms(PAUSE_MS);
+	}
+	return st;
+}
+
+static fetch_result_t send_call(entry_ctx_t *en, const plain_call_t *c, const char *addr,
+				int *status, buf_t *out)
+{
+	char url[URL_BYTES];
+	char key[HEADER_BYTES];
+	char trace[HEADER_BYTES];
+	char parent[TRACE_PARENT_BYTES];
+	trace_span_t sp;
+	const char *const headers[] = {"Content-Type: application/json", key, trace, NULL};
+	fetch_options_t o = {.method = "POST",
+			     .url = url,
+			     .body = c->body,
+			     .headers = headers,
+			     .deadline = c->deadline,
+			     .new_connection = !c->repeatable};
+	fetch_result_t kind;
+
+	trace_begin(&sp, "upstream", c->trace);
+	trace_parent(&sp, parent);
+	snprintf(url, sizeof(url), "http://%s%.*s", addr, STR_ARG(c->path));
+	snprintf(key, sizeof(key), "Idempotency-Key: %.*s", STR_ARG(c->key));
+	snprintf(trace, sizeof(trace), "traceparent: %s", parent);
+	kind = fetch_sync(en->fetch_client, &o, status, out);
+	trace_end(&sp, c->key, kind == FETCH_FINISHED ? "answered" : "no_answer");
+	return kind;
+}
+
+static void set_failed(plain_call_end_t *end, int status, verdict_t v, const char *code,
+		       str_t message)
+{
+	end->done = false;
+	end->http_status = status;
+	end->verdict = v;
+	end->code = code;
+	buf_free(&end->result);
+	ledger_client_error_json(&end->result, code, message, v,
+				 v == VERDICT_NOT_RUN ? RETRY_MS : 0);
+}
+
+/* The verdict of one sent call. True if it ended; false if it surely did not run. */
+static bool judge(const plain_call_t *c, fetch_result_t kind, int status, plain_call_end_t *end)
+{
+	if (kind == FETCH_NOT_SENT)
+		return false;
+	if (kind != FETCH_FINISHED) {
+		set_failed(end, 502, VERDICT_MAY_HAVE_RUN, "answer_lost",
+			   STR("the service's answer was lost: the call may have run"));
+		return true;
+	}
+	/* 503 is a refusal by the service: it says that it did not run the call. */
+	if (status == HTTP_UNAVAILABLE)
+		return false;
+	end->done = true;
+	end->http_status = status;
+	end->verdict = VERDICT_RAN;
+	return true;
+}
+
+static bool may_go_on(entry_ctx_t *en, const plain_call_t *c, const plain_call_end_t *end,
+		      int *tries)
+{
+	if (end->done || ++*tries >= CONNECT_TRIES || clock_now_ms() >= c->deadline)
+		return false;
+	if (!retry_allowed(end->verdict, c->repeatable))
+		return false;
+	return ledger_client_take_retry(en, str_c(c->service));
+}
+
+static void run_tries(entry_ctx_t *en, const plain_call_t *c, plain_call_end_t *end)
+{
+	int tries = 0;
+
+	do {
+		upstream_choice_t choice;
+		char addr[64];
+		int status = 0;
+		fetch_result_t kind;
+
+		buf_free(&end->result);
+		set_failed(end, 503, VERDICT_NOT_RUN, "no_upstream",
+			   STR("no upstream of the service took the call"));
+		if (!upstream_pick_plain(en->upstreams, str_c(c->service), &choice, addr)) {
+			clock_sleep_ms(PAUSE_MS);
+			continue;
+		}
+		buf_free(&end->result);
+		kind = send_call(en, c, addr, &status, &end->result);
+		upstream_record_health(choice.upstream, kind == FETCH_FINISHED);
+		if (!judge(c, kind, status, end))
+			set_failed(end, 503, VERDICT_NOT_RUN, "refused_by_service",
+				   STR("the service did not run the call"));
+		log_event(LOG_LEVEL_INFO, "service_call", LOG_STR("key", c->key),
+			  LOG_CSTR("upstream", choice.id), LOG_INT("status", status),
+			  LOG_CSTR("verdict", verdict_name(end->verdict)));
+	} while (may_go_on(en, c, end, &tries));
+}
+
+/* What stands in the ledger is what every resend is told, so it is told now too. */
+static void adopt(plain_call_end_t *end, ledger_client_end_t *standing)
+{
+	end->done = standing->done;
+	end->http_status = standing->http_status;
+	end->verdict = standing->verdict;
+	end->code = "ended_elsewhere";
+	buf_free(&end->result);
+	end->result = standing->result;
+}
+
+status_t plain_call_run(entry_ctx_t *en, const plain_call_t *c, plain_call_end_t *end)
+{
+	ledger_client_finish_t f = {.caller = c->caller, .key = c->key};
+	ledger_client_end_t standing = {0};
+	status_t st = STATUS_OK;
+
+	if (!c->repeatable)
+		st = open_attempt(en, c, entry_random() | 1);
+	if (st != STATUS_OK)
+		return st;
+	if (clock_now_ms() < c->deadline)
+		run_tries(en, c, end);
+	else
+		set_failed(end, 504, VERDICT_NOT_RUN, "deadline", STR("the deadline has passed"));
+	f.done = end->done;
+	f.verdict = end->verdict;
+	f.http_status = end->http_status;
+	f.result = str_buf(&end->result);
+	st = ledger_client_finish(en, &f, &standing);
+	if (st == STATUS_OK)
+		return STATUS_OK;
+	if (st == STATUS_CONFLICT) {
+		adopt(end, &standing);
+		return STATUS_OK;
+	}
+	log_event(LOG_LEVEL_ERROR, "result_not_committed", LOG_STR("key", c->key),
+		  LOG_CSTR("status", status_name(st)));
+	if (end->verdict != VERDICT_NOT_RUN)
+		set_failed(end, 503, VERDICT_MAY_HAVE_RUN, "result_not_committed",
+			   STR("the result could not be stored yet: ask again under the same key"));
+	return STATUS_OK;
+}
--- a/src/entry/ps.h
+++ b/src/entry/plain_call.h
@@ -1,8 +1,8 @@
 /** Runs a plain service's call, at most once if it may not be repeated. */
-#ifndef AUBURN_PS_H
-#define AUBURN_PS_H
+#ifndef AUBURN_PLAIN_CALL_H
+#define AUBURN_PLAIN_CALL_H
 
-#include "entry/en.h"
+#include "entry/entry.h"
 
 typedef struct {
 	str_t caller;
@@ -13,7 +13,7 @@
 	str_t body;
 	str_t trace;
 	deadline_t deadline;
-} ps_call_t;
+} plain_call_t;
 
 typedef struct {
 	bool done;
@@ -21,10 +21,10 @@
 	verdict_t verdict;
 	const char *code; /* of a failure */
 	buf_t result; /* body, or the error JSON */
-} ps_end_t;
+} plain_call_end_t;
 
-/** Runs an accepted call and commits its end. Unless ST_OK, nothing was sent from here, but another
- *  attempt is or may be open. */
-status_t ps_run(en_t *en, const ps_call_t *c, ps_end_t *end);
+/** Runs an accepted call and commits its end. Unless STATUS_OK, nothing was sent from here, but
+ * another attempt is or may be open. */
+status_t plain_call_run(entry_ctx_t *en, const plain_call_t *c, plain_call_end_t *end);
 
 #endif
--- a/src/entry/pr_orders.c
+++ b/src/entry/probe_orders.c
@@ -1,10 +1,10 @@
-#include "entry/pr.h"
+#include "entry/probe.h"
 
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
-#include "base/lg.h"
-#include "base/mx.h"
+#include "base/log.h"
+#include "base/metric.h"
 
 #define URL_BYTES     256
 #define ORDER_MS      1000
@@ -18,7 +18,7 @@
 	return strcmp(have, want ? want : "") == 0;
 }
 
-static bool listed(json_t *list, const tx_service_t *s)
+static bool listed(json_t *list, const config_service_t *s)
 {
 	for (size_t i = 0; i < json_array_size(list); i++) {
 		json_t *m = json_array_get(list, i);
@@ -32,22 +32,22 @@
 }
 
 /* This entry's part of the weight store's rate. */
-static bool load_allowed(en_t *en, const en_conf_t *c)
+static bool load_allowed(entry_ctx_t *en, const entry_config_t *c)
 {
 	static deadline_t next; /* used by the probe thread only */
-	AUTO_VIEW *v = en_view_get(en->snap);
+	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
 	int64_t entries = v && v->view.members.members_len ? v->view.members.members_len : 1;
-	int64_t rate = c->text->weight_loads_per_min;
+	int64_t rate = c->config->weight_loads_per_min;
 
 	if (rate <= 0)
 		return true;
-	if (clk_now_ms() < next)
+	if (clock_now_ms() < next)
 		return false;
-	next = clk_now_ms() + MS_PER_MIN * entries / rate;
+	next = clock_now_ms() + MS_PER_MIN * entries / rate;
 	return true;
 }
 
-static void write_order(buf_t *b, const up_info_t *info, const tx_service_t *s)
+static void write_order(buf_t *b, const upstream_info_t *info, const config_service_t *s)
 {
 	buf_addf(b, "{\"fence\":%" PRIu64 ",\"op\":\"load\",\"model\":", info->fence);
 	buf_add_json(b, str_c(s->model));
@@ -58,38 +58,38 @@
 	buf_addc(b, '}');
 }
 
-static void order(en_t *en, const up_info_t *info, const tx_service_t *s)
+static void order(entry_ctx_t *en, const upstream_info_t *info, const config_service_t *s)
 {
 	static const char *const headers[] = {"Content-Type: application/json", NULL};
 	char url[URL_BYTES];
 	AUTO_BUF body = {0};
 	int status = 0;
-	ec_options_t o = {.method = "POST",
-			  .url = url,
-			  .headers = headers,
-			  .fresh = true,
-			  .deadline = clk_now_ms() + ORDER_MS};
+	fetch_options_t o = {.method = "POST",
+			     .url = url,
+			     .headers = headers,
+			     .new_connection = true,
+			     .deadline = clock_now_ms() + ORDER_MS};
 
 	snprintf(url, sizeof(url), "http://%s/v1/orders", info->addr);
 	write_order(&body, info, s);
 	o.body = str_buf(&body);
-	ec_call(en->ec, &o, &status, NULL);
-	lg(LG_INFO, "order_sent", LG_C("upstream", info->id), LG_I("fence", info->fence),
-	   LG_C("model", s->model), LG_C("version", s->version ? s->version : ""),
-	   LG_I("status", status));
-	MX_COUNT("auburn_orders_total");
+	fetch_sync(en->fetch_client, &o, &status, NULL);
+	log_event(LOG_LEVEL_INFO, "order_sent", LOG_CSTR("upstream", info->id),
+		  LOG_INT("fence", info->fence), LOG_CSTR("model", s->model),
+		  LOG_CSTR("version", s->version ? s->version : ""), LOG_INT("status", status));
+	METRIC_INC("auburn_orders_total");
 	if (status == HTTP_CONFLICT)
-		atomic_store(&en->view_wanted, true);
+		atomic_store(&en->view_stale, true);
 }
 
-void pr_orders(en_t *en, const up_info_t *info, const en_conf_t *c, const tx_service_t *s,
-	       pr_replica_t *r)
+void probe_send_orders(entry_ctx_t *en, const upstream_info_t *info, const entry_config_t *c,
+		       const config_service_t *s, probe_replica_t *r)
 {
-	json_t *j = pr_get(en, info->addr, "/v1/state");
+	json_t *j = probe_get_json(en, info->addr, "/v1/state");
 	bool wanted = j && !listed(json_object_get(j, "loaded"), s) &&
 		      !listed(json_object_get(j, "loading"), s);
 
 	json_decref(j);
-	if (wanted && en_lease_valid(en->snap) && load_allowed(en, c))
+	if (wanted && entry_lease_valid(en->snapshot) && load_allowed(en, c))
 		order(en, info, s);
 }
--- a/src/entry/up_prefix.c
+++ b/src/entry/upstream_prefix.c
@@ -1,6 +1,6 @@
 #include <stdlib.h>
 #include <string.h>
-#include "entry/up_impl.h"
+#include "entry/upstream_internal.h"
 
 static int compare(const void *a, const void *b)
 {
@@ -10,7 +10,7 @@
 	return (x > y) - (x < y);
 }
 
-void up_prefixes_set(up_t *u, const uint64_t *hashes, size_t n)
+void upstream_set_prefixes(upstream_t *u, const uint64_t *hashes, size_t n)
 {
 	uint64_t *copy = mem_new(n * sizeof(*copy));
 
@@ -24,7 +24,7 @@
 	pthread_mutex_unlock(&u->lock);
 }
 
-static size_t position(const up_t *u, uint64_t hash)
+static size_t position(const upstream_t *u, uint64_t hash)
 {
 	size_t i = 0;
 
@@ -33,7 +33,7 @@
 	return i;
 }
 
-void up_prefix_change(up_t *u, uint64_t hash, bool added)
+void upstream_update_prefix(upstream_t *u, uint64_t hash, bool added)
 {
 	size_t i;
 	bool known;
@@ -53,12 +53,12 @@
 	pthread_mutex_unlock(&u->lock);
 }
 
-void up_prefixes_forget(up_t *u)
+void upstream_clear_prefixes(upstream_t *u)
 {
-	up_prefixes_set(u, NULL, 0);
+	upstream_set_prefixes(u, NULL, 0);
 }
 
-size_t up_prefixes_copy(up_t *u, uint64_t **out)
+size_t upstream_copy_prefixes(upstream_t *u, uint64_t **out)
 {
 	size_t n;
 
--- /dev/null
+++ b/src/front/front_link.c
@@ -0,0 +1,228 @@
+/* The link to the leader: what it tells of replicas and items. */
+#include <stdlib.h>
+#include <string.h>
+#include "base/log.h"
+#include "base/metric.h"
+#include "front/front.h"
+
+/** Without a leader for this long, in ms, this process reads the list of replicas itself, on a
+ * period of LIST_MS, which bounds what all entries together ask of the platform. */
+#define LIST_AFTER_MS 1500
+#define LIST_MS	      2000
+/** Items are stopped after this long without a leader, in ms: before it runs them elsewhere. */
+#define ITEMS_MS (DISPATCH_ADOPT_MS - 400)
+#define RUNS_MAX 4096
+
+const front_replica_t *front_find_replica(const front_t *f, str_t id)
+{
+	front_replica_t *r;
+
+	HASH_FIND(hh, f->replicas, id.p, id.n, r);
+	return r;
+}
+
+void front_replica_leaving(front_t *f, leaving_replica_t r)
+{
+	link_msg_t m = {.kind = LINK_LEAVING};
+
+	if (!leaving_add(f->leaving_replicas, r))
+		return;
+	log_event(LOG_LEVEL_INFO, "replica_leaves", LOG_STR("replica", r.id),
+		  LOG_INT("born", r.start_time));
+	METRIC_INC("auburn_replicas_leaving_total");
+	m.link_msg_t_u.leaving_replica = (link_leaving_t){wire_bytes(r.id), r.start_time};
+	leader_link_send(f->leader, &m);
+	if (f->local)
+		dispatch_replica_leaving(f->local, r.id);
+}
+
+static void index_replicas(front_t *f)
+{
+	front_replica_t *r;
+	front_replica_t *next;
+
+	HASH_ITER (hh, f->replicas, r, next) {
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		HASH_DEL(f->replicas, r);
+		free(r->id);
+		free(r->addr);
+		free(r);
+	}
+	for (u_int i = 0; i < f->view.upstreams.upstreams_len; i++) {
+		const link_upstream_t *u = &f->view.upstreams.upstreams_val[i];
+
+		if (front_find_replica(f, wire_str(u->id)))
+			continue;
+		r = mem_new(sizeof(*r));
+		r->id = str_dup(wire_str(u->id));
+		r->addr = str_dup(wire_str(u->addr));
+		r->start_time = u->start_time;
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		HASH_ADD_KEYPTR(hh, f->replicas, r->id, strlen(r->id), r);
+	}
+	front_slot_set_replicas(f);
+}
+
+/* Of the two lists, takes over the one that the message has. */
+static void take_view(front_t *f, const link_view_t *m)
+{
+	link_view_t got;
+	link_view_t old = f->view;
+
+	wire_dup(XDR_PROC(link_view_t), m, &got, sizeof(got));
+	f->view.controls = got.controls;
+	got.controls = old.controls;
+	if (m->has_upstreams) {
+		f->view.upstreams = got.upstreams;
+		got.upstreams = old.upstreams;
+	}
+	if (m->has_entries) {
+		f->view.entries = got.entries;
+		got.entries = old.entries;
+	}
+	wire_free(XDR_PROC(link_view_t), &got);
+	for (u_int i = 0; i < f->view.controls.controls_len; i++)
+		leader_link_add_control(f->leader, wire_str(f->view.controls.controls_val[i]));
+	if (m->has_upstreams)
+		index_replicas(f);
+}
+
+static void on_message(void *ctx, const link_msg_t *m)
+{
+	front_t *f = ctx;
+	front_request_t *o;
+
+	switch (m->kind) {
+	case LINK_CONFIG:
+		front_routes_update(f, &m->link_msg_t_u.conf);
+		break;
+	case LINK_VIEW:
+		take_view(f, &m->link_msg_t_u.view);
+		break;
+	case LINK_GRANT:
+		o = front_request_find(f, m->link_msg_t_u.grant.request);
+		if (o && front_request_is_waiting(o)) {
+			leaving_replica_t r = {wire_str(m->link_msg_t_u.grant.replica),
+					       m->link_msg_t_u.grant.start_time};
+
+			front_request_granted(o, r, wire_str(m->link_msg_t_u.grant.addr));
+		} else if (!o) {
+			link_msg_t end = {.kind = LINK_ENDED};
+
+			/* Its caller left while the grant was on its way. */
+			end.link_msg_t_u.ended.request = m->link_msg_t_u.grant.request;
+			end.link_msg_t_u.ended.outcome = LINK_OUTCOME_CANCELLED;
+			leader_link_send(f->leader, &end);
+		}
+		break;
+	case LINK_REFUSE:
+		o = front_request_find(f, m->link_msg_t_u.refuse.request);
+		if (o && front_request_is_waiting(o))
+			front_request_refused(o, m->link_msg_t_u.refuse.retry_ms);
+		break;
+	case LINK_ITEM_RUN:
+		front_item_run(f, &m->link_msg_t_u.run);
+		break;
+	case LINK_ITEM_STOP:
+		front_item_stop(f, &m->link_msg_t_u.stop);
+		break;
+	default:
+		break;
+	}
+}
+
+static void on_up(void *ctx)
+{
+	front_t *f = ctx;
+
+	front_slot_leader_up(f);
+	front_item_report_ended(f);
+}
+
+static void on_down(void *ctx)
+{
+	front_slot_leader_down(ctx);
+}
+
+static void fill_hello(void *ctx, link_hello_t *out)
+{
+	static link_run_t runs[RUNS_MAX];
+	static link_leaving_t leaving_replicas[LEAVING_MAX];
+	leaving_replica_t known[LEAVING_MAX];
+	front_t *f = ctx;
+	size_t n = 0;
+	size_t nleavers = leaving_list(f->leaving_replicas, known, LEAVING_MAX);
+
+	for (front_request_t *o = f->requests; o && n < RUNS_MAX; o = o->hh.next) {
+		if (!front_request_is_waiting(o))
+			runs[n++] = (link_run_t){.request = o->number,
+						 .replica = wire_bytes(str_c(o->replica))};
+	}
+	n += front_item_runs(f, runs + n, RUNS_MAX - n);
+	*out = (link_hello_t){
+		.name = wire_bytes(str_c(f->settings.name)),
+		.addr = wire_bytes(str_c(f->settings.listen)),
+		.zone = wire_bytes(str_c(f->settings.zone)),
+		.draining = f->exit_by != 0,
+		.text = f->config_id,
+	};
+	out->runs.runs_len = (u_int)n;
+	out->runs.runs_val = runs;
+	for (size_t i = 0; i < nleavers; i++)
+		leaving_replicas[i] =
+			(link_leaving_t){wire_bytes(known[i].id), known[i].start_time};
+	out->leaving_replicas.leaving_replicas_len = (u_int)nleavers;
+	out->leaving_replicas.leaving_replicas_val = leaving_replicas;
+}
+
+static void on_list(void *ctx, link_view_t *v)
+{
+	front_t *f = ctx;
+	link_view_t old = {.upstreams = f->view.upstreams};
+
+	if (!f->local)
+		return;
+	f->view.upstreams = v->upstreams;
+	v->upstreams = old.upstreams;
+	index_replicas(f);
+}
+
+void front_link_tick(front_t *f, deadline_t now)
+{
+	deadline_t since = leader_link_down_since(f->leader);
+
+	if (!f->local)
+		return;
+	dispatch_tick(f->local, now);
+	if (now - since > ITEMS_MS)
+		front_item_stop_all(f);
+	if (!f->upstream_list || now - since < LIST_AFTER_MS || now < f->next_list_read)
+		return;
+	f->next_list_read = now + LIST_MS;
+	upstream_list_read(f->upstream_list);
+}
+
+void front_link_start(front_t *f)
+{
+	f->leaving_replicas = leaving_new();
+	front_routes_start(f);
+	f->leader = leader_link_new(&(leader_link_options_t){
+		.loop = f->loop,
+		.controls = (const char *const *)f->settings.controls.v,
+		.ncontrols = f->settings.controls.n,
+		.link_port = (unsigned)f->settings.link_port,
+		.ctx = f,
+		.hello = fill_hello,
+		.message = on_message,
+		.up = on_up,
+		.down = on_down,
+	});
+	if (f->settings.upstream_list)
+		f->upstream_list = upstream_list_new(
+			&(upstream_list_options_t){.loop = f->loop,
+						   .http = f->http,
+						   .addr = f->settings.upstream_list,
+						   .ctx = f,
+						   .list = on_list});
+	front_slot_leader_down(f);
+}
--- /dev/null
+++ b/src/front/front_lot.c
@@ -0,0 +1,158 @@
+/* Calls on lots, which the leader answers. */
+#include <stdlib.h>
+#include "base/log.h"
+#include "front/front.h"
+
+/** The leader's answer is given up after this, in ms: its commit has failed by then. */
+#define CALL_MS 2500
+/** A read that isn't to wait for results has its answer by then, in ms. */
+#define READ_MS 1200
+/** When a refused lot may come again, in ms: a leader is found by then; one that found no room has
+ * seen some items finished. */
+#define RETRY_MS       300
+#define RETRY_QUOTA_MS 1000
+
+typedef struct {
+	front_conn_data_t data;
+	front_t *f;
+	http_conn_t *conn; /* NULL once the caller has left */
+	link_call_kind_t kind;
+	int64_t after;
+	char id[64];
+} lot_call_t;
+
+static void reply_error(lot_call_t *c, int status, int64_t retry_ms)
+{
+	AUTO_BUF headers = {0};
+
+	if (retry_ms)
+		platform_add_retry_after(&headers, retry_ms);
+	http_reply(c->conn, status, str_buf(&headers), (str_t){"", 0});
+}
+
+static int reply_ok(lot_call_t *c, const link_reply_t *r)
+{
+	AUTO_BUF body = {0};
+
+	switch (c->kind) {
+	case LINK_CALL_LOT_OPEN:
+		http_reply(c->conn, 202, PLATFORM_JSON_HEADER, STR("{}"));
+		return 202;
+	case LINK_CALL_LOT_READ:
+		platform_lot_results_encode(&body, r, c->after);
+		http_reply(c->conn, 200, PLATFORM_JSON_HEADER, str_buf(&body));
+		return 200;
+	case LINK_CALL_ITEM_BODY:
+		http_reply(c->conn, 200, STR("Content-Type: application/octet-stream\r\n"),
+			   wire_str(r->bytes));
+		return 200;
+	default:
+		http_reply(c->conn, 200, PLATFORM_JSON_HEADER, STR("{}"));
+		return 200;
+	}
+}
+
+static int reply_failure(lot_call_t *c, status_t st)
+{
+	switch (st) {
+	case STATUS_LIMIT:
+		reply_error(c, 429, RETRY_QUOTA_MS);
+		return 429;
+	case STATUS_NOT_FOUND:
+		reply_error(c, 404, 0);
+		return 404;
+	case STATUS_UNAVAILABLE:
+	case STATUS_NOT_LEADER:
+		reply_error(c, 503, RETRY_MS);
+		return 503;
+	default:
+		/* May have been done: a read or an end may be sent again without harm. */
+		reply_error(c, c->kind == LINK_CALL_LOT_OPEN ? 504 : 503, 0);
+		return c->kind == LINK_CALL_LOT_OPEN ? 504 : 503;
+	}
+}
+
+static void on_reply(void *ctx, const link_reply_t *r, bool sent)
+{
+	lot_call_t *c = ctx;
+	status_t st = r ? (status_t)r->status : sent ? STATUS_TIMEOUT : STATUS_UNAVAILABLE;
+	int status = 0;
+
+	if (c->conn) {
+		http_conn_set_data(c->conn, NULL);
+		status = st == STATUS_OK ? reply_ok(c, r) : reply_failure(c, st);
+	}
+	/* Reads that succeed come many times a second. */
+	if (c->kind == LINK_CALL_LOT_OPEN || c->kind == LINK_CALL_LOT_END || st != STATUS_OK)
+		log_event(LOG_LEVEL_INFO, "lot_call", LOG_CSTR("lot", c->id),
+			  LOG_CSTR("call", leader_link_call_name(c->kind)),
+			  LOG_CSTR("outcome", status_name(st)), LOG_INT("status", status));
+	free(c);
+}
+
+static lot_call_t *call_new(front_t *f, http_conn_t *conn, link_call_kind_t kind, str_t id)
+{
+	lot_call_t *c = mem_new(sizeof(*c));
+
+	c->data = (front_conn_data_t){FRONT_CONN_LOT, &c->conn};
+	c->f = f;
+	c->conn = conn;
+	c->kind = kind;
+	snprintf(c->id, sizeof(c->id), "%.*s", STR_ARG(id));
+	http_conn_set_data(conn, c);
+	return c;
+}
+
+void front_lot_open(front_t *f, http_conn_t *conn, const http_request_t *r,
+		    const platform_call_t *call, const route_spec_t *route)
+{
+	link_call_arg_t what = {.kind = LINK_CALL_LOT_OPEN};
+	wire_lot_open_t *o = &what.link_call_arg_t_u.open;
+	AUTO_BUF key = {0};
+
+	if (call->id.n == 0 || platform_lot_decode(r->body, o) != STATUS_OK) {
+		log_event(LOG_LEVEL_WARN, "lot_refused", LOG_STR("lot", call->id),
+			  LOG_CSTR("reason", call->id.n ? status_message() : "no id"));
+		http_reply(conn, 400, STR(""), STR(""));
+		wire_free(XDR_PROC(wire_lot_open_t), o);
+		return;
+	}
+	buf_addf(&key, "%s%s", route->host, route->prefix);
+	o->lot = wire_copy(call->id);
+	o->route = wire_copy(str_buf(&key));
+	o->host = wire_copy(call->host);
+	leader_link_call(f->leader, &what, clock_now_ms() + CALL_MS, on_reply,
+			 call_new(f, conn, LINK_CALL_LOT_OPEN, call->id));
+	wire_free(XDR_PROC(wire_lot_open_t), o);
+}
+
+void front_lot_call(front_t *f, http_conn_t *conn, const platform_call_t *call)
+{
+	link_call_arg_t what = {0};
+	int64_t wait = READ_MS;
+	lot_call_t *c;
+
+	switch (call->kind) {
+	case PLATFORM_CALL_LOT_READ:
+		what.kind = LINK_CALL_LOT_READ;
+		what.link_call_arg_t_u.read.job = wire_bytes(call->id);
+		what.link_call_arg_t_u.read.after = (u_int)call->after;
+		what.link_call_arg_t_u.read.wait_ms =
+			call->timeout_ms > 0 ? (int)call->timeout_ms : 0;
+		wait += what.link_call_arg_t_u.read.wait_ms;
+		break;
+	case PLATFORM_CALL_ITEM_BODY:
+		what.kind = LINK_CALL_ITEM_BODY;
+		what.link_call_arg_t_u.body.job = wire_bytes(call->id);
+		what.link_call_arg_t_u.body.item = wire_bytes(call->item);
+		break;
+	default:
+		what.kind = LINK_CALL_LOT_END;
+		what.link_call_arg_t_u.job = wire_bytes(call->id);
+		wait = CALL_MS;
+		break;
+	}
+	c = call_new(f, conn, what.kind, call->id);
+	c->after = call->after;
+	leader_link_call(f->leader, &what, clock_now_ms() + wait, on_reply, c);
+}
--- a/src/front/main.c
+++ b/src/front/main.c
@@ -3,11 +3,11 @@
 #include <sodium.h>
 #include <stdio.h>
 #include <stdlib.h>
-#include "base/ar.h"
-#include "base/lg.h"
-#include "base/mx.h"
-#include "client/la.h"
-#include "front/fr.h"
+#include "base/args.h"
+#include "base/log.h"
+#include "base/metric.h"
+#include "client/directory.h"
+#include "front/front.h"
 
 #define TICK_MS 50
 /** Left of the grace time when the process ends by itself, in ms. */
@@ -28,109 +28,113 @@
 #define HEADER_MS    3000
 #define IDLE_MS	     15000
 
-void fr_serve(fr_t *f, hl_conn_t *c, const hl_request_t *r)
+void front_serve(front_t *f, http_conn_t *c, const http_request_t *r)
 {
-	const ru_route_t *route;
-	pf_call_t call;
+	const route_spec_t *route;
+	platform_call_t call;
 
-	if (pf_call_decode(&r->head, &call) != ST_OK) {
-		lg(LG_INFO, "request_refused", LG_I("status", 400), LG_C("reason", st_message()));
-		hl_reply(c, 400, STR(""), str_c(st_message()));
+	if (platform_call_decode(&r->head, &call) != STATUS_OK) {
+		log_event(LOG_LEVEL_INFO, "request_refused", LOG_INT("status", 400),
+			  LOG_CSTR("reason", status_message()));
+		http_reply(c, 400, STR(""), str_c(status_message()));
 		return;
 	}
-	if (call.kind != PF_REQUEST && call.kind != PF_READY) {
-		fr_lot_call(f, c, &call);
+	if (call.kind != PLATFORM_CALL_REQUEST && call.kind != PLATFORM_CALL_READY) {
+		front_lot_call(f, c, &call);
 		return;
 	}
-	route = ru_match(f->routes, call.host, call.path);
+	route = route_table_match(f->routes, call.host, call.path);
 	if (!route) {
-		lg(LG_INFO, "request_refused", LG_S("request", call.id), LG_I("status", 404),
-		   LG_S("host", call.host), LG_S("path", call.path),
-		   LG_I("text", f->routes_version));
-		hl_reply(c, 404, STR(""), STR("no such route"));
+		log_event(LOG_LEVEL_INFO, "request_refused", LOG_STR("request", call.id),
+			  LOG_INT("status", 404), LOG_STR("host", call.host),
+			  LOG_STR("path", call.path), LOG_INT("text", f->routes_version));
+		http_reply(c, 404, STR(""), STR("no such route"));
 		return;
 	}
-	if (route->kind == RU_BATCH)
-		fr_lot_open(f, c, r, &call, route);
+	if (route->kind == ROUTE_BATCH)
+		front_lot_open(f, c, r, &call, route);
 	else
-		fo_begin(f, c, r, &call, route);
+		front_request_begin(f, c, r, &call, route);
 }
 
-static void on_request(void *ctx, hl_conn_t *c, const hl_request_t *r)
+static void on_request(void *ctx, http_conn_t *c, const http_request_t *r)
 {
-	fr_t *f = ctx;
+	front_t *f = ctx;
 
 	if (f->routes)
-		fr_serve(f, c, r);
+		front_serve(f, c, r);
 	else
-		fh_hold(f, c, r);
+		front_held_add(f, c, r);
 }
 
-static void on_gone(void *ctx, hl_conn_t *c)
+static void on_gone(void *ctx, http_conn_t *c)
 {
-	fr_data_t *d = hl_data(c);
+	front_conn_data_t *d = http_conn_data(c);
 
 	if (!d)
 		return;
-	if (d->kind != FR_ONLINE) {
-		*(hl_conn_t **)d->of = NULL;
+	if (d->kind != FRONT_CONN_REQUEST) {
+		*(http_conn_t **)d->target = NULL;
 		return;
 	}
-	fo_gone(d->of);
+	front_request_caller_left(d->target);
 	free(d);
 }
 
-static void on_ready(void *ctx, hl_conn_t *c, const hl_request_t *r)
+static void on_ready(void *ctx, http_conn_t *c, const http_request_t *r)
 {
-	fr_t *f = ctx;
+	front_t *f = ctx;
 
 	if (f->exit_by || !f->routes)
-		hl_reply(c, 503, STR(""), STR("not ready\n"));
+		http_reply(c, 503, STR(""), STR("not ready\n"));
 	else
-		hl_reply(c, 200, STR(""), STR("ready\n"));
+		http_reply(c, 200, STR(""), STR("ready\n"));
 }
 
-static void on_look_up(void *ctx, hl_conn_t *c, const hl_request_t *r)
+static void on_look_up(void *ctx, http_conn_t *c, const http_request_t *r)
 {
-	la_answer(c, r, &((fr_t *)ctx)->view);
+	directory_answer(c, r, &((front_t *)ctx)->view);
 }
 
-static void on_metrics(void *ctx, hl_conn_t *c, const hl_request_t *r)
+static void on_metrics(void *ctx, http_conn_t *c, const http_request_t *r)
 {
-	fr_t *f = ctx;
+	front_t *f = ctx;
 	AUTO_BUF b = {0};
 
-	mx_set(mx_get(MX_GAUGE, "auburn_requests_open", NULL), HASH_COUNT(f->requests));
-	mx_set(mx_get(MX_GAUGE, "auburn_items_running", NULL), (int64_t)fb_count(f));
-	mx_set(mx_get(MX_GAUGE, "auburn_replica_connections", NULL), (int64_t)hu_connects(f->http));
-	mx_set(mx_get(MX_GAUGE, "auburn_leader_linked", NULL), ll_is_up(f->leader));
-	mx_render(&b);
-	hl_reply(c, 200, STR("Content-Type: text/plain; version=0.0.4\r\n"), str_buf(&b));
+	metric_set(metric_get(METRIC_GAUGE, "auburn_requests_open", NULL), HASH_COUNT(f->requests));
+	metric_set(metric_get(METRIC_GAUGE, "auburn_items_running", NULL),
+		   (int64_t)front_item_count(f));
+	metric_set(metric_get(METRIC_GAUGE, "auburn_replica_connections", NULL),
+		   (int64_t)http_client_connects(f->http));
+	metric_set(metric_get(METRIC_GAUGE, "auburn_leader_linked", NULL),
+		   leader_link_is_up(f->leader));
+	metric_render_all(&b);
+	http_reply(c, 200, STR("Content-Type: text/plain; version=0.0.4\r\n"), str_buf(&b));
 }
 
 /* Callers use the address until the process is gone: what has connected by then is served. */
-static void stop_when_idle(fr_t *f, deadline_t now)
+static void stop_when_idle(front_t *f, deadline_t now)
 {
 	if (now < f->accept_until)
 		return;
-	if (!f->quiet_since) {
-		hl_stop_accepting(f->callers);
-		f->quiet_since = now;
-	} else if (hl_pending(f->callers)) {
-		f->quiet_since = now;
-	} else if (now - f->quiet_since >= QUIET_MS) {
+	if (!f->idle_since) {
+		http_server_stop_accepting(f->callers);
+		f->idle_since = now;
+	} else if (http_server_pending(f->callers)) {
+		f->idle_since = now;
+	} else if (now - f->idle_since >= QUIET_MS) {
 		ev_break(f->loop, EVBREAK_ALL);
 	}
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
 {
-	fr_t *f = w->data;
-	deadline_t now = clk_now_ms();
+	front_t *f = w->data;
+	deadline_t now = clock_now_ms();
 
-	fr_link_tick(f, now);
-	fh_tick(f, now);
-	fb_tick(f, now);
+	front_link_tick(f, now);
+	front_held_expire(f, now);
+	front_item_report_progress(f, now);
 	if (!f->exit_by)
 		return;
 	stop_when_idle(f, now);
@@ -140,53 +144,54 @@
 
 static void on_term(struct ev_loop *loop, ev_signal *w, int events)
 {
-	fr_t *f = w->data;
-	int64_t grace_ms = f->s.grace_s * 1000;
+	front_t *f = w->data;
+	int64_t grace_ms = f->settings.grace_s * 1000;
 
 	if (f->exit_by)
 		return;
-	f->accept_until = clk_now_ms() + grace_ms * ACCEPT_PERCENT / 100;
-	f->exit_by = clk_now_ms() + grace_ms - EXIT_MARGIN_MS;
-	lg(LG_INFO, "stopping", LG_C("reason", "signal"), LG_I("requests", HASH_COUNT(f->requests)),
-	   LG_I("items", fb_count(f)));
-	hl_drain(f->callers);
-	ll_greet(f->leader);
-	fb_stop_all(f);
+	f->accept_until = clock_now_ms() + grace_ms * ACCEPT_PERCENT / 100;
+	f->exit_by = clock_now_ms() + grace_ms - EXIT_MARGIN_MS;
+	log_event(LOG_LEVEL_INFO, "stopping", LOG_CSTR("reason", "signal"),
+		  LOG_INT("requests", HASH_COUNT(f->requests)),
+		  LOG_INT("items", front_item_count(f)));
+	http_server_drain(f->callers);
+	leader_link_resend_hello(f->leader);
+	front_item_stop_all(f);
 }
 
 /* Only the known control processes may change without a restart. */
 static void on_hup(struct ev_loop *loop, ev_signal *w, int events)
 {
-	fr_t *f = w->data;
-	fr_settings_t s;
+	front_t *f = w->data;
+	front_settings_t s;
 
-	if (fr_settings_load(f->settings_path, &s) != ST_OK) {
-		lg(LG_ERROR, "reload_failed", LG_C("what", st_message()));
-		fr_settings_free(&s);
+	if (front_settings_load(f->settings_path, &s) != STATUS_OK) {
+		log_event(LOG_LEVEL_ERROR, "reload_failed", LOG_CSTR("what", status_message()));
+		front_settings_free(&s);
 		return;
 	}
 	for (size_t i = 0; i < s.controls.n; i++)
-		ll_add_control(f->leader, str_c(s.controls.v[i]));
-	lg(LG_INFO, "reloaded", LG_I("controls", s.controls.n));
-	fr_settings_free(&s);
+		leader_link_add_control(f->leader, str_c(s.controls.v[i]));
+	log_event(LOG_LEVEL_INFO, "reloaded", LOG_INT("controls", s.controls.n));
+	front_settings_free(&s);
 }
 
-static hl_t *serve(fr_t *f, const char *addr, size_t body_bytes,
-		   void (*request)(void *ctx, hl_conn_t *c, const hl_request_t *r))
+static http_server_t *serve(front_t *f, const char *addr, size_t body_bytes,
+			    void (*request)(void *ctx, http_conn_t *c, const http_request_t *r))
 {
-	return hl_new(&(hl_options_t){
+	return http_server_new(&(http_server_options_t){
 		.loop = f->loop,
 		.addr = addr,
 		.limits = {HEADER_BYTES, body_bytes, HEADER_MS, IDLE_MS},
 		.ctx = f,
 		.request = request,
-		.gone = on_gone,
+		.client_gone = on_gone,
 	});
 }
 
-static bool listen_all(fr_t *f)
+static bool listen_all(front_t *f)
 {
-	const fr_settings_t *s = &f->s;
+	const front_settings_t *s = &f->settings;
 
 	f->callers = serve(f, s->listen, BODY_BYTES, on_request);
 	if (!f->callers)
@@ -198,7 +203,7 @@
 	return !s->metrics || (f->metrics = serve(f, s->metrics, METRICS_BODY_MAX, on_metrics));
 }
 
-static void watch_signals(fr_t *f)
+static void watch_signals(front_t *f)
 {
 	signal(SIGPIPE, SIG_IGN);
 	ev_signal_init(&f->term, on_term, SIGTERM);
@@ -210,39 +215,40 @@
 
 int main(int argc, char **argv)
 {
-	const ar_options_t o = {"auburn-front", "Answers callers by the operators' routes.", NULL,
-				NULL};
-	static fr_t f;
-	ar_t args;
-	int code = ar_parse(&o, argc, argv, &args);
+	const args_options_t o = {"auburn-front", "Answers callers by the operators' routes.", NULL,
+				  NULL};
+	static front_t f;
+	args_parsed_t args;
+	int code = args_parse(&o, argc, argv, &args);
 
 	if (code >= 0)
 		return code;
-	if (fr_settings_load(args.config, &f.s) != ST_OK) {
-		fprintf(stderr, "auburn-front: %s\n", st_message());
-		return AR_SETTINGS;
+	if (front_settings_load(args.config, &f.settings) != STATUS_OK) {
+		fprintf(stderr, "auburn-front: %s\n", status_message());
+		return EXIT_SETTINGS;
 	}
 	if (args.check)
-		return AR_OK;
+		return EXIT_OK;
 	if (sodium_init() < 0)
-		return AR_FAILED;
-	lg_open(f.s.name, LG_INFO);
+		return EXIT_FAILED;
+	log_open(f.settings.name, LOG_LEVEL_INFO);
 	f.settings_path = args.config;
-	f.started = clk_now_ms();
+	f.started = clock_now_ms();
 	f.loop = ev_default_loop(EVFLAG_AUTO);
-	f.http = hu_new(f.loop);
+	f.http = http_client_new(f.loop);
 	if (!listen_all(&f)) {
-		fprintf(stderr, "auburn-front: %s\n", st_message());
-		return AR_LISTEN;
+		fprintf(stderr, "auburn-front: %s\n", status_message());
+		return EXIT_LISTEN;
 	}
 	watch_signals(&f);
-	fr_link_start(&f);
+	front_link_start(&f);
 	ev_timer_init(&f.tick, on_tick, 0.0, TICK_MS / 1000.0);
 	f.tick.data = &f;
 	ev_timer_start(f.loop, &f.tick);
-	lg(LG_INFO, "started", LG_C("listen", f.s.listen), LG_C("zone", f.s.zone));
+	log_event(LOG_LEVEL_INFO, "started", LOG_CSTR("listen", f.settings.listen),
+		  LOG_CSTR("zone", f.settings.zone));
 	ev_run(f.loop, 0);
-	lg(LG_INFO, "stopped", LG_I("requests", HASH_COUNT(f.requests)),
-	   LG_I("pending", hl_pending(f.callers)));
-	return AR_OK;
+	log_event(LOG_LEVEL_INFO, "stopped", LOG_INT("requests", HASH_COUNT(f.requests)),
+		  LOG_INT("pending", http_server_pending(f.callers)));
+	return EXIT_OK;
 }
--- a/src/net/hp.c
+++ b/src/net/http.c
@@ -1,14 +1,14 @@
-#include "net/hp.h"
+#include "net/http.h"
 
 #include <string.h>
 #include <strings.h>
 
-static str_t span(const hp_t *p, size_t at, size_t n)
+static str_t span(const http_reader_t *p, size_t at, size_t n)
 {
 	return (str_t){p->text.p ? p->text.p + at : "", n};
 }
 
-static bool take(hp_t *p, const char *at, size_t n)
+static bool take(http_reader_t *p, const char *at, size_t n)
 {
 	if (p->text.n + n > p->o.max_header_bytes) {
 		p->too_large = true;
@@ -20,7 +20,7 @@
 
 static int on_begin(http_parser *hp)
 {
-	hp_t *p = hp->data;
+	http_reader_t *p = hp->data;
 
 	p->text.n = 0;
 	p->target_n = 0;
@@ -32,7 +32,7 @@
 
 static int on_url(http_parser *hp, const char *at, size_t n)
 {
-	hp_t *p = hp->data;
+	http_reader_t *p = hp->data;
 
 	p->target_n += n;
 	return take(p, at, n) ? 0 : 1;
@@ -40,18 +40,18 @@
 
 static int on_field(http_parser *hp, const char *at, size_t n)
 {
-	hp_t *p = hp->data;
-	hp_span_t *s;
+	http_reader_t *p = hp->data;
+	http_span_t *s;
 
 	if (p->in_body)
 		return 0;
 	if (p->in_value || p->nspans == 0) {
-		if (p->nspans == HP_HEADERS_MAX) {
+		if (p->nspans == HTTP_HEADERS_MAX) {
 			p->too_large = true;
 			return 1;
 		}
 		s = &p->spans[p->nspans++];
-		*s = (hp_span_t){.name = p->text.n};
+		*s = (http_span_t){.name = p->text.n};
 		p->in_value = false;
 	}
 	s = &p->spans[p->nspans - 1];
@@ -61,8 +61,8 @@
 
 static int on_value(http_parser *hp, const char *at, size_t n)
 {
-	hp_t *p = hp->data;
-	hp_span_t *s;
+	http_reader_t *p = hp->data;
+	http_span_t *s;
 
 	if (p->in_body)
 		return 0;
@@ -76,15 +76,15 @@
 
 static int on_head(http_parser *hp)
 {
-	hp_t *p = hp->data;
+	http_reader_t *p = hp->data;
 
 	for (size_t i = 0; i < p->nspans; i++) {
-		const hp_span_t *s = &p->spans[i];
+		const http_span_t *s = &p->spans[i];
 
 		p->headers[i] =
-			(hp_header_t){span(p, s->name, s->name_n), span(p, s->value, s->value_n)};
+			(http_header_t){span(p, s->name, s->name_n), span(p, s->value, s->value_n)};
 	}
-	p->head = (hp_head_t){
+	p->head = (http_head_t){
 		.target = span(p, 0, p->target_n),
 		.status = (int)hp->status_code,
 		.headers = p->headers,
@@ -100,7 +100,7 @@
 
 static int on_body(http_parser *hp, const char *at, size_t n)
 {
-	hp_t *p = hp->data;
+	http_reader_t *p = hp->data;
 
 	p->o.cb.body(p->o.cb.ctx, (str_t){at, n});
 	return 0;
@@ -108,9 +108,9 @@
 
 static int on_end(http_parser *hp)
 {
-	hp_t *p = hp->data;
+	http_reader_t *p = hp->data;
 
-	if (p->o.pause)
+	if (p->o.pause_after_message)
 		http_parser_pause(hp, 1);
 	p->o.cb.end(p->o.cb.ctx);
 	return 0;
@@ -126,39 +126,40 @@
 	.on_message_complete = on_end,
 };
 
-void hp_init(hp_t *p, const hp_options_t *o)
+void http_reader_init(http_reader_t *p, const http_reader_options_t *o)
 {
-	*p = (hp_t){.o = *o};
+	*p = (http_reader_t){.o = *o};
 	http_parser_init(&p->parser, o->responses ? HTTP_RESPONSE : HTTP_REQUEST);
 	p->parser.data = p;
 }
 
-void hp_free(hp_t *p)
+void http_reader_free(http_reader_t *p)
 {
 	buf_free(&p->text);
 }
 
-status_t hp_feed(hp_t *p, str_t in, size_t *used)
+status_t http_reader_feed(http_reader_t *p, str_t in, size_t *used)
 {
 	enum http_errno err;
 
 	*used = http_parser_execute(&p->parser, &parser_settings, in.p, in.n);
 	err = HTTP_PARSER_ERRNO(&p->parser);
 	if (p->too_large || err == HPE_HEADER_OVERFLOW)
-		return st_fail(ST_LIMIT, "head of more than %zu bytes", p->o.max_header_bytes);
+		return status_fail(STATUS_LIMIT, "head of more than %zu bytes",
+				   p->o.max_header_bytes);
 	if (p->parser.upgrade)
-		return st_fail(ST_INVALID, "upgrades aren't served");
+		return status_fail(STATUS_INVALID, "upgrades aren't served");
 	if (err != HPE_OK && err != HPE_PAUSED)
-		return st_fail(ST_INVALID, "not HTTP: %s", http_errno_description(err));
-	return ST_OK;
+		return status_fail(STATUS_INVALID, "not HTTP: %s", http_errno_description(err));
+	return STATUS_OK;
 }
 
-void hp_next(hp_t *p)
+void http_reader_resume(http_reader_t *p)
 {
 	http_parser_pause(&p->parser, 0);
 }
 
-str_t hp_header(const hp_head_t *h, const char *name)
+str_t http_header(const http_head_t *h, const char *name)
 {
 	size_t n = strlen(name);
 
@@ -169,16 +170,16 @@
 	return (str_t){NULL, 0};
 }
 
-str_t hp_path(str_t target)
+str_t http_path(str_t target)
 {
 	const char *q = memchr(target.p, '?', target.n);
 
 	return q ? (str_t){target.p, (size_t)(q - target.p)} : target;
 }
 
-str_t hp_query(str_t target, const char *key)
+str_t http_query(str_t target, const char *key)
 {
-	str_t path = hp_path(target);
+	str_t path = http_path(target);
 	size_t at = path.n + 1;
 	size_t kn = strlen(key);
 
@@ -194,7 +195,7 @@
 	return (str_t){NULL, 0};
 }
 
-long long hp_number(str_t s)
+long long http_parse_number(str_t s)
 {
 	long long v = 0;
 
--- a/src/net/hu.c
+++ b/src/net/http_client.c
@@ -1,4 +1,4 @@
-#include "net/hu.h"
+#include "net/http_client.h"
 
 #include <assert.h>
 #include <stdio.h>
@@ -8,8 +8,8 @@
 #include <unistd.h>
 #include <uthash.h>
 #include <utlist.h>
-#include "net/sk.h"
-#include "net/tm.h"
+#include "net/tcp.h"
+#include "net/timeout.h"
 
 #define READ_BYTES	 16384
 #define MAX_HEADER_BYTES 65536
@@ -32,7 +32,7 @@
 	UT_hash_handle hh;
 } host_t;
 
-struct hu {
+struct http_client {
 	struct ev_loop *loop;
 	host_t *hosts;
 	conn_t *conns;
@@ -40,13 +40,13 @@
 };
 
 struct conn {
-	hu_t *h;
+	http_client_t *h;
 	host_t *host;
 	int fd;
 	ev_io rd;
 	ev_io wr;
-	tm_t timer;
-	hp_t parser;
+	timeout_t timer;
+	http_reader_t parser;
 	buf_t out;
 	buf_t in;
 	bool connected;
@@ -57,15 +57,15 @@
 	unsigned interim; /* heads of the answer that is being read */
 	size_t bytes; /* that came since the call began */
 	int64_t idle_ms;
-	hu_call_t *call;
+	http_call_t *call;
 	conn_t *next; /* idle at the same host */
 	conn_t *all_prev;
 	conn_t *all_next;
 	bool dead;
 };
 
-struct hu_call {
-	hu_options_t o;
+struct http_call {
+	http_call_options_t o;
 	conn_t *conn;
 };
 
@@ -74,7 +74,7 @@
 {
 	conn_t *c = arg;
 
-	hp_free(&c->parser);
+	http_reader_free(&c->parser);
 	buf_free(&c->out);
 	buf_free(&c->in);
 	free(c);
@@ -100,15 +100,15 @@
 	DL_DELETE2(c->h->conns, c, all_prev, all_next);
 	ev_io_stop(c->h->loop, &c->rd);
 	ev_io_stop(c->h->loop, &c->wr);
-	tm_stop(&c->timer);
+	timeout_stop(&c->timer);
 	close(c->fd);
 	ev_once(c->h->loop, -1, 0, 0.0, conn_free, c);
 }
 
 /* Ends the call; its connection is closed unless it may serve another. */
-static void end_call(conn_t *c, hu_end_t how)
+static void end_call(conn_t *c, http_call_end_t how)
 {
-	hu_call_t *call = c->call;
+	http_call_t *call = c->call;
 
 	c->call = NULL;
 	if (call) {
@@ -118,15 +118,15 @@
 	}
 }
 
-static void fail(conn_t *c, hu_end_t how)
+static void fail(conn_t *c, http_call_end_t how)
 {
 	conn_close(c);
 	end_call(c, how);
 }
 
-static void read_keep_alive(conn_t *c, const hp_head_t *h)
+static void read_keep_alive(conn_t *c, const http_head_t *h)
 {
-	str_t ka = hp_header(h, "Keep-Alive");
+	str_t ka = http_header(h, "Keep-Alive");
 	long at = str_find(ka, STR("timeout="));
 	long long s = 0;
 
@@ -140,7 +140,7 @@
 		c->idle_ms = s * 10 * IDLE_SHARE_PERCENT;
 }
 
-static void on_head(void *ctx, const hp_head_t *h)
+static void on_head(void *ctx, const http_head_t *h)
 {
 	conn_t *c = ctx;
 
@@ -180,62 +180,62 @@
 	c->next = c->host->idle;
 	c->host->idle = c;
 	c->host->nidle++;
-	tm_set(&c->timer, c->idle_ms);
+	timeout_set(&c->timer, c->idle_ms);
 }
 
 /* Parses what was read; the end of the stream is told by an empty input. */
 static void parse(conn_t *c, bool closed)
 {
-	status_t st = ST_OK;
+	status_t st = STATUS_OK;
 	size_t used;
 
-	while (!c->dead && !c->ended && st == ST_OK && c->in.n > 0) {
-		st = hp_feed(&c->parser, str_buf(&c->in), &used);
+	while (!c->dead && !c->ended && st == STATUS_OK && c->in.n > 0) {
+		st = http_reader_feed(&c->parser, str_buf(&c->in), &used);
 		if (c->dead)
 			return;
-		buf_drop(&c->in, used < c->in.n ? used : c->in.n);
+		buf_drop_front(&c->in, used < c->in.n ? used : c->in.n);
 		if (c->interim > INTERIM_MAX)
-			st = ST_LIMIT;
-		if (!c->ended && st == ST_OK)
-			hp_next(&c->parser);
+			st = STATUS_LIMIT;
+		if (!c->ended && st == STATUS_OK)
+			http_reader_resume(&c->parser);
 	}
 	if (c->dead)
 		return;
-	if (st == ST_OK && !c->ended && closed) {
-		st = hp_feed(&c->parser, (str_t){"", 0}, &used);
+	if (st == STATUS_OK && !c->ended && closed) {
+		st = http_reader_feed(&c->parser, (str_t){"", 0}, &used);
 		if (c->dead)
 			return;
-		if (st != ST_OK || !c->ended) {
-			fail(c, HU_BROKEN);
+		if (st != STATUS_OK || !c->ended) {
+			fail(c, HTTP_CALL_BROKEN);
 			return;
 		}
 	}
-	if (st != ST_OK) {
-		fail(c, HU_MALFORMED);
+	if (st != STATUS_OK) {
+		fail(c, HTTP_CALL_MALFORMED);
 		return;
 	}
 	if (c->ended) {
 		go_idle(c);
-		end_call(c, HU_DONE);
+		end_call(c, HTTP_CALL_DONE);
 	}
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *w, int events)
 {
 	conn_t *c = w->data;
-	long n = sk_read(c->fd, &c->in, READ_BYTES);
+	long n = tcp_read(c->fd, &c->in, READ_BYTES);
 
 	c->bytes += n > 0 ? (size_t)n : 0;
 	if (!c->call) {
 		/* An idle connection that speaks or ends serves nobody. */
 		conn_close(c);
 	} else if (c->bytes > c->call->o.max_bytes) {
-		fail(c, HU_TOO_LONG);
+		fail(c, HTTP_CALL_TOO_LONG);
 	} else if (n < 0) {
 		c->keep = false;
-		parse(c, n == SK_CLOSED);
-		if (n == SK_BROKEN && !c->dead)
-			fail(c, HU_BROKEN);
+		parse(c, n == TCP_READ_CLOSED);
+		if (n == TCP_READ_BROKEN && !c->dead)
+			fail(c, HTTP_CALL_BROKEN);
 	} else if (n > 0) {
 		parse(c, false);
 	}
@@ -243,7 +243,7 @@
 
 static void flush(conn_t *c)
 {
-	if (!sk_write(c->fd, &c->out)) {
+	if (!tcp_write(c->fd, &c->out)) {
 		/* What the server said before it closed is still read. */
 		ev_io_stop(c->h->loop, &c->wr);
 		c->out.n = 0;
@@ -261,12 +261,12 @@
 	conn_t *c = w->data;
 
 	if (!c->connected) {
-		if (sk_error(c->fd) != 0) {
-			fail(c, HU_UNSENT);
+		if (tcp_connect_error(c->fd) != 0) {
+			fail(c, HTTP_CALL_UNSENT);
 			return;
 		}
 		c->connected = true;
-		tm_stop(&c->timer);
+		timeout_stop(&c->timer);
 		ev_io_start(loop, &c->rd);
 	}
 	flush(c);
@@ -277,12 +277,12 @@
 	conn_t *c = ctx;
 
 	if (c->call)
-		fail(c, HU_UNSENT);
+		fail(c, HTTP_CALL_UNSENT);
 	else
 		conn_close(c);
 }
 
-static host_t *host_of(hu_t *h, const char *addr)
+static host_t *host_of(http_client_t *h, const char *addr)
 {
 	host_t *x;
 
@@ -295,9 +295,9 @@
 	return x;
 }
 
-static conn_t *conn_open(hu_t *h, host_t *host)
+static conn_t *conn_open(http_client_t *h, host_t *host)
 {
-	int fd = sk_connect(host->addr);
+	int fd = tcp_connect(host->addr);
 	conn_t *c;
 
 	if (fd < 0)
@@ -307,15 +307,15 @@
 	c->host = host;
 	c->fd = fd;
 	DL_APPEND2(h->conns, c, all_prev, all_next);
-	hp_init(&c->parser, &(hp_options_t){
-				    .responses = true,
-				    .pause = true,
-				    .max_header_bytes = MAX_HEADER_BYTES,
-				    .cb = {c, on_head, on_body, on_end},
-			    });
+	http_reader_init(&c->parser, &(http_reader_options_t){
+					     .responses = true,
+					     .pause_after_message = true,
+					     .max_header_bytes = MAX_HEADER_BYTES,
+					     .cb = {c, on_head, on_body, on_end},
+				     });
 	ev_io_init(&c->rd, on_readable, fd, EV_READ);
 	ev_io_init(&c->wr, on_writable, fd, EV_WRITE);
-	tm_init(&c->timer, h->loop, on_timer, c);
+	timeout_init(&c->timer, h->loop, on_timer, c);
 	c->rd.data = c->wr.data = c;
 	h->connects++;
 	return c;
@@ -329,8 +329,8 @@
 		return NULL;
 	host->idle = c->next;
 	host->nidle--;
-	tm_stop(&c->timer);
-	hp_next(&c->parser);
+	timeout_stop(&c->timer);
+	http_reader_resume(&c->parser);
 	c->ended = false;
 	c->skip = false;
 	c->kept = true;
@@ -338,9 +338,9 @@
 	return c;
 }
 
-hu_t *hu_new(struct ev_loop *loop)
+http_client_t *http_client_new(struct ev_loop *loop)
 {
-	hu_t *h = mem_new(sizeof(*h));
+	http_client_t *h = mem_new(sizeof(*h));
 
 	h->loop = loop;
 	return h;
@@ -348,22 +348,22 @@
 
 static void on_unsent(int revents, void *arg)
 {
-	hu_call_t *call = arg;
+	http_call_t *call = arg;
 
-	call->o.end(call->o.ctx, HU_UNSENT);
+	call->o.end(call->o.ctx, HTTP_CALL_UNSENT);
 	free(call);
 }
 
-bool hu_on_kept(const hu_call_t *call)
+bool http_call_reused_conn(const http_call_t *call)
 {
 	return call->conn && call->conn->kept;
 }
 
-hu_call_t *hu_start(hu_t *h, const hu_options_t *o)
+http_call_t *http_call_start(http_client_t *h, const http_call_options_t *o)
 {
 	host_t *host = host_of(h, o->addr);
-	hu_call_t *call = mem_new(sizeof(*call));
-	conn_t *c = o->fresh ? NULL : take_idle(host);
+	http_call_t *call = mem_new(sizeof(*call));
+	conn_t *c = o->new_conn ? NULL : take_idle(host);
 
 	assert(o->max_bytes > 0);
 	call->o = *o;
@@ -373,7 +373,7 @@
 			ev_once(h->loop, -1, 0, 0.0, on_unsent, call);
 			return call;
 		}
-		tm_set(&c->timer, clk_left_ms(o->connect_by));
+		timeout_set(&c->timer, clock_left_ms(o->connect_deadline));
 	}
 	c->call = call;
 	call->conn = c;
@@ -389,11 +389,11 @@
 {
 }
 
-static void drop_end(void *ctx, hu_end_t how)
+static void drop_end(void *ctx, http_call_end_t how)
 {
 }
 
-void hu_cancel(hu_call_t *call)
+void http_call_cancel(http_call_t *call)
 {
 	conn_t *c = call->conn;
 
@@ -410,7 +410,7 @@
 
 static void client_free(int events, void *arg)
 {
-	hu_t *h = arg;
+	http_client_t *h = arg;
 	host_t *x;
 
 	while ((x = h->hosts)) {
@@ -421,7 +421,7 @@
 	free(h);
 }
 
-void hu_close(hu_t *h)
+void http_client_close(http_client_t *h)
 {
 	while (h->conns) {
 		free(h->conns->call);
@@ -431,7 +431,7 @@
 	ev_once(h->loop, -1, 0, 0.0, client_free, h);
 }
 
-uint64_t hu_connects(const hu_t *h)
+uint64_t http_client_connects(const http_client_t *h)
 {
 	return h->connects;
 }
--- a/src/net/hl.c
+++ b/src/net/http_server.c
@@ -1,4 +1,4 @@
-#include "net/hl.h"
+#include "net/http_server.h"
 
 #include <limits.h>
 #include <stdlib.h>
@@ -6,9 +6,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 #include <utlist.h>
-#include "base/lg.h"
-#include "net/sk.h"
-#include "net/tm.h"
+#include "base/log.h"
+#include "net/tcp.h"
+#include "net/timeout.h"
 
 /** Bytes read ahead while a request is being answered. */
 #define READ_AHEAD_BYTES 65536
@@ -22,22 +22,22 @@
 /** Accepts in one turn of the loop, so that open connections get theirs. */
 #define ACCEPTS 32
 
-struct hl {
-	hl_options_t o;
+struct http_server {
+	http_server_options_t o;
 	int fd;
 	ev_io accept;
 	bool draining;
 	size_t busy;
-	hl_conn_t *conns;
+	http_conn_t *conns;
 };
 
-struct hl_conn {
-	hl_t *l;
+struct http_conn {
+	http_server_t *l;
 	int fd;
 	ev_io rd;
 	ev_io wr;
-	tm_t timer;
-	hp_t parser;
+	timeout_t timer;
+	http_reader_t parser;
 	buf_t in;
 	buf_t body;
 	buf_t out;
@@ -52,8 +52,8 @@
 	bool broken;
 	bool dead;
 	void *data;
-	hl_conn_t *prev;
-	hl_conn_t *next;
+	http_conn_t *prev;
+	http_conn_t *next;
 };
 
 static const struct {
@@ -79,7 +79,7 @@
 	{504, "Gateway Timeout"},
 };
 
-const char *hl_reason(int status)
+const char *http_reason(int status)
 {
 	for (size_t i = 0; i < sizeof(reasons) / sizeof(reasons[0]); i++) {
 		if (reasons[i].status == status)
@@ -91,16 +91,16 @@
 /* Frees from the loop, as callers up the stack may still hold the connection. */
 static void conn_free(int events, void *arg)
 {
-	hl_conn_t *c = arg;
+	http_conn_t *c = arg;
 
-	hp_free(&c->parser);
+	http_reader_free(&c->parser);
 	buf_free(&c->in);
 	buf_free(&c->body);
 	buf_free(&c->out);
 	free(c);
 }
 
-static void conn_close(hl_conn_t *c)
+static void conn_close(http_conn_t *c)
 {
 	if (c->dead)
 		return;
@@ -110,16 +110,16 @@
 		c->l->busy--;
 	ev_io_stop(c->l->o.loop, &c->rd);
 	ev_io_stop(c->l->o.loop, &c->wr);
-	tm_stop(&c->timer);
+	timeout_stop(&c->timer);
 	close(c->fd);
 	ev_once(c->l->o.loop, -1, 0, 0.0, conn_free, c);
 }
 
-static void flush(hl_conn_t *c)
+static void flush(http_conn_t *c)
 {
 	if (c->dead)
 		return;
-	if (!sk_write(c->fd, &c->out)) {
+	if (!tcp_write(c->fd, &c->out)) {
 		/* The caller's own step goes on; the loop then finds the connection broken. */
 		c->out.n = 0;
 		c->broken = true;
@@ -136,10 +136,10 @@
 		shutdown(c->fd, SHUT_WR);
 }
 
-static void on_head(void *ctx, const hp_head_t *h)
+static void on_head(void *ctx, const http_head_t *h)
 {
-	hl_conn_t *c = ctx;
-	str_t expect = hp_header(h, "Expect");
+	http_conn_t *c = ctx;
+	str_t expect = http_header(h, "Expect");
 
 	c->have_head = true;
 	c->too_long = c->parser.parser.content_length != ULLONG_MAX &&
@@ -154,7 +154,7 @@
 
 static void on_body(void *ctx, str_t piece)
 {
-	hl_conn_t *c = ctx;
+	http_conn_t *c = ctx;
 
 	if (c->body.n <= c->l->o.limits.max_body_bytes)
 		buf_add(&c->body, piece);
@@ -162,14 +162,14 @@
 
 static void on_end(void *ctx)
 {
-	hl_conn_t *c = ctx;
+	http_conn_t *c = ctx;
 
 	c->busy = true;
 	c->l->busy++;
 }
 
 /* Ends the connection with an answer of the listener's own. */
-static void refuse(hl_conn_t *c, int status, const char *what)
+static void refuse(http_conn_t *c, int status, const char *what)
 {
 	if (!c->busy) {
 		c->busy = true;
@@ -177,67 +177,68 @@
 	}
 	c->keep = false;
 	c->closing = true;
-	lg(LG_INFO, "request_refused", LG_I("status", status), LG_C("reason", what));
-	hl_reply(c, status, STR(""), STR(""));
+	log_event(LOG_LEVEL_INFO, "request_refused", LOG_INT("status", status),
+		  LOG_CSTR("reason", what));
+	http_reply(c, status, STR(""), STR(""));
 }
 
-static void hand_over(hl_conn_t *c)
+static void hand_over(http_conn_t *c)
 {
-	hl_request_t r = {c->parser.head, str_buf(&c->body), c->begun};
+	http_request_t r = {c->parser.head, str_buf(&c->body), c->begun};
 
-	tm_stop(&c->timer);
+	timeout_stop(&c->timer);
 	c->keep = c->parser.head.keep_alive;
 	c->l->o.request(c->l->o.ctx, c, &r);
 }
 
 /* Of a whole request: chunk extensions and trailers count for nothing else. */
-static size_t bytes_max(const hl_limits_t *m)
+static size_t bytes_max(const http_limits_t *m)
 {
 	return m->max_header_bytes + m->max_body_bytes * FRAMING_TIMES + FRAMING_BYTES;
 }
 
-static void parse(hl_conn_t *c)
+static void parse(http_conn_t *c)
 {
-	const hl_limits_t *m = &c->l->o.limits;
+	const http_limits_t *m = &c->l->o.limits;
 	status_t st;
 	size_t used;
 
 	while (!c->dead && !c->busy && !c->closing && c->in.n > 0) {
 		if (!c->begun) {
-			c->begun = clk_now_ms();
-			tm_set(&c->timer, m->header_ms);
+			c->begun = clock_now_ms();
+			timeout_set(&c->timer, m->header_timeout_ms);
 		}
-		st = hp_feed(&c->parser, str_buf(&c->in), &used);
+		st = http_reader_feed(&c->parser, str_buf(&c->in), &used);
 		if (c->dead)
 			return;
-		buf_drop(&c->in, used < c->in.n ? used : c->in.n);
+		buf_drop_front(&c->in, used < c->in.n ? used : c->in.n);
 		if (c->too_long || c->body.n > m->max_body_bytes || c->bytes > bytes_max(m))
 			refuse(c, 413, "body over the limit");
-		else if (st == ST_LIMIT)
-			refuse(c, 431, st_message());
-		else if (st != ST_OK)
-			refuse(c, 400, st_message());
+		else if (st == STATUS_LIMIT)
+			refuse(c, 431, status_message());
+		else if (st != STATUS_OK)
+			refuse(c, 400, status_message());
 		else if (c->busy)
 			hand_over(c);
 	}
 	if (!c->dead && !c->busy && c->have_head)
-		tm_set(&c->timer, m->idle_ms);
+		timeout_set(&c->timer, m->idle_timeout_ms);
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *w, int events)
 {
-	hl_conn_t *c = w->data;
+	http_conn_t *c = w->data;
 	long n;
 
 	if (!c->broken && c->busy && c->in.n >= READ_AHEAD_BYTES) {
 		ev_io_stop(loop, &c->rd);
 		return;
 	}
-	n = c->broken ? SK_BROKEN : sk_read(c->fd, &c->in, READ_BYTES);
+	n = c->broken ? TCP_READ_BROKEN : tcp_read(c->fd, &c->in, READ_BYTES);
 	c->bytes += n > 0 ? (size_t)n : 0;
 	if (n < 0) {
-		if (c->busy && !c->dead && c->l->o.gone)
-			c->l->o.gone(c->l->o.ctx, c);
+		if (c->busy && !c->dead && c->l->o.client_gone)
+			c->l->o.client_gone(c->l->o.ctx, c);
 		conn_close(c);
 	} else if (c->closing) {
 		c->in.n = 0;
@@ -248,14 +249,14 @@
 
 static void on_writable(struct ev_loop *loop, ev_io *w, int events)
 {
-	hl_conn_t *c = w->data;
+	http_conn_t *c = w->data;
 
 	flush(c);
 }
 
 static void on_timer(void *ctx)
 {
-	hl_conn_t *c = ctx;
+	http_conn_t *c = ctx;
 
 	if (c->begun && !c->busy && !c->closing)
 		refuse(c, 408, "request not read in time");
@@ -263,32 +264,32 @@
 		conn_close(c);
 }
 
-static void conn_new(hl_t *l, int fd)
+static void conn_new(http_server_t *l, int fd)
 {
-	hl_conn_t *c = mem_new(sizeof(*c));
+	http_conn_t *c = mem_new(sizeof(*c));
 
 	c->l = l;
 	c->fd = fd;
 	DL_APPEND(l->conns, c);
-	hp_init(&c->parser, &(hp_options_t){
-				    .pause = true,
-				    .max_header_bytes = l->o.limits.max_header_bytes,
-				    .cb = {c, on_head, on_body, on_end},
-			    });
+	http_reader_init(&c->parser, &(http_reader_options_t){
+					     .pause_after_message = true,
+					     .max_header_bytes = l->o.limits.max_header_bytes,
+					     .cb = {c, on_head, on_body, on_end},
+				     });
 	ev_io_init(&c->rd, on_readable, fd, EV_READ);
 	ev_io_init(&c->wr, on_writable, fd, EV_WRITE);
-	tm_init(&c->timer, l->o.loop, on_timer, c);
+	timeout_init(&c->timer, l->o.loop, on_timer, c);
 	c->rd.data = c->wr.data = c;
 	ev_io_start(l->o.loop, &c->rd);
-	tm_set(&c->timer, l->o.limits.idle_ms);
+	timeout_set(&c->timer, l->o.limits.idle_timeout_ms);
 }
 
 static void on_accept(struct ev_loop *loop, ev_io *w, int events)
 {
-	hl_t *l = w->data;
+	http_server_t *l = w->data;
 
 	for (int i = 0; i < ACCEPTS; i++) {
-		int fd = sk_accept(l->fd);
+		int fd = tcp_accept(l->fd);
 
 		if (fd < 0)
 			return;
@@ -296,10 +297,10 @@
 	}
 }
 
-hl_t *hl_new(const hl_options_t *o)
+http_server_t *http_server_new(const http_server_options_t *o)
 {
-	int fd = sk_listen(o->addr);
-	hl_t *l;
+	int fd = tcp_listen(o->addr);
+	http_server_t *l;
 
 	if (fd < 0)
 		return NULL;
@@ -312,22 +313,22 @@
 	return l;
 }
 
-void hl_stop_accepting(hl_t *l)
+void http_server_stop_accepting(http_server_t *l)
 {
 	int fd;
 
 	if (l->fd < 0)
 		return;
-	while ((fd = sk_accept(l->fd)) >= 0)
+	while ((fd = tcp_accept(l->fd)) >= 0)
 		conn_new(l, fd);
 	ev_io_stop(l->o.loop, &l->accept);
 	close(l->fd);
 	l->fd = -1;
 }
 
-bool hl_pending(const hl_t *l)
+bool http_server_pending(const http_server_t *l)
 {
-	for (const hl_conn_t *c = l->conns; c; c = c->next) {
+	for (const http_conn_t *c = l->conns; c; c = c->next) {
 		if (c->busy || c->begun || c->out.n > 0)
 			return true;
 	}
@@ -339,7 +340,7 @@
 	free(arg);
 }
 
-void hl_close(hl_t *l)
+void http_server_close(http_server_t *l)
 {
 	ev_io_stop(l->o.loop, &l->accept);
 	if (l->fd >= 0)
@@ -349,33 +350,33 @@
 	ev_once(l->o.loop, -1, 0, 0.0, listener_free, l);
 }
 
-void hl_set_limits(hl_t *l, const hl_limits_t *limits)
+void http_server_set_limits(http_server_t *l, const http_limits_t *limits)
 {
 	l->o.limits = *limits;
 }
 
-void hl_drain(hl_t *l)
+void http_server_drain(http_server_t *l)
 {
 	l->draining = true;
 }
 
-size_t hl_busy(const hl_t *l)
+size_t http_server_open_requests(const http_server_t *l)
 {
 	return l->busy;
 }
 
-void hl_set_data(hl_conn_t *c, void *data)
+void http_conn_set_data(http_conn_t *c, void *data)
 {
 	c->data = data;
 }
 
-void *hl_data(const hl_conn_t *c)
+void *http_conn_data(const http_conn_t *c)
 {
 	return c->data;
 }
 
 /* The answer is complete: reads the next request or closes. */
-static void finish(hl_conn_t *c)
+static void finish(http_conn_t *c)
 {
 	c->busy = false;
 	c->l->busy--;
@@ -386,15 +387,15 @@
 	c->bytes = c->in.n;
 	if (!c->keep) {
 		c->closing = true;
-		tm_set(&c->timer, LINGER_MS);
+		timeout_set(&c->timer, LINGER_MS);
 		flush(c);
 		return;
 	}
-	tm_set(&c->timer, c->l->o.limits.idle_ms);
+	timeout_set(&c->timer, c->l->o.limits.idle_timeout_ms);
 	flush(c);
 	if (c->dead)
 		return;
-	hp_next(&c->parser);
+	http_reader_resume(&c->parser);
 	c->parser.o.max_header_bytes = c->l->o.limits.max_header_bytes;
 	ev_io_start(c->l->o.loop, &c->rd);
 	/* A pipelined request is parsed from the loop, not from inside the caller's answer. */
@@ -402,17 +403,17 @@
 		ev_feed_event(c->l->o.loop, &c->rd, EV_READ);
 }
 
-static void add_head(hl_conn_t *c, int status, str_t headers)
+static void add_head(http_conn_t *c, int status, str_t headers)
 {
 	if (c->l->draining)
 		c->keep = false;
-	buf_addf(&c->out, "HTTP/1.1 %d %s\r\n", status, hl_reason(status));
+	buf_addf(&c->out, "HTTP/1.1 %d %s\r\n", status, http_reason(status));
 	buf_add(&c->out, headers);
 	if (!c->keep)
 		buf_add(&c->out, STR("Connection: close\r\n"));
 }
 
-void hl_reply(hl_conn_t *c, int status, str_t headers, str_t body)
+void http_reply(http_conn_t *c, int status, str_t headers, str_t body)
 {
 	if (c->dead)
 		return;
@@ -422,7 +423,7 @@
 	finish(c);
 }
 
-void hl_begin(hl_conn_t *c, int status, str_t headers)
+void http_reply_begin(http_conn_t *c, int status, str_t headers)
 {
 	if (c->dead)
 		return;
@@ -432,7 +433,7 @@
 	flush(c);
 }
 
-void hl_piece(hl_conn_t *c, str_t piece)
+void http_reply_chunk(http_conn_t *c, str_t piece)
 {
 	if (c->dead || piece.n == 0)
 		return;
@@ -442,7 +443,7 @@
 	flush(c);
 }
 
-void hl_end(hl_conn_t *c)
+void http_reply_end(http_conn_t *c)
 {
 	if (c->dead)
 		return;
@@ -451,7 +452,7 @@
 	finish(c);
 }
 
-void hl_abort(hl_conn_t *c)
+void http_reply_abort(http_conn_t *c)
 {
 	if (c->dead)
 		return;
--- a/src/net/lk.c
+++ b/src/net/msgconn.c
@@ -1,11 +1,11 @@
-#include "net/lk.h"
+#include "net/msgconn.h"
 
 #include <arpa/inet.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
-#include "net/sk.h"
+#include "net/tcp.h"
 
 #define LENGTH_BYTES 4
 #define READ_BYTES   16384
@@ -14,8 +14,8 @@
 /** A peer that has not read this much is given up on. */
 #define UNSENT_MAX_BYTES (96U << 20)
 
-struct lk {
-	lk_options_t o;
+struct msgconn {
+	msgconn_options_t o;
 	int fd;
 	ev_io rd;
 	ev_io wr;
@@ -28,16 +28,16 @@
 };
 
 /* Frees from the loop, as callers up the stack may still hold the link. */
-static void lk_free(int events, void *arg)
+static void msgconn_free(int events, void *arg)
 {
-	lk_t *l = arg;
+	msgconn_t *l = arg;
 
 	buf_free(&l->in);
 	buf_free(&l->out);
 	free(l);
 }
 
-void lk_close(lk_t *l)
+void msgconn_close(msgconn_t *l)
 {
 	if (l->dead)
 		return;
@@ -45,18 +45,18 @@
 	ev_io_stop(l->o.loop, &l->rd);
 	ev_io_stop(l->o.loop, &l->wr);
 	close(l->fd);
-	ev_once(l->o.loop, -1, 0, 0.0, lk_free, l);
+	ev_once(l->o.loop, -1, 0, 0.0, msgconn_free, l);
 }
 
-static void lost(lk_t *l)
+static void lost(msgconn_t *l)
 {
 	if (l->dead)
 		return;
-	lk_close(l);
+	msgconn_close(l);
 	l->o.closed(l->o.ctx, l);
 }
 
-static void take_frames(lk_t *l)
+static void take_frames(msgconn_t *l)
 {
 	size_t at = 0;
 
@@ -76,25 +76,25 @@
 		at += n;
 	}
 	if (!l->dead)
-		buf_drop(&l->in, at);
+		buf_drop_front(&l->in, at);
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *w, int events)
 {
-	lk_t *l = w->data;
-	long n = sk_read(l->fd, &l->in, READ_BYTES);
+	msgconn_t *l = w->data;
+	long n = tcp_read(l->fd, &l->in, READ_BYTES);
 
 	if (n > 0) {
-		l->heard = clk_now_ms();
+		l->heard = clock_now_ms();
 		take_frames(l);
 	} else if (n < 0) {
 		lost(l);
 	}
 }
 
-static void flush(lk_t *l)
+static void flush(msgconn_t *l)
 {
-	if (!sk_write(l->fd, &l->out))
+	if (!tcp_write(l->fd, &l->out))
 		lost(l);
 	else if (l->out.n > 0)
 		ev_io_start(l->o.loop, &l->wr);
@@ -104,31 +104,31 @@
 
 static void on_writable(struct ev_loop *loop, ev_io *w, int events)
 {
-	lk_t *l = w->data;
+	msgconn_t *l = w->data;
 
 	if (!l->connected) {
-		if (sk_error(l->fd) != 0) {
+		if (tcp_connect_error(l->fd) != 0) {
 			lost(l);
 			return;
 		}
 		l->connected = true;
-		l->heard = clk_now_ms();
+		l->heard = clock_now_ms();
 		ev_io_start(loop, &l->rd);
-		if (l->o.open)
-			l->o.open(l->o.ctx, l);
+		if (l->o.opened)
+			l->o.opened(l->o.ctx, l);
 	}
 	if (!l->dead)
 		flush(l);
 }
 
-static lk_t *make(int fd, const lk_options_t *o, bool connected)
+static msgconn_t *make(int fd, const msgconn_options_t *o, bool connected)
 {
-	lk_t *l = mem_new(sizeof(*l));
+	msgconn_t *l = mem_new(sizeof(*l));
 
 	l->o = *o;
 	l->fd = fd;
 	l->connected = connected;
-	l->heard = clk_now_ms();
+	l->heard = clock_now_ms();
 	ev_io_init(&l->rd, on_readable, fd, EV_READ);
 	ev_io_init(&l->wr, on_writable, fd, EV_WRITE);
 	l->rd.data = l->wr.data = l;
@@ -136,19 +136,19 @@
 	return l;
 }
 
-lk_t *lk_connect(const char *addr, const lk_options_t *o)
+msgconn_t *msgconn_connect(const char *addr, const msgconn_options_t *o)
 {
-	int fd = sk_connect(addr);
+	int fd = tcp_connect(addr);
 
 	return fd < 0 ? NULL : make(fd, o, false);
 }
 
-lk_t *lk_accepted(int fd, const lk_options_t *o)
+msgconn_t *msgconn_from_fd(int fd, const msgconn_options_t *o)
 {
 	return make(fd, o, true);
 }
 
-void lk_send(lk_t *l, str_t m)
+void msgconn_send(msgconn_t *l, str_t m)
 {
 	uint32_t n = htonl((uint32_t)m.n);
 
@@ -159,7 +159,7 @@
 	if (!l->connected)
 		return;
 	/* The peer is lost from the loop, never from inside the caller's own step. */
-	if (l->out.n > UNSENT_MAX_BYTES || !sk_write(l->fd, &l->out)) {
+	if (l->out.n > UNSENT_MAX_BYTES || !tcp_write(l->fd, &l->out)) {
 		l->out.n = 0;
 		shutdown(l->fd, SHUT_RDWR);
 		return;
@@ -168,17 +168,17 @@
 		ev_io_start(l->o.loop, &l->wr);
 }
 
-void lk_set_data(lk_t *l, void *data)
+void msgconn_set_data(msgconn_t *l, void *data)
 {
 	l->data = data;
 }
 
-void *lk_data(const lk_t *l)
+void *msgconn_data(const msgconn_t *l)
 {
 	return l->data;
 }
 
-deadline_t lk_heard(const lk_t *l)
+deadline_t msgconn_last_received(const msgconn_t *l)
 {
 	return l->heard;
 }
--- a/src/net/ss.c
+++ b/src/net/sse.c
@@ -1,8 +1,8 @@
-#include "net/ss.h"
+#include "net/sse.h"
 
 #include <string.h>
 
-#include "net/hp.h"
+#include "net/http.h"
 
 static str_t after(str_t line, str_t prefix)
 {
@@ -13,21 +13,21 @@
 	return rest;
 }
 
-static void take_line(ss_event_t *e, str_t line)
+static void take_line(sse_event_t *e, str_t line)
 {
 	if (str_starts(line, STR("event:"))) {
 		e->name = after(line, STR("event:"));
 	} else if (str_starts(line, STR("id:"))) {
-		e->id = hp_number(after(line, STR("id:")));
+		e->id = http_parse_number(after(line, STR("id:")));
 	} else if (str_starts(line, STR("data:"))) {
 		e->data = after(line, STR("data:"));
 		e->has_data = true;
 	}
 }
 
-static bool give(str_t raw, ss_callback_t event, void *ctx)
+static bool give(str_t raw, sse_callback_t event, void *ctx)
 {
-	ss_event_t e = {.raw = raw, .name = {"", 0}, .data = {"", 0}, .id = -1};
+	sse_event_t e = {.raw = raw, .name = {"", 0}, .data = {"", 0}, .id = -1};
 	str_t left = raw;
 
 	while (left.n) {
@@ -64,7 +64,7 @@
 /* The last bytes may be the begin of an empty line. */
 #define SEARCH_AGAIN 2
 
-bool ss_feed(ss_t *s, str_t bytes, ss_callback_t event, void *ctx)
+bool sse_feed(sse_parser_t *s, str_t bytes, sse_callback_t event, void *ctx)
 {
 	size_t used = 0;
 	size_t from = s->searched;
@@ -79,12 +79,12 @@
 		more = give((str_t){s->pending.p + used, end - used}, event, ctx);
 		used = from = end;
 	}
-	buf_drop(&s->pending, used);
+	buf_drop_front(&s->pending, used);
 	s->searched = s->pending.n > SEARCH_AGAIN ? s->pending.n - SEARCH_AGAIN : 0;
-	return more && s->pending.n <= SS_EVENT_MAX;
+	return more && s->pending.n <= SSE_EVENT_MAX_BYTES;
 }
 
-void ss_free(ss_t *s)
+void sse_free(sse_parser_t *s)
 {
 	buf_free(&s->pending);
 }
--- a/src/net/sk.c
+++ b/src/net/tcp.c
@@ -1,4 +1,4 @@
-#include "net/sk.h"
+#include "net/tcp.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
-#include "base/rp.h"
+#include "base/rpc.h"
 
 #define BACKLOG 1024
 /** Unacknowledged bytes end a connection after this, in ms; a silent peer is noticed sooner by the
@@ -19,7 +19,7 @@
 	char ip[64];
 	unsigned port;
 
-	if (rp_split_addr(addr, ip, &port) != ST_OK)
+	if (rpc_parse_addr(addr, ip, &port) != STATUS_OK)
 		return false;
 	memset(sa, 0, sizeof(*sa));
 	sa->sin_family = AF_INET;
@@ -36,26 +36,26 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked, sizeof(unacked));
 }
 
-int sk_listen(const char *addr)
+int tcp_listen(const char *addr)
 {
 	struct sockaddr_in sa;
 	int one = 1;
 	int fd;
 
 	if (!set_addr(addr, &sa)) {
-		st_fail(ST_INVALID, "%s is not ip:port", addr);
+		status_fail(STATUS_INVALID, "%s is not ip:port", addr);
 		return -1;
 	}
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (bind(fd, (struct sockaddr *)&sa, sizeof(sa)) == 0 && listen(fd, BACKLOG) == 0)
 		return fd;
-	st_fail(ST_IO, "listen on %s: %s", addr, strerror(errno));
+	status_fail(STATUS_IO, "listen on %s: %s", addr, strerror(errno));
 	close(fd);
 	return -1;
 }
 
-int sk_accept(int listener)
+int tcp_accept(int listener)
 {
 	int fd = accept4(listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 
@@ -64,7 +64,7 @@
 	return fd;
 }
 
-int sk_connect(const char *addr)
+int tcp_connect(const char *addr)
 {
 	struct sockaddr_in sa;
 	int fd;
@@ -81,7 +81,7 @@
 	return -1;
 }
 
-int sk_error(int fd)
+int tcp_connect_error(int fd)
 {
 	int err = 0;
 	socklen_t n = sizeof(err);
@@ -91,7 +91,7 @@
 	return err;
 }
 
-long sk_read(int fd, buf_t *in, size_t max)
+long tcp_read(int fd, buf_t *in, size_t max)
 {
 	char tmp[16384];
 	ssize_t n = recv(fd, tmp, max < sizeof(tmp) ? max : sizeof(tmp), 0);
@@ -102,10 +102,10 @@
 	}
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return 0;
-	return n == 0 ? SK_CLOSED : SK_BROKEN;
+	return n == 0 ? TCP_READ_CLOSED : TCP_READ_BROKEN;
 }
 
-bool sk_write(int fd, buf_t *out)
+bool tcp_write(int fd, buf_t *out)
 {
 	size_t done = 0;
 
@@ -122,6 +122,6 @@
 			return false;
 		break;
 	}
-	buf_drop(out, done);
+	buf_drop_front(out, done);
 	return true;
 }
--- a/src/net/tm.c
+++ b/src/net/timeout.c
@@ -1,9 +1,9 @@
-#include "net/tm.h"
+#include "net/timeout.h"
 
 /** Until the loop has looked at its sockets, in ms. */
 #define LOOK_MS 1
 
-static void start(tm_t *t, int64_t ms)
+static void start(timeout_t *t, int64_t ms)
 {
 	ev_timer_stop(t->loop, &t->w);
 	ev_timer_set(&t->w, (double)(ms > 0 ? ms : 0) / 1000.0, 0.0);
@@ -12,10 +12,10 @@
 
 static void on_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
-	tm_t *t = w->data;
-	deadline_t now = clk_now_ms();
+	timeout_t *t = w->data;
+	deadline_t now = clock_now_ms();
 
-	if (now - t->due > TM_LATE_MS) {
+	if (now - t->due > TIMEOUT_LATE_MS) {
 		t->due = now + LOOK_MS;
 		start(t, LOOK_MS);
 		return;
@@ -23,27 +23,27 @@
 	t->end(t->ctx);
 }
 
-void tm_init(tm_t *t, struct ev_loop *loop, void (*end)(void *ctx), void *ctx)
+void timeout_init(timeout_t *t, struct ev_loop *loop, void (*end)(void *ctx), void *ctx)
 {
-	*t = (tm_t){.loop = loop, .end = end, .ctx = ctx};
+	*t = (timeout_t){.loop = loop, .end = end, .ctx = ctx};
 	ev_timer_init(&t->w, on_timer, 0.0, 0.0);
 	ev_set_priority(&t->w, EV_MINPRI); /* behind the reads of its turn */
 	t->w.data = t;
 }
 
-void tm_set(tm_t *t, int64_t ms)
+void timeout_set(timeout_t *t, int64_t ms)
 {
-	t->due = clk_now_ms() + ms;
+	t->due = clock_now_ms() + ms;
 	start(t, ms);
 }
 
-void tm_end_now(tm_t *t)
+void timeout_expire_now(timeout_t *t)
 {
-	t->due = clk_now_ms();
+	t->due = clock_now_ms();
 	ev_feed_event(t->loop, &t->w, EV_TIMER);
 }
 
-void tm_stop(tm_t *t)
+void timeout_stop(timeout_t *t)
 {
 	ev_timer_stop(t->loop, &t->w);
 }
--- a/src/net/tm.h
+++ b/src/net/timeout.h
@@ -3,14 +3,14 @@
  * want of its share of a core, such a timer has run out though what it waits for may be there
  * unread: it then ends only after the loop has looked.
  */
-#ifndef AUBURN_TM_H
-#define AUBURN_TM_H
+#ifndef AUBURN_TIMEOUT_H
+#define AUBURN_TIMEOUT_H
 
 #include <ev.h>
-#include "base/clk.h"
+#include "base/clock.h"
 
 /** A timer that ends later than this, in ms, ends behind a pause: timers fire a few ms late. */
-#define TM_LATE_MS 20
+#define TIMEOUT_LATE_MS 20
 
 typedef struct {
 	ev_timer w;
@@ -18,13 +18,13 @@
 	deadline_t due;
 	void (*end)(void *ctx);
 	void *ctx;
-} tm_t;
+} timeout_t;
 
-void tm_init(tm_t *t, struct ev_loop *loop, void (*end)(void *ctx), void *ctx);
+void timeout_init(timeout_t *t, struct ev_loop *loop, void (*end)(void *ctx), void *ctx);
 /** Ends once, ms from now; replaces what was set before. */
-void tm_set(tm_t *t, int64_t ms);
+void timeout_set(timeout_t *t, int64_t ms);
 /** Ends from the loop's next turn, whatever was set. */
-void tm_end_now(tm_t *t);
-void tm_stop(tm_t *t);
+void timeout_expire_now(timeout_t *t);
+void timeout_stop(timeout_t *t);
 
 #endif
--- a/src/net/wk.c
+++ b/src/net/worker.c
@@ -1,15 +1,15 @@
-#include "net/wk.h"
+#include "net/worker.h"
 
 #include <pthread.h>
 #include <stdlib.h>
 #include "base/str.h"
 
 typedef struct {
-	wk_job_t *head;
-	wk_job_t **tail;
+	worker_task_t *head;
+	worker_task_t **tail;
 } list_t;
 
-struct wk {
+struct worker_pool {
 	struct ev_loop *loop;
 	ev_async wake;
 	pthread_mutex_t lock;
@@ -18,16 +18,16 @@
 	list_t done;
 };
 
-static void push(list_t *l, wk_job_t *j)
+static void push(list_t *l, worker_task_t *j)
 {
 	j->next = NULL;
 	*l->tail = j;
 	l->tail = &j->next;
 }
 
-static wk_job_t *take(list_t *l)
+static worker_task_t *take(list_t *l)
 {
-	wk_job_t *j = l->head;
+	worker_task_t *j = l->head;
 
 	if (!j)
 		return NULL;
@@ -39,10 +39,10 @@
 
 static void *run(void *arg)
 {
-	wk_t *w = arg;
+	worker_pool_t *w = arg;
 
 	for (;;) {
-		wk_job_t *j;
+		worker_task_t *j;
 
 		pthread_mutex_lock(&w->lock);
 		while (!(j = take(&w->todo)))
@@ -59,10 +59,10 @@
 
 static void on_wake(struct ev_loop *loop, ev_async *a, int events)
 {
-	wk_t *w = a->data;
+	worker_pool_t *w = a->data;
 
 	for (;;) {
-		wk_job_t *j;
+		worker_task_t *j;
 
 		pthread_mutex_lock(&w->lock);
 		j = take(&w->done);
@@ -73,9 +73,9 @@
 	}
 }
 
-wk_t *wk_new(struct ev_loop *loop, unsigned threads)
+worker_pool_t *worker_pool_new(struct ev_loop *loop, unsigned threads)
 {
-	wk_t *w = mem_new(sizeof(*w));
+	worker_pool_t *w = mem_new(sizeof(*w));
 
 	w->loop = loop;
 	w->todo.tail = &w->todo.head;
@@ -95,7 +95,7 @@
 	return w;
 }
 
-void wk_submit(wk_t *w, wk_job_t *j)
+void worker_pool_submit(worker_pool_t *w, worker_task_t *j)
 {
 	pthread_mutex_lock(&w->lock);
 	push(&w->todo, j);
--- a/src/policy/pk.c
+++ b/src/policy/balance.c
@@ -1,4 +1,4 @@
-#include "policy/pk.h"
+#include "policy/balance.h"
 
 #include <assert.h>
 
@@ -11,10 +11,10 @@
 #define STALE_MS	3000
 #define RANDOM_BITS	32
 
-static int64_t cost_of(const pk_candidate_t *c, int64_t now_ms)
+static int64_t cost_of(const balance_candidate_t *c, int64_t now_ms)
 {
 	int64_t slots = c->slots > 0 ? c->slots : 1;
-	int64_t room = (int64_t)c->free_slots - c->sent_since;
+	int64_t room = (int64_t)c->free_slots - c->sent_since_report;
 	int64_t load = room > 0 ? slots - room : slots - room + c->queued;
 	int64_t cost = load * COST_FULL / slots;
 
@@ -24,17 +24,17 @@
 		cost += COST_HOP;
 	if (c->prefix_known && room > 0)
 		cost -= GAIN_PREFIX;
-	if (!c->owned_here && (c->reported == 0 || now_ms - c->reported > STALE_MS))
+	if (!c->owned_here && (c->reported_at == 0 || now_ms - c->reported_at > STALE_MS))
 		cost += COST_STALE;
 	return cost;
 }
 
-static int better(const pk_candidate_t *c, int a, int b, int64_t now_ms)
+static int better(const balance_candidate_t *c, int a, int b, int64_t now_ms)
 {
 	return cost_of(&c[b], now_ms) < cost_of(&c[a], now_ms) ? b : a;
 }
 
-static size_t count_usable(const pk_candidate_t *c, size_t n)
+static size_t count_usable(const balance_candidate_t *c, size_t n)
 {
 	size_t usable = 0;
 
@@ -44,7 +44,7 @@
 }
 
 /** Index of the k-th usable candidate. */
-static int usable_at(const pk_candidate_t *c, size_t n, size_t k)
+static int usable_at(const balance_candidate_t *c, size_t n, size_t k)
 {
 	for (size_t i = 0; i < n; i++) {
 		if (!c[i].usable)
@@ -57,7 +57,8 @@
 	return -1;
 }
 
-static int pick_two(const pk_candidate_t *c, size_t n, size_t usable, uint64_t rnd, int64_t now_ms)
+static int pick_two(const balance_candidate_t *c, size_t n, size_t usable, uint64_t rnd,
+		    int64_t now_ms)
 {
 	size_t first = (uint32_t)rnd % usable;
 	size_t second;
@@ -69,7 +70,7 @@
 	return better(c, usable_at(c, n, first), usable_at(c, n, second), now_ms);
 }
 
-static int pick_least(const pk_candidate_t *c, size_t n, size_t usable, uint64_t rnd,
+static int pick_least(const balance_candidate_t *c, size_t n, size_t usable, uint64_t rnd,
 		      int64_t now_ms)
 {
 	size_t from = rnd % usable;
@@ -81,16 +82,17 @@
 	return best;
 }
 
-int pk_pick(const pk_candidate_t *c, size_t n, pk_way_t way, uint64_t rnd, int64_t now_ms)
+int balance_pick(const balance_candidate_t *c, size_t n, balance_policy_t way, uint64_t rnd,
+		 int64_t now_ms)
 {
 	size_t usable = count_usable(c, n);
 
 	if (usable == 0)
 		return -1;
 	switch (way) {
-	case PK_RANDOM:
+	case BALANCE_RANDOM:
 		return usable_at(c, n, rnd % usable);
-	case PK_LEAST_LOADED:
+	case BALANCE_LEAST_LOADED:
 		return pick_least(c, n, usable, rnd, now_ms);
 	default:
 		return pick_two(c, n, usable, rnd, now_ms);
--- a/src/policy/tb.c
+++ b/src/policy/bucket.c
@@ -1,4 +1,4 @@
-#include "policy/tb.h"
+#include "policy/bucket.h"
 
 #include <assert.h>
 #include <stdlib.h>
@@ -9,61 +9,62 @@
 
 typedef struct {
 	uint64_t caller;
-	tb_t bucket;
+	bucket_t bucket;
 	UT_hash_handle hh; /* iterated in order of last use, oldest first */
 } entry_t;
 
-struct tb_map {
+struct bucket_map {
 	size_t max;
 	entry_t *by_caller;
 };
 
-static void refill(tb_t *t, int64_t rate_per_s, int64_t burst, int64_t now_ms)
+static void refill(bucket_t *t, int64_t rate_per_s, int64_t burst, int64_t now_ms)
 {
 	int64_t full = burst * MILLI;
-	int64_t passed = now_ms - t->last_ms;
+	int64_t passed = now_ms - t->refilled_ms;
 
-	if (t->last_ms == 0) {
-		t->milli = full;
-		t->last_ms = now_ms;
+	if (t->refilled_ms == 0) {
+		t->millitokens = full;
+		t->refilled_ms = now_ms;
 		return;
 	}
 	if (passed <= 0)
 		return;
-	t->last_ms = now_ms;
+	t->refilled_ms = now_ms;
 	/* One thousandth of a token a ms for each token a second. */
-	if (rate_per_s > 0 && passed >= (full - t->milli) / rate_per_s + 1)
-		t->milli = full;
+	if (rate_per_s > 0 && passed >= (full - t->millitokens) / rate_per_s + 1)
+		t->millitokens = full;
 	else
-		t->milli += passed * rate_per_s;
+		t->millitokens += passed * rate_per_s;
 }
 
-bool tb_take(tb_t *t, int64_t rate_per_s, int64_t burst, int64_t now_ms, int64_t *retry_after_ms)
+bool bucket_take(bucket_t *t, int64_t rate_per_s, int64_t burst, int64_t now_ms,
+		 int64_t *retry_after_ms)
 {
 	assert(rate_per_s >= 0 && burst >= 0);
 	refill(t, rate_per_s, burst, now_ms);
 	*retry_after_ms = 0;
-	if (t->milli >= MILLI) {
-		t->milli -= MILLI;
+	if (t->millitokens >= MILLI) {
+		t->millitokens -= MILLI;
 		return true;
 	}
 	if (rate_per_s == 0 || burst == 0)
 		*retry_after_ms = INT64_MAX;
 	else
-		*retry_after_ms = (MILLI - t->milli + rate_per_s - 1) / rate_per_s;
+		*retry_after_ms = (MILLI - t->millitokens + rate_per_s - 1) / rate_per_s;
 	return false;
 }
 
-tb_map_t *tb_map_new(size_t max)
+bucket_map_t *bucket_map_new(size_t max)
 {
-	tb_map_t *m = mem_new(sizeof(*m));
+	bucket_map_t *m = mem_new(sizeof(*m));
 
 	assert(max > 0);
 	m->max = max;
 	return m;
 }
 
-static void drop_oldest(tb_map_t *m)
+static void drop_oldest(bucket_map_t *m)
 {
 	entry_t *e = m->by_caller;
 
@@ -72,7 +73,7 @@
 	free(e);
 }
 
-void tb_map_free(tb_map_t *m)
+void bucket_map_free(bucket_map_t *m)
 {
 	if (!m)
 		return;
@@ -81,12 +82,12 @@
 	free(m);
 }
 
-static void add_last(tb_map_t *m, entry_t *e)
+static void add_last(bucket_map_t *m, entry_t *e)
 {
 	HASH_ADD(hh, m->by_caller, caller, sizeof(e->caller), e);
 }
 
-tb_t *tb_map_get(tb_map_t *m, uint64_t caller, int64_t now_ms)
+bucket_t *bucket_map_get(bucket_map_t *m, uint64_t caller, int64_t now_ms)
 {
 	entry_t *e;
 
@@ -105,7 +106,7 @@
 	return &e->bucket;
 }
 
-size_t tb_map_bytes(const tb_map_t *m)
+size_t bucket_map_bytes(const bucket_map_t *m)
 {
 	return sizeof(*m) + HASH_COUNT(m->by_caller) * sizeof(entry_t) +
 	       (m->by_caller ? HASH_OVERHEAD(hh, m->by_caller) -
--- a/src/policy/ds.c
+++ b/src/policy/dispatch.c
@@ -1,9 +1,9 @@
-#include "policy/ds.h"
+#include "policy/dispatch.h"
 
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
-#include "policy/ds_core.h"
+#include "policy/dispatch_internal.h"
 
 /** Mean time that an online request holds its place before any was seen, in us. */
 #define HOLD_FIRST_US 700000
@@ -21,7 +21,7 @@
 /** A replica that said it was full gets nothing for this long, in ms: a few steps of its engine. */
 #define FULL_MS 40
 
-const char *ds_outcome_name(ds_outcome_t how)
+const char *dispatch_outcome_name(dispatch_outcome_t how)
 {
 	static const char *const names[] = {"ok",     "full",	"gone", "broken",
 					    "silent", "failed", "left", "leaves"};
@@ -29,23 +29,23 @@
 	return (size_t)how < sizeof(names) / sizeof(names[0]) ? names[how] : "unknown";
 }
 
-const char *ds_refusal_name(ds_refusal_t why)
+const char *dispatch_refusal_name(dispatch_refusal_t why)
 {
 	static const char *const names[] = {"no list", "deadline", "caller leaves", "objective"};
 
 	return (size_t)why < sizeof(names) / sizeof(names[0]) ? names[why] : "unknown";
 }
 
-ds_t *ds_new(const ds_callbacks_t *cb, uint64_t random_seed)
+dispatch_t *dispatch_new(const dispatch_callbacks_t *cb, uint64_t random_seed)
 {
-	ds_t *d = mem_new(sizeof(*d));
+	dispatch_t *d = mem_new(sizeof(*d));
 
 	d->cb = *cb;
 	d->random = random_seed | 1;
 	return d;
 }
 
-static service_t *service_of(ds_t *d, str_t name)
+static service_t *service_of(dispatch_t *d, str_t name)
 {
 	service_t *s;
 
@@ -54,44 +54,44 @@
 		return s;
 	s = mem_new(sizeof(*s));
 	s->name = str_dup(name);
-	s->hold_us = HOLD_FIRST_US;
+	s->mean_hold_us = HOLD_FIRST_US;
 	HASH_ADD_KEYPTR(hh, d->services, s->name, name.n, s);
 	return s;
 }
 
-static void replica_free(ds_t *d, replica_t *r)
+static void replica_free(dispatch_t *d, replica_t *r)
 {
-	ds_prefix_forget(d, r);
+	dispatch_prefix_forget(d, r);
 	HASH_DEL(d->replicas, r);
 	free(r->id);
 	free(r->zone);
 	free(r);
 }
 
-static void item_free(ds_item_t *it)
+static void item_free(dispatch_item_t *it)
 {
 	free(it->avoid);
 	free(it);
 }
 
-void ds_free(ds_t *d)
+void dispatch_free(dispatch_t *d)
 {
-	ds_item_t *it;
-	ds_item_t *next;
+	dispatch_item_t *it;
+	dispatch_item_t *next;
 	run_t *run;
 	entry_t *e;
 	service_t *s;
 
-	while (d->asks)
-		ds_ask_free(d, d->asks);
-	DL_FOREACH_SAFE(d->waiting, it, next)
+	while (d->waiters)
+		dispatch_waiter_free(d, d->waiters);
+	DL_FOREACH_SAFE(d->waiting_items, it, next)
 	{
-		DL_DELETE(d->waiting, it);
+		DL_DELETE(d->waiting_items, it);
 		item_free(it);
 	}
-	DL_FOREACH_SAFE(d->running, it, next)
+	DL_FOREACH_SAFE(d->running_items, it, next)
 	{
-		DL_DELETE(d->running, it);
+		DL_DELETE(d->running_items, it);
 		item_free(it);
 	}
 	while ((run = d->runs)) {
@@ -111,13 +111,13 @@
 		free(s->name);
 		free(s);
 	}
-	ds_prefix_forget(d, NULL);
+	dispatch_prefix_forget(d, NULL);
 	while (d->replicas)
 		replica_free(d, d->replicas);
 	free(d);
 }
 
-static replica_t *find_replica(const ds_t *d, str_t id)
+static replica_t *find_replica(const dispatch_t *d, str_t id)
 {
 	replica_t *r;
 
@@ -125,7 +125,7 @@
 	return r;
 }
 
-static replica_t *replica_of(ds_t *d, str_t id)
+static replica_t *replica_of(dispatch_t *d, str_t id)
 {
 	replica_t *r = find_replica(d, id);
 
@@ -148,7 +148,7 @@
 	*p = str_dup(s);
 }
 
-static void drop_unlisted(ds_t *d)
+static void drop_unlisted(dispatch_t *d)
 {
 	replica_t *r;
 	replica_t *next;
@@ -160,16 +160,16 @@
 }
 
 /* Forgets what was known of the replica that had this id before. */
-static void begin_anew(ds_t *d, replica_t *r)
+static void begin_anew(dispatch_t *d, replica_t *r)
 {
-	ds_prefix_forget(d, r);
-	r->strikes = 0;
+	dispatch_prefix_forget(d, r);
+	r->failures = 0;
 	r->suspect_until = 0;
-	r->busy_until = 0;
+	r->ignore_silence_until = 0;
 	r->full_until = 0;
 }
 
-void ds_replicas(ds_t *d, const ds_replica_t *v, size_t n, deadline_t now)
+void dispatch_set_replicas(dispatch_t *d, const dispatch_replica_t *v, size_t n, deadline_t now)
 {
 	for (replica_t *r = d->replicas; r; r = r->hh.next)
 		r->listed = false;
@@ -181,16 +181,16 @@
 		r->slots = v[i].slots ? v[i].slots : 1;
 		r->leaving = v[i].leaving;
 		r->listed = true;
-		if (r->born && v[i].born > r->born)
+		if (r->start_time && v[i].start_time > r->start_time)
 			begin_anew(d, r);
-		r->born = v[i].born;
+		r->start_time = v[i].start_time;
 	}
-	d->listed |= n > 0;
+	d->had_replicas |= n > 0;
 	drop_unlisted(d);
-	ds_place(d, now);
+	dispatch_place_all(d, now);
 }
 
-void ds_leaves(ds_t *d, str_t replica)
+void dispatch_replica_leaving(dispatch_t *d, str_t replica)
 {
 	replica_t *r = find_replica(d, replica);
 
@@ -198,7 +198,7 @@
 		r->leaving = true;
 }
 
-static entry_t *find_entry(const ds_t *d, uint64_t id)
+static entry_t *find_entry(const dispatch_t *d, uint64_t id)
 {
 	entry_t *e;
 
@@ -206,7 +206,7 @@
 	return e;
 }
 
-void ds_entry_add(ds_t *d, uint64_t id, str_t zone, bool takes_items)
+void dispatch_entry_add(dispatch_t *d, uint64_t id, str_t zone, bool takes_items)
 {
 	entry_t *e = find_entry(d, id);
 
@@ -220,7 +220,7 @@
 	e->takes_items = takes_items;
 }
 
-static void drop_run(ds_t *d, run_t *run)
+static void drop_run(dispatch_t *d, run_t *run)
 {
 	run->replica->online--;
 	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
@@ -228,13 +228,13 @@
 	free(run);
 }
 
-void ds_entry_remove(ds_t *d, uint64_t id, deadline_t now)
+void dispatch_entry_remove(dispatch_t *d, uint64_t id, deadline_t now)
 {
 	entry_t *e = find_entry(d, id);
 	run_t *run;
 	run_t *next_run;
-	ask_t *q;
-	ask_t *next;
+	waiter_t *q;
+	waiter_t *next;
 
 	if (!e)
 		return;
@@ -242,25 +242,25 @@
 		if (run->key.entry == id)
 			drop_run(d, run);
 	}
-	for (q = d->asks; q; q = next) {
+	for (q = d->waiters; q; q = next) {
 		next = q->next;
-		if (q->a.entry == id)
-			ds_ask_free(d, q);
+		if (q->req.entry == id)
+			dispatch_waiter_free(d, q);
 	}
-	for (ds_item_t *it = d->running; it; it = it->next) {
-		if (it->entry != id || it->lost_until)
+	for (dispatch_item_t *it = d->running_items; it; it = it->next) {
+		if (it->entry != id || it->adopt_until)
 			continue;
-		ds_item_count(it, now);
-		it->lost_until = now + DS_ADOPT_MS;
+		dispatch_item_add_run_time(it, now);
+		it->adopt_until = now + DISPATCH_ADOPT_MS;
 	}
 	HASH_DEL(d->entries, e);
 	free(e->zone);
 	free(e);
 	drop_unlisted(d);
-	ds_place(d, now);
+	dispatch_place_all(d, now);
 }
 
-static run_t *find_run(const ds_t *d, uint64_t entry, uint64_t request)
+static run_t *find_run(const dispatch_t *d, uint64_t entry, uint64_t request)
 {
 	run_key_t key;
 	run_t *run;
@@ -272,45 +272,46 @@
 	return run;
 }
 
-/* By priority, then by when their callers leave; ds_place ranks them by what that leaves. */
-static bool goes_before(const ask_t *a, const ask_t *b)
+/* By priority, then by when their callers leave; dispatch_place_all ranks them by what that leaves.
+ */
+static bool goes_before(const waiter_t *a, const waiter_t *b)
 {
-	if (a->a.priority != b->a.priority)
-		return a->a.priority < b->a.priority;
-	return a->a.leaves < b->a.leaves;
+	if (a->req.priority != b->req.priority)
+		return a->req.priority < b->req.priority;
+	return a->req.give_up_at < b->req.give_up_at;
 }
 
-void ds_ask(ds_t *d, const ds_ask_t *ask, deadline_t now)
+void dispatch_request_add(dispatch_t *d, const dispatch_request_t *ask, deadline_t now)
 {
-	ask_t *q = mem_new(sizeof(*q));
-	ask_t *at;
+	waiter_t *q = mem_new(sizeof(*q));
+	waiter_t *at;
 
-	assert(ask->navoid <= DS_AVOID_MAX);
-	q->a = *ask;
+	assert(ask->navoid <= DISPATCH_AVOID_MAX);
+	q->req = *ask;
 	q->service = service_of(d, ask->service);
 	for (unsigned i = 0; i < ask->navoid; i++)
 		q->avoid[i] = str_dup(ask->avoid[i]);
-	d->nasks++;
-	DL_FOREACH (d->asks, at) {
+	d->nwaiters++;
+	DL_FOREACH (d->waiters, at) {
 		if (goes_before(q, at))
 			break;
 	}
 	if (at)
-		DL_PREPEND_ELEM(d->asks, at, q);
+		DL_PREPEND_ELEM(d->waiters, at, q);
 	else
-		DL_APPEND(d->asks, q);
-	ds_place(d, now);
+		DL_APPEND(d->waiters, q);
+	dispatch_place_all(d, now);
 }
 
-void ds_drop(ds_t *d, uint64_t entry, uint64_t request)
+void dispatch_request_withdraw(dispatch_t *d, uint64_t entry, uint64_t request)
 {
-	ask_t *q;
-	ask_t *next;
+	waiter_t *q;
+	waiter_t *next;
 
-	for (q = d->asks; q; q = next) {
+	for (q = d->waiters; q; q = next) {
 		next = q->next;
-		if (q->a.entry == entry && q->a.request == request)
-			ds_ask_free(d, q);
+		if (q->req.entry == entry && q->req.request == request)
+			dispatch_waiter_free(d, q);
 	}
 }
 
@@ -318,7 +319,7 @@
  * After all VMs lost power their old runs still hold places at the replicas, until the replicas
  * notice. Then every replica is silent at once, and leaving them all alone would leave no place.
  */
-static bool most_are_silent(const ds_t *d, const replica_t *silent, deadline_t now)
+static bool most_are_silent(const dispatch_t *d, const replica_t *silent, deadline_t now)
 {
 	unsigned suspects = 1;
 	unsigned all = 0;
@@ -332,36 +333,36 @@
 	return suspects * 2 > all && all > 1;
 }
 
-static void note_busy(ds_t *d, const service_t *s, deadline_t now)
+static void note_busy(dispatch_t *d, const service_t *s, deadline_t now)
 {
 	for (replica_t *r = d->replicas; r; r = r->hh.next) {
 		if (r->service != s)
 			continue;
-		r->strikes = 0;
+		r->failures = 0;
 		r->suspect_until = 0;
-		r->busy_until = now + BUSY_MS;
+		r->ignore_silence_until = now + BUSY_MS;
 	}
 }
 
-static void judge(ds_t *d, replica_t *r, ds_outcome_t how, deadline_t now)
+static void judge(dispatch_t *d, replica_t *r, dispatch_outcome_t how, deadline_t now)
 {
 	int64_t ms;
 
 	switch (how) {
-	case DS_OK:
-		r->strikes = 0;
+	case DISPATCH_OK:
+		r->failures = 0;
 		r->suspect_until = 0;
 		return;
-	case DS_LEFT:
+	case DISPATCH_CANCELLED:
 		return;
-	case DS_LEAVES:
+	case DISPATCH_REPLICA_LEAVING:
 		r->leaving = true;
 		return;
-	case DS_FULL:
+	case DISPATCH_FULL:
 		r->full_until = now + FULL_MS;
 		return;
-	case DS_SILENT:
-		if (now < r->busy_until)
+	case DISPATCH_SILENT:
+		if (now < r->ignore_silence_until)
 			return;
 		if (now >= r->suspect_until && most_are_silent(d, r, now)) {
 			note_busy(d, r->service, now);
@@ -374,12 +375,13 @@
 	/* Runs that break together are one failure. */
 	if (now < r->suspect_until)
 		return;
-	ms = (int64_t)SUSPECT_MS << (r->strikes < SUSPECT_DOUBLES ? r->strikes : SUSPECT_DOUBLES);
+	ms = (int64_t)SUSPECT_MS << (r->failures < SUSPECT_DOUBLES ? r->failures : SUSPECT_DOUBLES);
 	r->suspect_until = now + (ms < SUSPECT_MAX_MS ? ms : SUSPECT_MAX_MS);
-	r->strikes++;
+	r->failures++;
 }
 
-void ds_ended(ds_t *d, uint64_t entry, uint64_t request, ds_outcome_t how, deadline_t now)
+void dispatch_request_ended(dispatch_t *d, uint64_t entry, uint64_t request, dispatch_outcome_t how,
+			    deadline_t now)
 {
 	run_t *run = find_run(d, entry, request);
 	service_t *s;
@@ -388,14 +390,15 @@
 		return;
 	judge(d, run->replica, how, now);
 	s = run->replica->service;
-	if (how == DS_OK)
-		s->hold_us += ((now - run->since) * 1000 - s->hold_us) / HOLD_WEIGHT;
+	if (how == DISPATCH_OK)
+		s->mean_hold_us += ((now - run->since) * 1000 - s->mean_hold_us) / HOLD_WEIGHT;
 	drop_run(d, run);
 	drop_unlisted(d);
-	ds_place(d, now);
+	dispatch_place_all(d, now);
 }
 
-void ds_adopt(ds_t *d, uint64_t entry, uint64_t request, str_t replica, deadline_t now)
+void dispatch_request_adopt(dispatch_t *d, uint64_t entry, uint64_t request, str_t replica,
+			    deadline_t now)
 {
 	run_t *run;
 
@@ -409,104 +412,108 @@
 	HASH_ADD(hh, d->runs, key, sizeof(run->key), run);
 }
 
-ds_item_t *ds_item_add(ds_t *d, str_t service, deadline_t due, void *data)
+dispatch_item_t *dispatch_item_add(dispatch_t *d, str_t service, deadline_t due, void *data)
 {
-	ds_item_t *it = mem_new(sizeof(*it));
+	dispatch_item_t *it = mem_new(sizeof(*it));
 
 	it->service = service_of(d, service);
 	it->due = due;
 	it->data = data;
-	ds_item_queue(d, it);
+	dispatch_item_enqueue(d, it);
 	return it;
 }
 
-void ds_item_adopt(ds_t *d, ds_item_t *it, uint64_t entry, str_t replica, deadline_t now)
+void dispatch_item_adopt(dispatch_t *d, dispatch_item_t *it, uint64_t entry, str_t replica,
+			 deadline_t now)
 {
 	entry_t *e = find_entry(d, entry);
 
-	ds_item_unplace(d, it);
+	dispatch_item_detach(d, it);
 	it->state = ITEM_RUNNING;
-	it->lost_until = 0;
+	it->adopt_until = 0;
 	it->entry = entry;
 	it->replica = replica_of(d, replica);
-	it->placed = now;
+	it->placed_at = now;
 	it->replica->items++;
 	if (e)
 		e->items++;
-	DL_APPEND(d->running, it);
-	ds_place(d, now);
+	DL_APPEND(d->running_items, it);
+	dispatch_place_all(d, now);
 }
 
-void ds_item_service(ds_t *d, ds_item_t *it, str_t service)
+void dispatch_item_set_service(dispatch_t *d, dispatch_item_t *it, str_t service)
 {
 	it->service = service_of(d, service);
 }
 
-void ds_item_avoid(ds_item_t *it, str_t replica)
+void dispatch_item_avoid(dispatch_item_t *it, str_t replica)
 {
 	free(it->avoid);
 	it->avoid = str_dup(replica);
 }
 
-bool ds_item_has_service(const ds_item_t *it)
+bool dispatch_item_has_service(const dispatch_item_t *it)
 {
 	return it->service->name[0] != 0;
 }
 
-bool ds_item_is_waiting(const ds_item_t *it)
+bool dispatch_item_is_waiting(const dispatch_item_t *it)
 {
 	return it->state == ITEM_WAITING;
 }
 
-bool ds_item_may_adopt(const ds_item_t *it, deadline_t now)
+bool dispatch_item_is_adoptable(const dispatch_item_t *it, deadline_t now)
 {
-	return it->state == ITEM_WAITING || it->lost_until > now;
+	return it->state == ITEM_WAITING || it->adopt_until > now;
 }
 
-void ds_item_back(ds_t *d, ds_item_t *it, ds_outcome_t how, deadline_t now)
+void dispatch_item_requeue(dispatch_t *d, dispatch_item_t *it, dispatch_outcome_t how,
+			   deadline_t now)
 {
 	if (it->state == ITEM_WAITING)
 		return;
 	if (it->replica)
 		judge(d, it->replica, how, now);
-	ds_item_count(it, now);
-	ds_item_unplace(d, it);
-	ds_item_queue(d, it);
+	dispatch_item_add_run_time(it, now);
+	dispatch_item_detach(d, it);
+	dispatch_item_enqueue(d, it);
 	drop_unlisted(d);
-	ds_place(d, now);
+	dispatch_place_all(d, now);
 }
 
-void ds_item_remove(ds_t *d, ds_item_t *it, bool ended, deadline_t now)
+void dispatch_item_remove(dispatch_t *d, dispatch_item_t *it, bool ended, deadline_t now)
 {
 	service_t *s = it->service;
 
 	if (ended && it->replica) {
-		judge(d, it->replica, DS_OK, now);
-		ds_item_count(it, now);
-		s->item_ms += s->item_ms ? (it->ran_ms - s->item_ms) / ITEM_WEIGHT : it->ran_ms;
+		judge(d, it->replica, DISPATCH_OK, now);
+		dispatch_item_add_run_time(it, now);
+		s->mean_item_ms +=
+			s->mean_item_ms ? (it->ran_ms - s->mean_item_ms) / ITEM_WEIGHT : it->ran_ms;
 	}
-	if (!ended && it->state == ITEM_RUNNING && !it->lost_until)
-		d->cb.stop(d->cb.ctx, it->data, it->entry);
-	ds_item_unplace(d, it);
+	if (!ended && it->state == ITEM_RUNNING && !it->adopt_until)
+		d->cb.stop_item(d->cb.ctx, it->data, it->entry);
+	dispatch_item_detach(d, it);
 	item_free(it);
 	drop_unlisted(d);
-	ds_place(d, now);
+	dispatch_place_all(d, now);
 }
 
-void ds_hold_items(ds_t *d, deadline_t until)
+void dispatch_hold_items(dispatch_t *d, deadline_t until)
 {
-	d->hold_until = until;
+	d->items_held_until = until;
 }
 
-void ds_tick(ds_t *d, deadline_t now)
+void dispatch_tick(dispatch_t *d, deadline_t now)
 {
-	ds_place(d, now);
+	dispatch_place_all(d, now);
 }
 
-void ds_stats(const ds_t *d, ds_stats_t *out)
+void dispatch_stats(const dispatch_t *d, dispatch_stats_t *out)
 {
-	*out = (ds_stats_t){
-		.asks_waiting = d->nasks, .items_waiting = d->nwaiting, .preempted = d->preempted};
+	*out = (dispatch_stats_t){.asks_waiting = d->nwaiters,
+				  .items_waiting = d->nwaiting_items,
+				  .preempted = d->preempted};
 	for (const replica_t *r = d->replicas; r; r = r->hh.next) {
 		out->online += r->online;
 		out->items += r->items;
--- a/src/policy/ds_pick.c
+++ b/src/policy/dispatch_pick.c
@@ -1,8 +1,8 @@
 /* Choices of a replica, of an item that gives way, and of the entry that runs an item. */
 #include <stdlib.h>
 #include <string.h>
-#include "base/rd.h"
-#include "policy/ds_core.h"
+#include "base/prng.h"
+#include "policy/dispatch_internal.h"
 
 /** Costs of a choice, in places taken: another zone costs bytes between zones, another replica than
  * the one that read the shared parts costs reading them again; neither is worth a crowded replica.
@@ -23,7 +23,7 @@
 /* A replica that has failed gets one request at a time until it has served one. */
 static unsigned places(const replica_t *r)
 {
-	return r->strikes > 0 ? 1 : r->slots;
+	return r->failures > 0 ? 1 : r->slots;
 }
 
 static bool usable(const replica_t *r, const service_t *s, deadline_t now)
@@ -31,16 +31,16 @@
 	return !r->leaving && r->listed && now >= r->suspect_until && r->service == s;
 }
 
-static bool avoided(const ask_t *q, const replica_t *r)
+static bool avoided(const waiter_t *q, const replica_t *r)
 {
-	for (unsigned i = 0; i < q->a.navoid; i++) {
+	for (unsigned i = 0; i < q->req.navoid; i++) {
 		if (strcmp(q->avoid[i], r->id) == 0)
 			return true;
 	}
 	return false;
 }
 
-static replica_t *prefix_replica(const ds_t *d, uint64_t prefix)
+static replica_t *prefix_replica(const dispatch_t *d, uint64_t prefix)
 {
 	prefix_t *p = NULL;
 
@@ -60,9 +60,9 @@
 	return c;
 }
 
-replica_t *ds_pick_free(ds_t *d, const ask_t *q, str_t zone, deadline_t now)
+replica_t *dispatch_pick_free(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now)
 {
-	replica_t *reader = prefix_replica(d, q->a.prefix);
+	replica_t *reader = prefix_replica(d, q->req.prefix);
 	replica_t *best = NULL;
 	unsigned best_cost = 0;
 	unsigned ties = 0;
@@ -79,7 +79,7 @@
 		if (!best || c < best_cost)
 			ties = 0;
 		/* Dispatchers that work apart must not all choose the same one. */
-		if (rd_next(&d->random) % ++ties != 0)
+		if (prng_next(&d->random) % ++ties != 0)
 			continue;
 		best = r;
 		best_cost = c;
@@ -87,9 +87,9 @@
 	return best;
 }
 
-bool ds_item_can_wait(const ds_item_t *it, deadline_t now)
+bool dispatch_item_has_slack(const dispatch_item_t *it, deadline_t now)
 {
-	return it->due - now - ds_item_left(it, now) > PEAK_MS;
+	return it->due - now - dispatch_item_remaining_ms(it, now) > PEAK_MS;
 }
 
 /*
@@ -97,28 +97,29 @@
  * first, the one due last before others. When none can, one is given up for the others: that which
  * would need its place longest.
  */
-static bool gives_way(const ds_item_t *a, const ds_item_t *b, str_t zone, deadline_t now)
+static bool gives_way(const dispatch_item_t *a, const dispatch_item_t *b, str_t zone,
+		      deadline_t now)
 {
-	bool a_waits = ds_item_can_wait(a, now);
-	bool b_waits = ds_item_can_wait(b, now);
+	bool a_waits = dispatch_item_has_slack(a, now);
+	bool b_waits = dispatch_item_has_slack(b, now);
 	bool a_near = str_eq(str_c(a->replica->zone), zone);
 	bool b_near = str_eq(str_c(b->replica->zone), zone);
 
 	if (a_waits != b_waits)
 		return a_waits;
 	if (!a_waits)
-		return ds_item_left(a, now) > ds_item_left(b, now);
+		return dispatch_item_remaining_ms(a, now) > dispatch_item_remaining_ms(b, now);
 	return a_near == b_near ? a->due > b->due : a_near;
 }
 
-ds_item_t *ds_pick_victim(ds_t *d, const ask_t *q, str_t zone, deadline_t now)
+dispatch_item_t *dispatch_pick_victim(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now)
 {
-	ds_item_t *best = NULL;
+	dispatch_item_t *best = NULL;
 
-	for (ds_item_t *it = d->running; it; it = it->next) {
-		if (it->state != ITEM_RUNNING || !it->replica || it->lost_until ||
+	for (dispatch_item_t *it = d->running_items; it; it = it->next) {
+		if (it->state != ITEM_RUNNING || !it->replica || it->adopt_until ||
 		    !usable(it->replica, q->service, now) || avoided(q, it->replica) ||
-		    it->replica->strikes > 0)
+		    it->replica->failures > 0)
 			continue;
 		if (!best || gives_way(it, best, zone, now))
 			best = it;
@@ -126,23 +127,24 @@
 	return best;
 }
 
-ds_item_t *ds_pick_late(ds_t *d, const ds_item_t *for_it, deadline_t now)
+dispatch_item_t *dispatch_pick_late_victim(dispatch_t *d, const dispatch_item_t *for_it,
+					   deadline_t now)
 {
-	for (ds_item_t *it = d->running; it; it = it->next) {
-		if (it->state == ITEM_RUNNING && it->replica && !it->lost_until &&
-		    it->replica->strikes == 0 && usable(it->replica, for_it->service, now) &&
-		    !ds_item_in_time(it, now))
+	for (dispatch_item_t *it = d->running_items; it; it = it->next) {
+		if (it->state == ITEM_RUNNING && it->replica && !it->adopt_until &&
+		    it->replica->failures == 0 && usable(it->replica, for_it->service, now) &&
+		    !dispatch_item_meets_due(it, now))
 			return it;
 	}
 	return NULL;
 }
 
-static bool failed_there(const ds_item_t *it, const replica_t *r)
+static bool failed_there(const dispatch_item_t *it, const replica_t *r)
 {
 	return it->avoid && strcmp(it->avoid, r->id) == 0;
 }
 
-replica_t *ds_pick_for_item(ds_t *d, const ds_item_t *it, deadline_t now)
+replica_t *dispatch_pick_for_item(dispatch_t *d, const dispatch_item_t *it, deadline_t now)
 {
 	replica_t *best = NULL;
 	replica_t *last = NULL;
@@ -158,7 +160,7 @@
 	return best ? best : last;
 }
 
-entry_t *ds_pick_entry(ds_t *d, const replica_t *r)
+entry_t *dispatch_pick_entry(dispatch_t *d, const replica_t *r)
 {
 	entry_t *best = NULL;
 	bool best_near = false;
@@ -176,7 +178,7 @@
 	return best;
 }
 
-void ds_prefix_note(ds_t *d, uint64_t prefix, replica_t *r)
+void dispatch_prefix_record(dispatch_t *d, uint64_t prefix, replica_t *r)
 {
 	prefix_t *p = NULL;
 
@@ -197,7 +199,7 @@
 	HASH_ADD(hh, d->prefixes, prefix, sizeof(p->prefix), p);
 }
 
-void ds_prefix_forget(ds_t *d, const replica_t *r)
+void dispatch_prefix_forget(dispatch_t *d, const replica_t *r)
 {
 	prefix_t *p;
 	prefix_t *next;
@@ -211,7 +213,7 @@
 	}
 }
 
-unsigned ds_places(const ds_t *d, const service_t *s, deadline_t now)
+unsigned dispatch_count_slots(const dispatch_t *d, const service_t *s, deadline_t now)
 {
 	unsigned n = 0;
 
@@ -222,7 +224,7 @@
 	return n;
 }
 
-unsigned ds_free_places(const ds_t *d, const service_t *s, deadline_t now)
+unsigned dispatch_count_free_slots(const dispatch_t *d, const service_t *s, deadline_t now)
 {
 	unsigned n = 0;
 
