--- a/src/policy/ds_place.c
+++ b/src/policy/dispatch_place.c
@@ -2,7 +2,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "policy/ds_core.h"
+#include "policy/dispatch_internal.h"
 
 /** A refused caller isn't asked to come back sooner, in ms: a place takes about this long to free
  * on a busy fleet. */
@@ -29,7 +29,7 @@
 /** An item is taken to need at least this much longer, in ms: those that last longer than most. */
 #define ITEM_LEFT_MIN_MS 500
 
-static str_t zone_of(ds_t *d, uint64_t entry)
+static str_t zone_of(dispatch_t *d, uint64_t entry)
 {
 	entry_t *e;
 
@@ -38,31 +38,32 @@
 }
 
 /* What is known of a service as of this pass. */
-static service_t *look_at(ds_t *d, service_t *s, deadline_t now)
+static service_t *look_at(dispatch_t *d, service_t *s, deadline_t now)
 {
 	if (s->pass == d->pass)
 		return s;
 	s->pass = d->pass;
-	s->places = ds_places(d, s, now);
-	s->full = false;
-	s->no_place = false;
-	s->no_room = false;
-	s->ahead = 0;
-	for (; s->keep > 0 && now >= s->shrink_at; s->shrink_at += KEEP_SHRINK_MS)
-		s->keep -= 1 + s->keep / KEEP_SHRINK_PART;
+	s->slots = dispatch_count_slots(d, s, now);
+	s->no_slot_for_requests = false;
+	s->no_slot_for_items = false;
+	s->only_reserved_left = false;
+	s->waiting_ahead = 0;
+	for (; s->reserved_slots > 0 && now >= s->reserve_decay_at;
+	     s->reserve_decay_at += KEEP_SHRINK_MS)
+		s->reserved_slots -= 1 + s->reserved_slots / KEEP_SHRINK_PART;
 	return s;
 }
 
-void ds_ask_free(ds_t *d, ask_t *q)
+void dispatch_waiter_free(dispatch_t *d, waiter_t *q)
 {
-	DL_DELETE(d->asks, q);
-	d->nasks--;
-	for (unsigned i = 0; i < q->a.navoid; i++)
+	DL_DELETE(d->waiters, q);
+	d->nwaiters--;
+	for (unsigned i = 0; i < q->req.navoid; i++)
 		free(q->avoid[i]);
 	free(q);
 }
 
-void ds_item_unplace(ds_t *d, ds_item_t *it)
+void dispatch_item_detach(dispatch_t *d, dispatch_item_t *it)
 {
 	entry_t *e;
 
@@ -70,65 +71,65 @@
 		it->replica->items--;
 	it->replica = NULL;
 	if (it->state == ITEM_WAITING) {
-		DL_DELETE(d->waiting, it);
-		d->nwaiting--;
+		DL_DELETE(d->waiting_items, it);
+		d->nwaiting_items--;
 		return;
 	}
 	HASH_FIND(hh, d->entries, &it->entry, sizeof(it->entry), e);
 	if (e && e->items > 0)
 		e->items--;
-	DL_DELETE(d->running, it);
+	DL_DELETE(d->running_items, it);
 }
 
-void ds_item_queue(ds_t *d, ds_item_t *it)
+void dispatch_item_enqueue(dispatch_t *d, dispatch_item_t *it)
 {
-	ds_item_t *before = d->waiting ? d->waiting->prev : NULL;
+	dispatch_item_t *before = d->waiting_items ? d->waiting_items->prev : NULL;
 
 	it->state = ITEM_WAITING;
-	it->lost_until = 0;
-	d->nwaiting++;
+	it->adopt_until = 0;
+	d->nwaiting_items++;
 	/* Walks from the tail: new items are mostly due last. */
 	while (before && before->due > it->due)
-		before = before == d->waiting ? NULL : before->prev;
+		before = before == d->waiting_items ? NULL : before->prev;
 	if (before)
-		DL_APPEND_ELEM(d->waiting, before, it);
+		DL_APPEND_ELEM(d->waiting_items, before, it);
 	else
-		DL_PREPEND(d->waiting, it);
+		DL_PREPEND(d->waiting_items, it);
 }
 
-static void grant(ds_t *d, ask_t *q, replica_t *r, deadline_t now)
+static void grant(dispatch_t *d, waiter_t *q, replica_t *r, deadline_t now)
 {
 	run_t *run = mem_new(sizeof(*run));
-	uint64_t entry = q->a.entry;
-	uint64_t request = q->a.request;
+	uint64_t entry = q->req.entry;
+	uint64_t request = q->req.request;
 
 	run->key = (run_key_t){entry, request};
 	run->replica = r;
 	run->since = now;
 	r->online++;
 	HASH_ADD(hh, d->runs, key, sizeof(run->key), run);
-	ds_prefix_note(d, q->a.prefix, r);
-	ds_ask_free(d, q);
+	dispatch_prefix_record(d, q->req.prefix, r);
+	dispatch_waiter_free(d, q);
 	d->cb.grant(d->cb.ctx, entry, request, str_c(r->id));
 }
 
-static void refuse(ds_t *d, ask_t *q, int64_t retry_ms, ds_refusal_t why)
+static void refuse(dispatch_t *d, waiter_t *q, int64_t retry_ms, dispatch_refusal_t why)
 {
-	uint64_t entry = q->a.entry;
-	uint64_t request = q->a.request;
+	uint64_t entry = q->req.entry;
+	uint64_t request = q->req.request;
 
-	ds_ask_free(d, q);
+	dispatch_waiter_free(d, q);
 	if (retry_ms < RETRY_MIN_MS)
 		retry_ms = RETRY_MIN_MS;
 	d->cb.refuse(d->cb.ctx, entry, request, retry_ms > RETRY_MAX_MS ? RETRY_MAX_MS : retry_ms,
 		     why);
 }
 
-void ds_item_count(ds_item_t *it, deadline_t now)
+void dispatch_item_add_run_time(dispatch_item_t *it, deadline_t now)
 {
 	if (it->replica)
-		it->ran_ms += now - it->placed;
-	it->placed = now;
+		it->ran_ms += now - it->placed_at;
+	it->placed_at = now;
 }
 
 /*
@@ -136,50 +137,50 @@
  * is begun in turn and none is finished in time. So those that have no chance let the others go
  * first.
  */
-int64_t ds_item_left(const ds_item_t *it, deadline_t now)
+int64_t dispatch_item_remaining_ms(const dispatch_item_t *it, deadline_t now)
 {
-	int64_t held_ms = it->replica ? now - it->placed : 0;
-	int64_t left = it->service->item_ms - it->ran_ms - held_ms;
+	int64_t held_ms = it->replica ? now - it->placed_at : 0;
+	int64_t left = it->service->mean_item_ms - it->ran_ms - held_ms;
 
 	return left > ITEM_LEFT_MIN_MS ? left : ITEM_LEFT_MIN_MS;
 }
 
-bool ds_item_in_time(const ds_item_t *it, deadline_t now)
+bool dispatch_item_meets_due(const dispatch_item_t *it, deadline_t now)
 {
-	return it->due > now + ds_item_left(it, now);
+	return it->due > now + dispatch_item_remaining_ms(it, now);
 }
 
 /* In a peak a place that gets free is asked for again within ms. An item that takes it is stopped
  * at once and has only read its prompt again; so each such stop keeps one more place free. */
-static void keep_more(ds_t *d, const ds_item_t *it, deadline_t now)
+static void keep_more(dispatch_t *d, const dispatch_item_t *it, deadline_t now)
 {
 	service_t *s = look_at(d, it->replica->service, now);
 
-	if (now - it->placed >= YOUNG_MS || s->keep >= s->places / KEEP_PART)
+	if (now - it->placed_at >= YOUNG_MS || s->reserved_slots >= s->slots / KEEP_PART)
 		return;
-	s->keep++;
-	s->shrink_at = now + KEEP_SHRINK_MS;
+	s->reserved_slots++;
+	s->reserve_decay_at = now + KEEP_SHRINK_MS;
 }
 
-static void preempt(ds_t *d, ds_item_t *it, deadline_t now)
+static void preempt(dispatch_t *d, dispatch_item_t *it, deadline_t now)
 {
 	keep_more(d, it, now);
-	ds_item_count(it, now);
+	dispatch_item_add_run_time(it, now);
 	it->replica->items--;
 	it->replica = NULL;
 	it->state = ITEM_STOPPING;
 	d->preempted++;
-	d->cb.stop(d->cb.ctx, it->data, it->entry);
+	d->cb.stop_item(d->cb.ctx, it->data, it->entry);
 }
 
-static bool place_ask(ds_t *d, ask_t *q, deadline_t now)
+static bool place_ask(dispatch_t *d, waiter_t *q, deadline_t now)
 {
-	str_t zone = zone_of(d, q->a.entry);
-	replica_t *r = ds_pick_free(d, q, zone, now);
-	ds_item_t *victim;
+	str_t zone = zone_of(d, q->req.entry);
+	replica_t *r = dispatch_pick_free(d, q, zone, now);
+	dispatch_item_t *victim;
 
 	if (!r) {
-		victim = ds_pick_victim(d, q, zone, now);
+		victim = dispatch_pick_victim(d, q, zone, now);
 		if (!victim)
 			return false;
 		r = victim->replica;
@@ -196,114 +197,115 @@
  */
 typedef enum { RANK_RESUMED, RANK_IN_TIME, RANK_LATE, RANKS } rank_t;
 
-static rank_t rank_of(const ask_t *q, deadline_t now)
+static rank_t rank_of(const waiter_t *q, deadline_t now)
 {
-	if (q->a.resumed)
+	if (q->req.resumed)
 		return RANK_RESUMED;
-	return !q->a.returning && now <= q->a.objective ? RANK_IN_TIME : RANK_LATE;
+	return !q->req.returning && now <= q->req.objective ? RANK_IN_TIME : RANK_LATE;
 }
 
 /* True when it may wait on. Refused are a request that can't be answered before its caller leaves,
  * even if all places served only those before it, and a new one that would get its place only after
  * its objective: it is told when to come back. */
-static bool judge_ask(ds_t *d, ask_t *q, rank_t rank, const service_t *s, deadline_t now)
+static bool judge_ask(dispatch_t *d, waiter_t *q, rank_t rank, const service_t *s, deadline_t now)
 {
-	int64_t wait_ms =
-		s->places ? s->hold_us * (s->ahead + 1) / s->places / 1000 : RETRY_NONE_MS;
-	int64_t hold_ms = s->hold_us / 1000;
+	int64_t wait_ms = s->slots ? s->mean_hold_us * (s->waiting_ahead + 1) / s->slots / 1000
+				   : RETRY_NONE_MS;
+	int64_t hold_ms = s->mean_hold_us / 1000;
 	int64_t first_ms = hold_ms < FIRST_EVENT_MS ? hold_ms : FIRST_EVENT_MS;
 
-	if (!d->listed && now < d->list_by && now + first_ms <= q->a.leaves)
+	if (!d->had_replicas && now < d->list_deadline && now + first_ms <= q->req.give_up_at)
 		return true;
-	if (!d->listed)
-		refuse(d, q, wait_ms, DS_NO_LIST);
-	else if (now + hold_ms > q->a.deadline)
-		refuse(d, q, wait_ms, DS_PAST_DEADLINE);
-	else if (now + first_ms + (s->places ? wait_ms : 0) > q->a.leaves)
-		refuse(d, q, wait_ms, DS_CALLER_LEAVES);
-	else if (rank == RANK_IN_TIME && now + wait_ms + first_ms > q->a.objective)
-		refuse(d, q, wait_ms, DS_PAST_OBJECTIVE);
+	if (!d->had_replicas)
+		refuse(d, q, wait_ms, DISPATCH_NO_REPLICA_LIST);
+	else if (now + hold_ms > q->req.deadline)
+		refuse(d, q, wait_ms, DISPATCH_PAST_DEADLINE);
+	else if (now + first_ms + (s->slots ? wait_ms : 0) > q->req.give_up_at)
+		refuse(d, q, wait_ms, DISPATCH_CALLER_GIVES_UP);
+	else if (rank == RANK_IN_TIME && now + wait_ms + first_ms > q->req.objective)
+		refuse(d, q, wait_ms, DISPATCH_PAST_OBJECTIVE);
 	else
 		return true;
 	return false;
 }
 
-static void place_asks(ds_t *d, deadline_t now)
+static void place_asks(dispatch_t *d, deadline_t now)
 {
 	for (unsigned rank = 0; rank < RANKS; rank++) {
-		ask_t *q;
-		ask_t *next;
+		waiter_t *q;
+		waiter_t *next;
 
-		for (q = d->asks; q; q = next) {
+		for (q = d->waiters; q; q = next) {
 			service_t *s;
 
 			next = q->next;
 			if (rank_of(q, now) != rank)
 				continue;
 			s = look_at(d, q->service, now);
-			if (!s->full && place_ask(d, q, now))
+			if (!s->no_slot_for_requests && place_ask(d, q, now))
 				continue;
-			s->full |= q->a.navoid == 0;
-			s->ahead += judge_ask(d, q, (rank_t)rank, s, now);
+			s->no_slot_for_requests |= q->req.navoid == 0;
+			s->waiting_ahead += judge_ask(d, q, (rank_t)rank, s, now);
 		}
 	}
 }
 
-static void place_item(ds_t *d, ds_item_t *it, deadline_t now)
+static void place_item(dispatch_t *d, dispatch_item_t *it, deadline_t now)
 {
 	service_t *s = look_at(d, it->service, now);
-	bool can_wait = ds_item_can_wait(it, now);
-	ds_item_t *late = NULL;
+	bool can_wait = dispatch_item_has_slack(it, now);
+	dispatch_item_t *late = NULL;
 	replica_t *r = NULL;
 	entry_t *e;
 
 	/* Requests of its service that wait go first; those of others don't concern it. */
-	if (s->ahead > 0 || s->no_place || (s->no_room && can_wait))
+	if (s->waiting_ahead > 0 || s->no_slot_for_items || (s->only_reserved_left && can_wait))
 		return;
 	/* One that can't wait out a peak takes the room kept for online requests as well. */
-	s->no_room = s->keep > 0 && ds_free_places(d, s, now) <= s->keep;
-	if (s->no_room && can_wait)
+	s->only_reserved_left =
+		s->reserved_slots > 0 && dispatch_count_free_slots(d, s, now) <= s->reserved_slots;
+	if (s->only_reserved_left && can_wait)
 		return;
-	r = ds_pick_for_item(d, it, now);
-	if (!r && ds_item_in_time(it, now))
-		late = ds_pick_late(d, it, now);
+	r = dispatch_pick_for_item(d, it, now);
+	if (!r && dispatch_item_meets_due(it, now))
+		late = dispatch_pick_late_victim(d, it, now);
 	if (late)
 		r = late->replica;
-	e = r ? ds_pick_entry(d, r) : NULL;
-	s->no_place = !e;
+	e = r ? dispatch_pick_entry(d, r) : NULL;
+	s->no_slot_for_items = !e;
 	if (!e)
 		return;
 	if (late)
 		preempt(d, late, now);
-	ds_item_unplace(d, it);
+	dispatch_item_detach(d, it);
 	it->state = ITEM_RUNNING;
 	it->replica = r;
-	it->placed = now;
+	it->placed_at = now;
 	it->entry = e->id;
 	r->items++;
 	e->items++;
-	DL_APPEND(d->running, it);
-	d->cb.run(d->cb.ctx, it->data, e->id, str_c(r->id));
+	DL_APPEND(d->running_items, it);
+	d->cb.start_item(d->cb.ctx, it->data, e->id, str_c(r->id));
 }
 
 /* Items that were begun go first: what they hold of their replicas' time is lost if they come late.
  */
 typedef enum { TURN_BEGUN, TURN_NEW, TURN_LATE, TURNS } turn_t;
 
-static turn_t turn_of(const ds_item_t *it, deadline_t now)
+static turn_t turn_of(const dispatch_item_t *it, deadline_t now)
 {
-	if (!ds_item_in_time(it, now))
+	if (!dispatch_item_meets_due(it, now))
 		return TURN_LATE;
 	return it->ran_ms > 0 ? TURN_BEGUN : TURN_NEW;
 }
 
-static void place_items(ds_t *d, deadline_t now)
+static void place_items(dispatch_t *d, deadline_t now)
 {
 	for (unsigned turn = 0; turn < TURNS; turn++) {
-		ds_item_t *it;
-		ds_item_t *next;
+		dispatch_item_t *it;
+		dispatch_item_t *next;
 
-		for (it = d->waiting; it; it = next) {
+		for (it = d->waiting_items; it; it = next) {
 			next = it->next;
 			if (turn_of(it, now) == turn)
 				place_item(d, it, now);
@@ -312,49 +314,49 @@
 }
 
 /* False while requests wait for all services: items needn't be looked at one by one then. */
-static bool items_may_run(ds_t *d, deadline_t now)
+static bool items_may_run(dispatch_t *d, deadline_t now)
 {
-	if (!d->asks)
+	if (!d->waiters)
 		return true;
 	for (service_t *s = d->services; s; s = s->hh.next) {
 		const service_t *looked = look_at(d, s, now);
 
-		if (looked->ahead == 0 && looked->places > 0)
+		if (looked->waiting_ahead == 0 && looked->slots > 0)
 			return true;
 	}
 	return false;
 }
 
-static void requeue_lost(ds_t *d, deadline_t now)
+static void requeue_lost(dispatch_t *d, deadline_t now)
 {
-	ds_item_t *it;
-	ds_item_t *next;
+	dispatch_item_t *it;
+	dispatch_item_t *next;
 
-	for (it = d->running; it; it = next) {
+	for (it = d->running_items; it; it = next) {
 		next = it->next;
-		if (!it->lost_until || now < it->lost_until)
+		if (!it->adopt_until || now < it->adopt_until)
 			continue;
-		ds_item_unplace(d, it);
-		ds_item_queue(d, it);
+		dispatch_item_detach(d, it);
+		dispatch_item_enqueue(d, it);
 	}
 }
 
-void ds_place(ds_t *d, deadline_t now)
+void dispatch_place_all(dispatch_t *d, deadline_t now)
 {
 	if (d->placing) {
-		d->again = true;
+		d->place_again = true;
 		return;
 	}
-	if (!d->list_by)
-		d->list_by = now + LIST_WAIT_MS;
+	if (!d->list_deadline)
+		d->list_deadline = now + LIST_WAIT_MS;
 	d->placing = true;
 	do {
-		d->again = false;
+		d->place_again = false;
 		d->pass++;
 		requeue_lost(d, now);
 		place_asks(d, now);
-		if (now >= d->hold_until && items_may_run(d, now))
+		if (now >= d->items_held_until && items_may_run(d, now))
 			place_items(d, now);
-	} while (d->again);
+	} while (d->place_again);
 	d->placing = false;
 }
--- a/src/policy/tf.c
+++ b/src/policy/fanout.c
@@ -1,4 +1,4 @@
-#include "policy/tf.h"
+#include "policy/fanout.h"
 
 #include <stdlib.h>
 #include <uthash.h>
@@ -6,7 +6,7 @@
 
 typedef struct {
 	uint64_t id;
-	tf_text_t holds;
+	fanout_config_id_t holds;
 	size_t bytes; /* on their way to it, while they hold up others */
 	bool waits; /* for it to take what it was sent */
 	deadline_t taken_by;
@@ -14,9 +14,9 @@
 } peer_t;
 
 struct tf {
-	tf_callbacks_t cb;
-	tf_text_t text;
-	tf_text_t bases[TF_BASES]; /* newest first */
+	fanout_callbacks_t cb;
+	fanout_config_id_t text;
+	fanout_config_id_t bases[FANOUT_BASES]; /* newest first */
 	deadline_t since; /* when the text came into force here */
 	bool told; /* that all hold it */
 	size_t flight;
@@ -24,20 +24,20 @@
 	peer_t *peers;
 };
 
-bool tf_text_eq(tf_text_t a, tf_text_t b)
+bool fanout_config_id_eq(fanout_config_id_t a, fanout_config_id_t b)
 {
 	return a.number == b.number && a.digest == b.digest;
 }
 
-tf_t *tf_new(const tf_callbacks_t *cb)
+fanout_t *fanout_new(const fanout_callbacks_t *cb)
 {
-	tf_t *f = mem_new(sizeof(*f));
+	fanout_t *f = mem_new(sizeof(*f));
 
 	f->cb = *cb;
 	return f;
 }
 
-void tf_free(tf_t *f)
+void fanout_free(fanout_t *f)
 {
 	peer_t *p;
 	peer_t *next;
@@ -52,7 +52,7 @@
 	free(f);
 }
 
-static peer_t *find(const tf_t *f, uint64_t id)
+static peer_t *find(const fanout_t *f, uint64_t id)
 {
 	peer_t *p;
 
@@ -60,50 +60,50 @@
 	return p;
 }
 
-static bool is_behind(const tf_t *f, const peer_t *p)
+static bool is_behind(const fanout_t *f, const peer_t *p)
 {
-	return !tf_text_eq(p->holds, f->text);
+	return !fanout_config_id_eq(p->holds, f->text);
 }
 
-static void land(tf_t *f, peer_t *p)
+static void land(fanout_t *f, peer_t *p)
 {
 	f->flight -= p->bytes;
 	p->bytes = 0;
 }
 
-static void set_holds(tf_t *f, peer_t *p, tf_text_t holds)
+static void set_holds(fanout_t *f, peer_t *p, fanout_config_id_t holds)
 {
 	f->behind -= is_behind(f, p);
 	p->holds = holds;
 	f->behind += is_behind(f, p);
 }
 
-static tf_text_t base_for(const tf_t *f, tf_text_t holds)
+static fanout_config_id_t base_for(const fanout_t *f, fanout_config_id_t holds)
 {
-	for (size_t i = 0; i < TF_BASES; i++) {
-		if (holds.number && tf_text_eq(f->bases[i], holds))
+	for (size_t i = 0; i < FANOUT_BASES; i++) {
+		if (holds.number && fanout_config_id_eq(f->bases[i], holds))
 			return holds;
 	}
-	return (tf_text_t){0, 0};
+	return (fanout_config_id_t){0, 0};
 }
 
-static void send(tf_t *f, peer_t *p, deadline_t now)
+static void send(fanout_t *f, peer_t *p, deadline_t now)
 {
 	p->bytes = f->cb.send(f->cb.ctx, p->id, base_for(f, p->holds));
 	p->waits = true;
-	p->taken_by = now + TF_TAKEN_MS;
+	p->taken_by = now + FANOUT_ACK_MS;
 	f->flight += p->bytes;
 }
 
-static void send_to(tf_t *f, bool without_text, deadline_t now)
+static void send_to(fanout_t *f, bool without_text, deadline_t now)
 {
-	for (peer_t *p = f->peers; p && f->flight < TF_FLIGHT_BYTES; p = p->hh.next) {
+	for (peer_t *p = f->peers; p && f->flight < FANOUT_IN_FLIGHT_BYTES; p = p->hh.next) {
 		if (!p->waits && is_behind(f, p) && (p->holds.number == 0) == without_text)
 			send(f, p, now);
 	}
 }
 
-void tf_tick(tf_t *f, deadline_t now)
+void fanout_tick(fanout_t *f, deadline_t now)
 {
 	if (f->text.number == 0)
 		return;
@@ -120,14 +120,14 @@
 	if (f->told || !f->peers)
 		return;
 	f->told = true;
-	f->cb.held(f->cb.ctx, f->text, HASH_COUNT(f->peers), now - f->since);
+	f->cb.converged(f->cb.ctx, f->text, HASH_COUNT(f->peers), now - f->since);
 }
 
-void tf_text(tf_t *f, tf_text_t t, deadline_t now)
+void fanout_set_config(fanout_t *f, fanout_config_id_t t, deadline_t now)
 {
-	if (tf_text_eq(f->text, t))
+	if (fanout_config_id_eq(f->text, t))
 		return;
-	for (size_t i = TF_BASES - 1; i > 0; i--)
+	for (size_t i = FANOUT_BASES - 1; i > 0; i--)
 		f->bases[i] = f->bases[i - 1];
 	f->bases[0] = f->text;
 	f->text = t;
@@ -136,10 +136,10 @@
 	f->behind = 0;
 	for (peer_t *p = f->peers; p; p = p->hh.next)
 		f->behind += is_behind(f, p);
-	tf_tick(f, now);
+	fanout_tick(f, now);
 }
 
-void tf_add(tf_t *f, uint64_t id, tf_text_t holds, deadline_t now)
+void fanout_peer_add(fanout_t *f, uint64_t id, fanout_config_id_t holds, deadline_t now)
 {
 	peer_t *p = find(f, id);
 
@@ -150,10 +150,10 @@
 		HASH_ADD(hh, f->peers, id, sizeof(p->id), p);
 	}
 	set_holds(f, p, holds);
-	tf_tick(f, now);
+	fanout_tick(f, now);
 }
 
-void tf_remove(tf_t *f, uint64_t id)
+void fanout_peer_remove(fanout_t *f, uint64_t id)
 {
 	peer_t *p = find(f, id);
 
@@ -165,7 +165,7 @@
 	free(p);
 }
 
-void tf_holds(tf_t *f, uint64_t id, tf_text_t holds, deadline_t now)
+void fanout_peer_acked(fanout_t *f, uint64_t id, fanout_config_id_t holds, deadline_t now)
 {
 	peer_t *p = find(f, id);
 
@@ -174,10 +174,10 @@
 	land(f, p);
 	p->waits = false;
 	set_holds(f, p, holds);
-	tf_tick(f, now);
+	fanout_tick(f, now);
 }
 
-void tf_stats(const tf_t *f, tf_stats_t *out)
+void fanout_stats(const fanout_t *f, fanout_stats_t *out)
 {
-	*out = (tf_stats_t){HASH_COUNT(f->peers), f->behind, f->flight};
+	*out = (fanout_stats_t){HASH_COUNT(f->peers), f->behind, f->flight};
 }
--- a/src/policy/tf.h
+++ b/src/policy/fanout.h
@@ -9,57 +9,57 @@
  *
  * Pure: time is an argument, effects are callbacks. Not thread-safe.
  */
-#ifndef AUBURN_TF_H
-#define AUBURN_TF_H
+#ifndef AUBURN_FANOUT_H
+#define AUBURN_FANOUT_H
 
 #include <stdbool.h>
 #include <stddef.h>
-#include "base/clk.h"
+#include "base/clock.h"
 
-typedef struct tf tf_t;
+typedef struct tf fanout_t;
 
 /** Texts before the newest whose holders get a change in place of the whole. */
-#define TF_BASES 8
+#define FANOUT_BASES 8
 /** Bytes that may be on their way at a time: they pass a link of 600 Mbit/s in 55 ms, well below
  * the silence after which a leader is taken for lost. */
-#define TF_FLIGHT_BYTES (4U << 20)
+#define FANOUT_IN_FLIGHT_BYTES (4U << 20)
 /** Bytes sent to an entry that hasn't taken them after this, in ms, hold up no others: it is
  * frozen, or its link is about to be given up. */
-#define TF_TAKEN_MS 500
+#define FANOUT_ACK_MS 500
 
 /** A text; number 0: none. */
 typedef struct {
 	uint64_t number;
 	uint64_t digest;
-} tf_text_t;
+} fanout_config_id_t;
 
-bool tf_text_eq(tf_text_t a, tf_text_t b);
+bool fanout_config_id_eq(fanout_config_id_t a, fanout_config_id_t b);
 
 typedef struct {
 	void *ctx;
 	/** Sends the newest text as a change on base, or whole; returns the bytes it took. */
-	size_t (*send)(void *ctx, uint64_t peer, tf_text_t base);
+	size_t (*send)(void *ctx, uint64_t peer, fanout_config_id_t base);
 	/** All peers hold the newest text, ms after it came into force here. */
-	void (*held)(void *ctx, tf_text_t text, size_t peers, int64_t ms);
-} tf_callbacks_t;
+	void (*converged)(void *ctx, fanout_config_id_t text, size_t peers, int64_t ms);
+} fanout_callbacks_t;
 
-tf_t *tf_new(const tf_callbacks_t *cb);
-void tf_free(tf_t *f);
+fanout_t *fanout_new(const fanout_callbacks_t *cb);
+void fanout_free(fanout_t *f);
 /** A newer text is in force. */
-void tf_text(tf_t *f, tf_text_t t, deadline_t now);
+void fanout_set_config(fanout_t *f, fanout_config_id_t t, deadline_t now);
 /** A peer has linked, which holds this text. */
-void tf_add(tf_t *f, uint64_t peer, tf_text_t holds, deadline_t now);
-void tf_remove(tf_t *f, uint64_t peer);
+void fanout_peer_add(fanout_t *f, uint64_t peer, fanout_config_id_t holds, deadline_t now);
+void fanout_peer_remove(fanout_t *f, uint64_t peer);
 /** A peer has taken what it was sent, or says what it holds instead. */
-void tf_holds(tf_t *f, uint64_t peer, tf_text_t holds, deadline_t now);
+void fanout_peer_acked(fanout_t *f, uint64_t peer, fanout_config_id_t holds, deadline_t now);
 /** Sends what may be sent; called on every tick, and after the calls above by themselves. */
-void tf_tick(tf_t *f, deadline_t now);
+void fanout_tick(fanout_t *f, deadline_t now);
 
 typedef struct {
 	size_t peers;
 	size_t behind; /* don't hold the newest text */
-	size_t flight_bytes;
-} tf_stats_t;
-void tf_stats(const tf_t *f, tf_stats_t *out);
+	size_t in_flight_bytes;
+} fanout_stats_t;
+void fanout_stats(const fanout_t *f, fanout_stats_t *out);
 
 #endif
--- a/src/policy/lv.h
+++ b/src/policy/leaving.h
@@ -5,32 +5,32 @@
  * A replica that starts again, with a later time of start, may be used, under the same id too.
  * Pure. Not thread-safe.
  */
-#ifndef AUBURN_LV_H
-#define AUBURN_LV_H
+#ifndef AUBURN_LEAVING_H
+#define AUBURN_LEAVING_H
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 #include "base/str.h"
 
-typedef struct lv lv_t;
+typedef struct lv leaving_t;
 
 /** Replicas that are remembered; beyond that the one that said so longest ago is forgotten. Several
  * times those that leave within the time in which the list shows it. */
-#define LV_MAX 1024
+#define LEAVING_MAX 1024
 
 typedef struct {
 	str_t id;
-	uint64_t born; /* when it started, Unix ms; 0: not known */
-} lv_replica_t;
+	uint64_t start_time; /* when it started, Unix ms; 0: not known */
+} leaving_replica_t;
 
-lv_t *lv_new(void);
-void lv_free(lv_t *l);
+leaving_t *leaving_new(void);
+void leaving_free(leaving_t *l);
 /** Notes that the replica that started then leaves; true when that wasn't known. */
-bool lv_note(lv_t *l, lv_replica_t r);
+bool leaving_add(leaving_t *l, leaving_replica_t r);
 /** True when the replica that started then leaves. Forgets an earlier one with its id. */
-bool lv_leaves(lv_t *l, lv_replica_t r);
+bool leaving_check(leaving_t *l, leaving_replica_t r);
 /** All that are remembered, up to max; views live until the next call on l. */
-size_t lv_all(const lv_t *l, lv_replica_t *out, size_t max);
+size_t leaving_list(const leaving_t *l, leaving_replica_t *out, size_t max);
 
 #endif
--- a/src/policy/ow_queue.c
+++ b/src/policy/owner_queue.c
@@ -1,4 +1,4 @@
-#include "policy/ow_core.h"
+#include "policy/owner_internal.h"
 
 #include <assert.h>
 #include <string.h>
@@ -8,56 +8,57 @@
  * callers of near-equal deadlines take turns. */
 #define TURN_MS 50
 
-static int64_t turn_of(const ow_t *w, const ow_stream_t *s)
+static int64_t turn_of(const owner_t *w, const owner_stream_t *s)
 {
 	int64_t turn = s->deadline;
 
 	for (unsigned i = 0; i < w->nqueue; i++) {
-		const ow_wait_t *q = &w->queue[i];
+		const owner_waiter_t *q = &w->queue[i];
 
-		if (q->s.caller == s->caller && q->turn > turn - TURN_MS)
-			turn = q->turn > DEADLINE_NEVER - TURN_MS ? DEADLINE_NEVER
-								  : q->turn + TURN_MS;
+		if (q->stream.caller == s->caller && q->virtual_deadline > turn - TURN_MS)
+			turn = q->virtual_deadline > DEADLINE_NEVER - TURN_MS
+				       ? DEADLINE_NEVER
+				       : q->virtual_deadline + TURN_MS;
 	}
 	return turn;
 }
 
-unsigned ow_queue_place(const ow_t *w, const ow_stream_t *s, int64_t *turn)
+unsigned owner_queue_position(const owner_t *w, const owner_stream_t *s, int64_t *turn)
 {
 	unsigned at = w->nqueue;
 
 	*turn = turn_of(w, s);
-	while (at > 0 && w->queue[at - 1].turn > *turn)
+	while (at > 0 && w->queue[at - 1].virtual_deadline > *turn)
 		at--;
 	return at;
 }
 
-void ow_queue_insert(ow_t *w, const ow_stream_t *s)
+void owner_queue_insert(owner_t *w, const owner_stream_t *s)
 {
 	int64_t turn;
-	unsigned at = ow_queue_place(w, s, &turn);
+	unsigned at = owner_queue_position(w, s, &turn);
 
-	assert(w->nqueue < w->o.queue_max);
+	assert(w->nqueue < w->options.queue_max);
 	if (w->nqueue == w->queue_cap) {
 		w->queue_cap = w->queue_cap * 2 + 8;
 		w->queue = mem_grow(w->queue, w->queue_cap * sizeof(*w->queue));
 	}
 	memmove(&w->queue[at + 1], &w->queue[at], (w->nqueue - at) * sizeof(*w->queue));
-	w->queue[at] = (ow_wait_t){*s, turn};
+	w->queue[at] = (owner_waiter_t){*s, turn};
 	w->nqueue++;
 }
 
-void ow_queue_remove(ow_t *w, unsigned at)
+void owner_queue_remove(owner_t *w, unsigned at)
 {
 	assert(at < w->nqueue);
 	w->nqueue--;
 	memmove(&w->queue[at], &w->queue[at + 1], (w->nqueue - at) * sizeof(*w->queue));
 }
 
-int ow_queue_find(const ow_t *w, uint64_t id)
+int owner_queue_find(const owner_t *w, uint64_t id)
 {
 	for (unsigned i = 0; i < w->nqueue; i++) {
-		if (w->queue[i].s.id == id)
+		if (w->queue[i].stream.id == id)
 			return (int)i;
 	}
 	return -1;
--- a/src/policy/rt.c
+++ b/src/policy/retry.c
@@ -1,4 +1,4 @@
-#include "policy/rt.h"
+#include "policy/retry.h"
 
 #include <assert.h>
 
@@ -10,21 +10,21 @@
 #define BREAKER_PAUSE_MAX_MS  8000
 #define BREAKER_PROBE_LOST_MS 10000 /* a probe without a result by then counts as lost */
 
-void rt_budget_init(rt_budget_t *b, int percent)
+void retry_budget_init(retry_budget_t *b, int percent)
 {
 	assert(percent >= 0);
 	b->percent = percent;
 	b->tokens_milli = BUDGET_FLOOR_MILLI;
 }
 
-void rt_budget_first(rt_budget_t *b)
+void retry_budget_deposit(retry_budget_t *b)
 {
 	b->tokens_milli += (int64_t)b->percent * MILLI / 100;
 	if (b->tokens_milli > BUDGET_MAX_MILLI)
 		b->tokens_milli = BUDGET_MAX_MILLI;
 }
 
-bool rt_budget_take(rt_budget_t *b)
+bool retry_budget_withdraw(retry_budget_t *b)
 {
 	if (b->tokens_milli < MILLI)
 		return false;
@@ -33,7 +33,7 @@
 	return true;
 }
 
-bool rt_may_retry(verdict_t verdict, bool repeatable)
+bool retry_allowed(verdict_t verdict, bool repeatable)
 {
 	switch (verdict) {
 	case VERDICT_NOT_RUN:
@@ -45,41 +45,41 @@
 	}
 }
 
-void rt_breaker_init(rt_breaker_t *b)
+void retry_breaker_init(retry_breaker_t *b)
 {
-	*b = (rt_breaker_t){.state = RT_CLOSED, .pause_ms = BREAKER_PAUSE_MS};
+	*b = (retry_breaker_t){.state = RETRY_BREAKER_CLOSED, .pause_ms = BREAKER_PAUSE_MS};
 }
 
-bool rt_breaker_allow(rt_breaker_t *b, int64_t now_ms)
+bool retry_breaker_allow(retry_breaker_t *b, int64_t now_ms)
 {
-	if (b->state == RT_CLOSED)
+	if (b->state == RETRY_BREAKER_CLOSED)
 		return true;
 	if (now_ms < b->probe_at_ms)
 		return false;
-	b->state = RT_HALF_OPEN;
+	b->state = RETRY_BREAKER_HALF_OPEN;
 	b->probe_at_ms = now_ms + BREAKER_PROBE_LOST_MS;
 	return true;
 }
 
-void rt_breaker_ok(rt_breaker_t *b)
+void retry_breaker_success(retry_breaker_t *b)
 {
-	rt_breaker_init(b);
+	retry_breaker_init(b);
 }
 
-static void open_breaker(rt_breaker_t *b, int64_t now_ms)
+static void open_breaker(retry_breaker_t *b, int64_t now_ms)
 {
-	b->state = RT_OPEN;
+	b->state = RETRY_BREAKER_OPEN;
 	b->probe_at_ms = now_ms + b->pause_ms;
 	b->pause_ms *= 2;
 	if (b->pause_ms > BREAKER_PAUSE_MAX_MS)
 		b->pause_ms = BREAKER_PAUSE_MAX_MS;
 }
 
-void rt_breaker_fail(rt_breaker_t *b, int64_t now_ms)
+void retry_breaker_failure(retry_breaker_t *b, int64_t now_ms)
 {
 	b->failures++;
-	if (b->state == RT_HALF_OPEN)
+	if (b->state == RETRY_BREAKER_HALF_OPEN)
 		open_breaker(b, now_ms);
-	else if (b->state == RT_CLOSED && b->failures >= BREAKER_FAILURES)
+	else if (b->state == RETRY_BREAKER_CLOSED && b->failures >= BREAKER_FAILURES)
 		open_breaker(b, now_ms);
 }
--- a/src/policy/sh.c
+++ b/src/policy/ring.c
@@ -1,25 +1,25 @@
-#include "policy/sh.h"
+#include "policy/ring.h"
 
 #include <stdlib.h>
 
 static int compare(const void *x, const void *y)
 {
-	const sh_point_t *a = x;
-	const sh_point_t *b = y;
+	const ring_point_t *a = x;
+	const ring_point_t *b = y;
 
 	if (a->hash != b->hash)
 		return a->hash < b->hash ? -1 : 1;
-	return a->at < b->at ? -1 : a->at > b->at;
+	return a->index < b->index ? -1 : a->index > b->index;
 }
 
-void sh_sort(sh_point_t *ring, size_t n)
+void ring_sort(ring_point_t *ring, size_t n)
 {
 	if (n > 0)
 		qsort(ring, n, sizeof(*ring), compare);
 }
 
 /* The first point that isn't before hash; n when there is none. */
-static size_t first_from(const sh_point_t *ring, size_t n, uint64_t hash)
+static size_t first_from(const ring_point_t *ring, size_t n, uint64_t hash)
 {
 	size_t low = 0;
 	size_t high = n;
@@ -35,12 +35,12 @@
 	return low;
 }
 
-size_t sh_share(const sh_point_t *ring, size_t n, uint64_t hash, size_t *out, size_t max)
+size_t ring_successors(const ring_point_t *ring, size_t n, uint64_t hash, size_t *out, size_t max)
 {
 	size_t from = first_from(ring, n, hash);
 	size_t k;
 
 	for (k = 0; k < n && k < max; k++)
-		out[k] = ring[(from + k) % n].at;
+		out[k] = ring[(from + k) % n].index;
 	return k;
 }
--- a/src/policy/sh.h
+++ b/src/policy/ring.h
@@ -5,21 +5,21 @@
  *
  * Pure.
  */
-#ifndef AUBURN_SH_H
-#define AUBURN_SH_H
+#ifndef AUBURN_RING_H
+#define AUBURN_RING_H
 
 #include <stddef.h>
 #include <stdint.h>
 
 typedef struct {
 	uint64_t hash;
-	size_t at; /* place in the list */
-} sh_point_t;
+	size_t index; /* place in the list */
+} ring_point_t;
 
 /** Puts the points in the order of the ring. */
-void sh_sort(sh_point_t *ring, size_t n);
+void ring_sort(ring_point_t *ring, size_t n);
 /** Places in the list of up to max points, from the one with this hash, or the next, on; returns
  * how many. */
-size_t sh_share(const sh_point_t *ring, size_t n, uint64_t hash, size_t *out, size_t max);
+size_t ring_successors(const ring_point_t *ring, size_t n, uint64_t hash, size_t *out, size_t max);
 
 #endif
--- /dev/null
+++ b/src/proto/link.x
@@ -0,0 +1,336 @@
+/*
+ * Messages on the links between entries (and control processes that don't lead) and the control
+ * process that leads: one link_msg_t a frame. Durations are milliseconds left when it was sent.
+ */
+#ifdef RPC_HDR
+%#include "proto/wire_xdr.h"
+#endif
+
+/* A text that is or was in force. */
+struct link_config_id_t {
+	unsigned hyper number;
+	unsigned hyper digest;		/* of its bytes: numbers begin anew on empty disks */
+};
+
+/* A request or an item that an entry has at a replica. */
+struct link_run_t {
+	unsigned hyper request;		/* the entry's number of an online request; 0 for an item */
+	wire_bytes_t replica;
+	wire_bytes_t job;
+	unsigned int item;
+};
+
+/* A replica that said that it leaves. */
+struct link_leaving_t {
+	wire_bytes_t replica;
+	unsigned hyper start_time;		/* when it started, Unix ms; 0: not known */
+};
+
+struct link_hello_t {
+	wire_bytes_t name;
+	wire_bytes_t addr;		/* ip:port for callers; empty for a control process */
+	wire_bytes_t zone;
+	bool draining;
+	wire_bytes_t control;		/* ip:port of its RPC; empty for an entry */
+	unsigned hyper replica;		/* id of its replica of group 0 */
+	link_config_id_t text;		/* whose routes it holds; number 0: none */
+	link_run_t runs<>;
+	link_leaving_t leaving_replicas<>;
+};
+
+struct link_welcome_t {
+	bool leads;
+	wire_bytes_t leader;		/* ip:port of the leader's RPC, if known and another */
+};
+
+struct link_share_t {
+	wire_bytes_t service;
+	hyper weight;
+};
+
+/* Times in ms; the fields are those of route_spec_t. */
+struct link_route_t {
+	wire_bytes_t name;
+	wire_bytes_t host;
+	wire_bytes_t prefix;
+	unsigned int kind;
+	link_share_t shares<>;
+	hyper timeout_ms;
+	hyper objective_ms;
+	hyper pause_ms;
+	hyper give_up_ms;
+	hyper due_ms;
+	hyper retention_ms;
+	hyper attempts;
+	hyper priority;
+	hyper waiting_tokens_max;
+	bool resumable;
+};
+
+struct link_route_key_t {
+	wire_bytes_t host;
+	wire_bytes_t prefix;
+};
+
+struct link_service_t {
+	wire_bytes_t name;
+	wire_bytes_t health_path;
+	hyper slots;
+	hyper connections_max;
+};
+
+/* What makes the routes of one text of those of another, or of none. */
+struct link_routes_t {
+	unsigned hyper label;		/* the operators' own number of the text */
+	hyper header_bytes;
+	hyper body_bytes;
+	hyper header_ms;
+	hyper idle_ms;
+	link_service_t services<>;	/* all of them */
+	link_route_t put<>;		/* added or changed */
+	link_route_key_t removed<>;
+};
+
+/* The routes in force. */
+struct link_config_t {
+	link_config_id_t text;
+	link_config_id_t base;		/* that the change is made on; number 0: none */
+	unsigned int size;		/* of the change, unpacked */
+	wire_bytes_t change;		/* an link_routes_t, deflated */
+};
+
+struct link_upstream_t {
+	wire_bytes_t id;
+	wire_bytes_t addr;
+	wire_bytes_t zone;
+	wire_bytes_t service;
+	unsigned int slots;
+	bool leaving;
+	unsigned hyper start_time;		/* when it started, Unix ms; 0: not known */
+};
+
+struct link_entry_t {
+	wire_bytes_t addr;
+	wire_bytes_t zone;
+};
+
+struct link_view_t {
+	unsigned int age_ms;		/* of the list of upstreams; UINT32_MAX: never read */
+	bool has_upstreams;		/* else those told before stand */
+	link_upstream_t upstreams<>;
+	bool has_entries;
+	link_entry_t entries<>;		/* that take callers */
+	wire_bytes_t controls<>;		/* ip:port of the RPC of each known control process */
+};
+
+/* Asks for a place at a replica for an online request. */
+struct link_slot_request_t {
+	unsigned hyper request;
+	wire_bytes_t service;
+	unsigned int priority;		/* 0 goes first */
+	bool resumed;			/* goes on with a stream that its caller reads already */
+	bool returning;			/* its caller has waited elsewhere already */
+	int objective_ms;		/* left until the first byte is due; negative when it is past */
+	int deadline_ms;		/* left until its caller gives up */
+	int give_up_left_ms;			/* left until its caller leaves unless an event has come */
+	unsigned hyper prefix;		/* hash of the shared parts of its prompt */
+	wire_bytes_t avoid<>;		/* replicas that failed it */
+};
+
+struct link_grant_t {
+	unsigned hyper request;
+	wire_bytes_t replica;
+	wire_bytes_t addr;		/* ip:port of the replica */
+	unsigned hyper start_time;
+};
+
+struct link_refuse_t {
+	unsigned hyper request;
+	int retry_ms;
+};
+
+enum link_outcome_t {
+	LINK_OUTCOME_OK = 0,
+	LINK_OUTCOME_FULL = 1,			/* the replica said that it didn't run it for want of room */
+	LINK_OUTCOME_UNREACHABLE = 2,			/* no connection, or another replica answers there */
+	LINK_OUTCOME_BROKEN = 3,			/* the answer ended early or was malformed */
+	LINK_OUTCOME_SILENT = 4,			/* no event came for too long */
+	LINK_OUTCOME_FAILED = 5,			/* the replica answered with a failure */
+	LINK_OUTCOME_CANCELLED = 6,			/* the caller left, or the run was stopped */
+	LINK_OUTCOME_REPLICA_LEAVING = 7			/* the replica had said that it leaves, and wasn't asked */
+};
+
+struct link_ended_t {
+	unsigned hyper request;
+	wire_bytes_t replica;
+	link_outcome_t outcome;
+	int first_ms;			/* until the first byte; -1: none came */
+};
+
+struct link_item_run_t {
+	wire_bytes_t job;
+	unsigned int item;
+	wire_bytes_t id;
+	wire_bytes_t host;
+	wire_bytes_t path;
+	wire_bytes_t headers;		/* lines that end with CRLF */
+	wire_bytes_t body;
+	wire_bytes_t replica;
+	wire_bytes_t addr;		/* ip:port of the replica */
+	unsigned hyper start_time;
+	wire_bytes_t text;		/* made by earlier runs */
+	unsigned int events;		/* that text holds */
+	int deadline_ms;
+};
+
+struct link_item_ref_t {
+	wire_bytes_t job;
+	unsigned int item;
+};
+
+enum link_item_end_t {
+	LINK_ITEM_END_DONE = 0,
+	LINK_ITEM_END_IMPOSSIBLE = 1,		/* the replica says that it can never be done */
+	LINK_ITEM_END_FAILED = 2,		/* the replica answered with a failure */
+	LINK_ITEM_END_UNFINISHED = 3		/* not finished: stopped, or its replica was lost */
+};
+
+struct link_item_ended_t {
+	wire_bytes_t job;
+	unsigned int item;
+	wire_bytes_t replica;
+	link_item_end_t end;
+	link_outcome_t outcome;
+	wire_bytes_t text;
+	unsigned int events;
+};
+
+/* Events of a running item since the last report. */
+struct link_item_progress_t {
+	wire_bytes_t job;
+	unsigned int item;
+	unsigned int from;
+	unsigned int events;
+	wire_bytes_t text;
+};
+
+enum link_call_kind_t {
+	LINK_CALL_LOT_OPEN = 1,
+	LINK_CALL_LOT_READ = 2,
+	LINK_CALL_ITEM_BODY = 3,
+	LINK_CALL_LOT_END = 4,
+	LINK_CALL_CONFIG_SUBMIT = 5,
+	LINK_CALL_CONFIG_GET = 6,
+	LINK_CALL_RETIRE = 7,		/* empty a control process */
+	LINK_CALL_RETIRE_STATUS = 8		/* how far that is */
+};
+
+struct link_lot_read_t {
+	wire_bytes_t job;
+	unsigned int after;
+	int wait_ms;
+};
+
+struct link_item_body_t {
+	wire_bytes_t job;
+	wire_bytes_t item;
+};
+
+union link_call_arg_t switch (link_call_kind_t kind) {
+case LINK_CALL_LOT_OPEN:
+	wire_lot_open_t open;
+case LINK_CALL_LOT_READ:
+	link_lot_read_t read;
+case LINK_CALL_ITEM_BODY:
+	link_item_body_t body;
+case LINK_CALL_LOT_END:
+	wire_bytes_t job;
+case LINK_CALL_CONFIG_SUBMIT:
+	wire_bytes_t text;
+case LINK_CALL_CONFIG_GET:
+	void;
+case LINK_CALL_RETIRE:
+case LINK_CALL_RETIRE_STATUS:
+	wire_bytes_t node;
+};
+
+struct link_call_t {
+	unsigned hyper id;
+	link_call_arg_t what;
+};
+
+struct link_result_t {
+	wire_bytes_t item;
+	bool dead;
+	wire_bytes_t text;
+};
+
+struct link_reply_t {
+	unsigned hyper id;
+	int status;			/* status_t */
+	wire_bytes_t message;
+	wire_bytes_t bytes;		/* BODY, CONF */
+	unsigned int total;		/* READ: items of the job */
+	link_result_t results<>;		/* READ */
+	bool empty;			/* RETIRED: it holds nothing any more */
+};
+
+enum link_kind_t {
+	LINK_HELLO = 1,
+	LINK_WELCOME = 2,
+	LINK_CONFIG = 3,
+	LINK_VIEW = 4,
+	LINK_SLOT_REQUEST = 5,
+	LINK_GRANT = 6,
+	LINK_REFUSE = 7,
+	LINK_WITHDRAW = 8,			/* the caller of a waiting request left */
+	LINK_ENDED = 9,
+	LINK_ITEM_RUN = 10,
+	LINK_ITEM_STOP = 11,
+	LINK_ITEM_ENDED = 12,
+	LINK_CALL = 13,
+	LINK_REPLY = 14,
+	LINK_PING = 15,
+	LINK_ITEM_PROGRESS = 16,
+	LINK_LEAVING = 18,
+	LINK_CONFIG_IN_FORCE = 17			/* the sender has the routes of this text in force */
+};
+
+union link_msg_t switch (link_kind_t kind) {
+case LINK_HELLO:
+	link_hello_t hello;
+case LINK_WELCOME:
+	link_welcome_t welcome;
+case LINK_CONFIG:
+	link_config_t conf;
+case LINK_VIEW:
+	link_view_t view;
+case LINK_SLOT_REQUEST:
+	link_slot_request_t ask;
+case LINK_GRANT:
+	link_grant_t grant;
+case LINK_REFUSE:
+	link_refuse_t refuse;
+case LINK_WITHDRAW:
+	unsigned hyper request;
+case LINK_ENDED:
+	link_ended_t ended;
+case LINK_ITEM_RUN:
+	link_item_run_t run;
+case LINK_ITEM_STOP:
+	link_item_ref_t stop;
+case LINK_ITEM_ENDED:
+	link_item_ended_t item_ended;
+case LINK_ITEM_PROGRESS:
+	link_item_progress_t progress;
+case LINK_LEAVING:
+	link_leaving_t leaving_replica;
+case LINK_CONFIG_IN_FORCE:
+	link_config_id_t holds;
+case LINK_CALL:
+	link_call_t call;
+case LINK_REPLY:
+	link_reply_t reply;
+case LINK_PING:
+	void;
+};
--- a/src/proto/lw_xdr.c
+++ b/src/proto/link_xdr.c
@@ -3,10 +3,10 @@
  * It was generated using rpcgen.
  */
 
-#include "lw_xdr.h"
+#include "link_xdr.h"
 
 bool_t
-xdr_lw_text_id_t (XDR *xdrs, lw_text_id_t *objp)
+xdr_link_config_id_t (XDR *xdrs, link_config_id_t *objp)
 {
 	register int32_t *buf;
 
@@ -18,15 +18,15 @@
 }
 
 bool_t
-xdr_lw_run_t (XDR *xdrs, lw_run_t *objp)
+xdr_link_run_t (XDR *xdrs, link_run_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->replica))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->replica))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->item))
 		 return FALSE;
@@ -34,63 +34,63 @@
 }
 
 bool_t
-xdr_lw_leaver_t (XDR *xdrs, lw_leaver_t *objp)
+xdr_link_leaving_t (XDR *xdrs, link_leaving_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->replica))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->replica))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->born))
+	 if (!xdr_u_quad_t (xdrs, &objp->start_time))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_hello_t (XDR *xdrs, lw_hello_t *objp)
+xdr_link_hello_t (XDR *xdrs, link_hello_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->name))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->name))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->addr))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->addr))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->zone))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->zone))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->draining))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->control))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->control))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->replica))
 		 return FALSE;
-	 if (!xdr_lw_text_id_t (xdrs, &objp->text))
+	 if (!xdr_link_config_id_t (xdrs, &objp->text))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->runs.runs_val, (u_int *) &objp->runs.runs_len, ~0,
-		sizeof (lw_run_t), (xdrproc_t) xdr_lw_run_t))
+		sizeof (link_run_t), (xdrproc_t) xdr_link_run_t))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->leavers.leavers_val, (u_int *) &objp->leavers.leavers_len, ~0,
-		sizeof (lw_leaver_t), (xdrproc_t) xdr_lw_leaver_t))
+	 if (!xdr_array (xdrs, (char **)&objp->leaving_replicas.leaving_replicas_val, (u_int *) &objp->leaving_replicas.leaving_replicas_len, ~0,
+		sizeof (link_leaving_t), (xdrproc_t) xdr_link_leaving_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_welcome_t (XDR *xdrs, lw_welcome_t *objp)
+xdr_link_welcome_t (XDR *xdrs, link_welcome_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_bool (xdrs, &objp->leads))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->leader))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->leader))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_share_t (XDR *xdrs, lw_share_t *objp)
+xdr_link_share_t (XDR *xdrs, link_share_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->weight))
 		 return FALSE;
@@ -98,20 +98,20 @@
 }
 
 bool_t
-xdr_lw_route_t (XDR *xdrs, lw_route_t *objp)
+xdr_link_route_t (XDR *xdrs, link_route_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->name))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->name))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->host))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->host))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->prefix))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->prefix))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->kind))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->shares.shares_val, (u_int *) &objp->shares.shares_len, ~0,
-		sizeof (lw_share_t), (xdrproc_t) xdr_lw_share_t))
+		sizeof (link_share_t), (xdrproc_t) xdr_link_share_t))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->timeout_ms))
 		 return FALSE;
@@ -119,7 +119,7 @@
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->pause_ms))
 		 return FALSE;
-	 if (!xdr_quad_t (xdrs, &objp->patience_ms))
+	 if (!xdr_quad_t (xdrs, &objp->give_up_ms))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->due_ms))
 		 return FALSE;
@@ -137,25 +137,25 @@
 }
 
 bool_t
-xdr_lw_route_key_t (XDR *xdrs, lw_route_key_t *objp)
+xdr_link_route_key_t (XDR *xdrs, link_route_key_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->host))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->host))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->prefix))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->prefix))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_service_t (XDR *xdrs, lw_service_t *objp)
+xdr_link_service_t (XDR *xdrs, link_service_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->name))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->name))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->health_path))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->health_path))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->slots))
 		 return FALSE;
@@ -165,7 +165,7 @@
 }
 
 bool_t
-xdr_lw_routes_t (XDR *xdrs, lw_routes_t *objp)
+xdr_link_routes_t (XDR *xdrs, link_routes_t *objp)
 {
 	register int32_t *buf;
 
@@ -180,69 +180,69 @@
 	 if (!xdr_quad_t (xdrs, &objp->idle_ms))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->services.services_val, (u_int *) &objp->services.services_len, ~0,
-		sizeof (lw_service_t), (xdrproc_t) xdr_lw_service_t))
+		sizeof (link_service_t), (xdrproc_t) xdr_link_service_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->put.put_val, (u_int *) &objp->put.put_len, ~0,
-		sizeof (lw_route_t), (xdrproc_t) xdr_lw_route_t))
+		sizeof (link_route_t), (xdrproc_t) xdr_link_route_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->removed.removed_val, (u_int *) &objp->removed.removed_len, ~0,
-		sizeof (lw_route_key_t), (xdrproc_t) xdr_lw_route_key_t))
+		sizeof (link_route_key_t), (xdrproc_t) xdr_link_route_key_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_conf_t (XDR *xdrs, lw_conf_t *objp)
+xdr_link_config_t (XDR *xdrs, link_config_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_lw_text_id_t (xdrs, &objp->text))
+	 if (!xdr_link_config_id_t (xdrs, &objp->text))
 		 return FALSE;
-	 if (!xdr_lw_text_id_t (xdrs, &objp->base))
+	 if (!xdr_link_config_id_t (xdrs, &objp->base))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->size))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->change))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->change))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_upstream_t (XDR *xdrs, lw_upstream_t *objp)
+xdr_link_upstream_t (XDR *xdrs, link_upstream_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->id))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->id))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->addr))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->addr))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->zone))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->zone))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->slots))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->leaving))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->born))
+	 if (!xdr_u_quad_t (xdrs, &objp->start_time))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_entry_t (XDR *xdrs, lw_entry_t *objp)
+xdr_link_entry_t (XDR *xdrs, link_entry_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->addr))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->addr))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->zone))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->zone))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_view_t (XDR *xdrs, lw_view_t *objp)
+xdr_link_view_t (XDR *xdrs, link_view_t *objp)
 {
 	register int32_t *buf;
 
@@ -251,21 +251,21 @@
 	 if (!xdr_bool (xdrs, &objp->has_upstreams))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->upstreams.upstreams_val, (u_int *) &objp->upstreams.upstreams_len, ~0,
-		sizeof (lw_upstream_t), (xdrproc_t) xdr_lw_upstream_t))
+		sizeof (link_upstream_t), (xdrproc_t) xdr_link_upstream_t))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->has_entries))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->entries.entries_val, (u_int *) &objp->entries.entries_len, ~0,
-		sizeof (lw_entry_t), (xdrproc_t) xdr_lw_entry_t))
+		sizeof (link_entry_t), (xdrproc_t) xdr_link_entry_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->controls.controls_val, (u_int *) &objp->controls.controls_len, ~0,
-		sizeof (aw_bytes_t), (xdrproc_t) xdr_aw_bytes_t))
+		sizeof (wire_bytes_t), (xdrproc_t) xdr_wire_bytes_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_ask_t (XDR *xdrs, lw_ask_t *objp)
+xdr_link_slot_request_t (XDR *xdrs, link_slot_request_t *objp)
 {
 	register int32_t *buf;
 
@@ -273,7 +273,7 @@
 	if (xdrs->x_op == XDR_ENCODE) {
 		 if (!xdr_u_quad_t (xdrs, &objp->request))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 6 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -287,7 +287,7 @@
 				 return FALSE;
 			 if (!xdr_int (xdrs, &objp->deadline_ms))
 				 return FALSE;
-			 if (!xdr_int (xdrs, &objp->leaves_ms))
+			 if (!xdr_int (xdrs, &objp->give_up_left_ms))
 				 return FALSE;
 
 		} else {
@@ -296,18 +296,18 @@
 		IXDR_PUT_BOOL(buf, objp->returning);
 		IXDR_PUT_LONG(buf, objp->objective_ms);
 		IXDR_PUT_LONG(buf, objp->deadline_ms);
-		IXDR_PUT_LONG(buf, objp->leaves_ms);
+		IXDR_PUT_LONG(buf, objp->give_up_left_ms);
 		}
 		 if (!xdr_u_quad_t (xdrs, &objp->prefix))
 			 return FALSE;
 		 if (!xdr_array (xdrs, (char **)&objp->avoid.avoid_val, (u_int *) &objp->avoid.avoid_len, ~0,
-			sizeof (aw_bytes_t), (xdrproc_t) xdr_aw_bytes_t))
+			sizeof (wire_bytes_t), (xdrproc_t) xdr_wire_bytes_t))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
 		 if (!xdr_u_quad_t (xdrs, &objp->request))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 6 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -321,7 +321,7 @@
 				 return FALSE;
 			 if (!xdr_int (xdrs, &objp->deadline_ms))
 				 return FALSE;
-			 if (!xdr_int (xdrs, &objp->leaves_ms))
+			 if (!xdr_int (xdrs, &objp->give_up_left_ms))
 				 return FALSE;
 
 		} else {
@@ -330,19 +330,19 @@
 		objp->returning = IXDR_GET_BOOL(buf);
 		objp->objective_ms = IXDR_GET_LONG(buf);
 		objp->deadline_ms = IXDR_GET_LONG(buf);
-		objp->leaves_ms = IXDR_GET_LONG(buf);
+		objp->give_up_left_ms = IXDR_GET_LONG(buf);
 		}
 		 if (!xdr_u_quad_t (xdrs, &objp->prefix))
 			 return FALSE;
 		 if (!xdr_array (xdrs, (char **)&objp->avoid.avoid_val, (u_int *) &objp->avoid.avoid_len, ~0,
-			sizeof (aw_bytes_t), (xdrproc_t) xdr_aw_bytes_t))
+			sizeof (wire_bytes_t), (xdrproc_t) xdr_wire_bytes_t))
 			 return FALSE;
 	 return TRUE;
 	}
 
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->priority))
 		 return FALSE;
@@ -354,34 +354,34 @@
 		 return FALSE;
 	 if (!xdr_int (xdrs, &objp->deadline_ms))
 		 return FALSE;
-	 if (!xdr_int (xdrs, &objp->leaves_ms))
+	 if (!xdr_int (xdrs, &objp->give_up_left_ms))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->prefix))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->avoid.avoid_val, (u_int *) &objp->avoid.avoid_len, ~0,
-		sizeof (aw_bytes_t), (xdrproc_t) xdr_aw_bytes_t))
+		sizeof (wire_bytes_t), (xdrproc_t) xdr_wire_bytes_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_grant_t (XDR *xdrs, lw_grant_t *objp)
+xdr_link_grant_t (XDR *xdrs, link_grant_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->replica))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->replica))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->addr))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->addr))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->born))
+	 if (!xdr_u_quad_t (xdrs, &objp->start_time))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_refuse_t (XDR *xdrs, lw_refuse_t *objp)
+xdr_link_refuse_t (XDR *xdrs, link_refuse_t *objp)
 {
 	register int32_t *buf;
 
@@ -393,7 +393,7 @@
 }
 
 bool_t
-xdr_lw_outcome_t (XDR *xdrs, lw_outcome_t *objp)
+xdr_link_outcome_t (XDR *xdrs, link_outcome_t *objp)
 {
 	register int32_t *buf;
 
@@ -403,15 +403,15 @@
 }
 
 bool_t
-xdr_lw_ended_t (XDR *xdrs, lw_ended_t *objp)
+xdr_link_ended_t (XDR *xdrs, link_ended_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->replica))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->replica))
 		 return FALSE;
-	 if (!xdr_lw_outcome_t (xdrs, &objp->outcome))
+	 if (!xdr_link_outcome_t (xdrs, &objp->outcome))
 		 return FALSE;
 	 if (!xdr_int (xdrs, &objp->first_ms))
 		 return FALSE;
@@ -419,31 +419,31 @@
 }
 
 bool_t
-xdr_lw_item_run_t (XDR *xdrs, lw_item_run_t *objp)
+xdr_link_item_run_t (XDR *xdrs, link_item_run_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->item))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->id))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->id))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->host))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->host))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->path))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->path))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->headers))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->headers))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->replica))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->replica))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->addr))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->addr))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->born))
+	 if (!xdr_u_quad_t (xdrs, &objp->start_time))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->events))
 		 return FALSE;
@@ -453,11 +453,11 @@
 }
 
 bool_t
-xdr_lw_item_ref_t (XDR *xdrs, lw_item_ref_t *objp)
+xdr_link_item_ref_t (XDR *xdrs, link_item_ref_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->item))
 		 return FALSE;
@@ -465,7 +465,7 @@
 }
 
 bool_t
-xdr_lw_item_end_t (XDR *xdrs, lw_item_end_t *objp)
+xdr_link_item_end_t (XDR *xdrs, link_item_end_t *objp)
 {
 	register int32_t *buf;
 
@@ -475,21 +475,21 @@
 }
 
 bool_t
-xdr_lw_item_ended_t (XDR *xdrs, lw_item_ended_t *objp)
+xdr_link_item_ended_t (XDR *xdrs, link_item_ended_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->item))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->replica))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->replica))
 		 return FALSE;
-	 if (!xdr_lw_item_end_t (xdrs, &objp->end))
+	 if (!xdr_link_item_end_t (xdrs, &objp->end))
 		 return FALSE;
-	 if (!xdr_lw_outcome_t (xdrs, &objp->outcome))
+	 if (!xdr_link_outcome_t (xdrs, &objp->outcome))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->events))
 		 return FALSE;
@@ -497,13 +497,13 @@
 }
 
 bool_t
-xdr_lw_item_progress_t (XDR *xdrs, lw_item_progress_t *objp)
+xdr_link_item_progress_t (XDR *xdrs, link_item_progress_t *objp)
 {
 	register int32_t *buf;
 
 
 	if (xdrs->x_op == XDR_ENCODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -519,11 +519,11 @@
 		IXDR_PUT_U_LONG(buf, objp->from);
 		IXDR_PUT_U_LONG(buf, objp->events);
 		}
-		 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -539,12 +539,12 @@
 		objp->from = IXDR_GET_U_LONG(buf);
 		objp->events = IXDR_GET_U_LONG(buf);
 		}
-		 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 			 return FALSE;
 	 return TRUE;
 	}
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->item))
 		 return FALSE;
@@ -552,13 +552,13 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->events))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_call_kind_t (XDR *xdrs, lw_call_kind_t *objp)
+xdr_link_call_kind_t (XDR *xdrs, link_call_kind_t *objp)
 {
 	register int32_t *buf;
 
@@ -568,11 +568,11 @@
 }
 
 bool_t
-xdr_lw_read_t (XDR *xdrs, lw_read_t *objp)
+xdr_link_lot_read_t (XDR *xdrs, link_lot_read_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->after))
 		 return FALSE;
@@ -582,50 +582,50 @@
 }
 
 bool_t
-xdr_lw_body_t (XDR *xdrs, lw_body_t *objp)
+xdr_link_item_body_t (XDR *xdrs, link_item_body_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->item))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->item))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_what_t (XDR *xdrs, lw_what_t *objp)
+xdr_link_call_arg_t (XDR *xdrs, link_call_arg_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_lw_call_kind_t (xdrs, &objp->kind))
+	 if (!xdr_link_call_kind_t (xdrs, &objp->kind))
 		 return FALSE;
 	switch (objp->kind) {
-	case LW_CALL_OPEN:
-		 if (!xdr_aw_lot_open_t (xdrs, &objp->lw_what_t_u.open))
+	case LINK_CALL_LOT_OPEN:
+		 if (!xdr_wire_lot_open_t (xdrs, &objp->link_call_arg_t_u.open))
 			 return FALSE;
 		break;
-	case LW_CALL_READ:
-		 if (!xdr_lw_read_t (xdrs, &objp->lw_what_t_u.read))
+	case LINK_CALL_LOT_READ:
+		 if (!xdr_link_lot_read_t (xdrs, &objp->link_call_arg_t_u.read))
 			 return FALSE;
 		break;
-	case LW_CALL_BODY:
-		 if (!xdr_lw_body_t (xdrs, &objp->lw_what_t_u.body))
+	case LINK_CALL_ITEM_BODY:
+		 if (!xdr_link_item_body_t (xdrs, &objp->link_call_arg_t_u.body))
 			 return FALSE;
 		break;
-	case LW_CALL_END:
-		 if (!xdr_aw_bytes_t (xdrs, &objp->lw_what_t_u.job))
+	case LINK_CALL_LOT_END:
+		 if (!xdr_wire_bytes_t (xdrs, &objp->link_call_arg_t_u.job))
 			 return FALSE;
 		break;
-	case LW_CALL_SUBMIT:
-		 if (!xdr_aw_bytes_t (xdrs, &objp->lw_what_t_u.text))
+	case LINK_CALL_CONFIG_SUBMIT:
+		 if (!xdr_wire_bytes_t (xdrs, &objp->link_call_arg_t_u.text))
 			 return FALSE;
 		break;
-	case LW_CALL_CONF:
+	case LINK_CALL_CONFIG_GET:
 		break;
-	case LW_CALL_RETIRE:
-	case LW_CALL_RETIRED:
-		 if (!xdr_aw_bytes_t (xdrs, &objp->lw_what_t_u.node))
+	case LINK_CALL_RETIRE:
+	case LINK_CALL_RETIRE_STATUS:
+		 if (!xdr_wire_bytes_t (xdrs, &objp->link_call_arg_t_u.node))
 			 return FALSE;
 		break;
 	default:
@@ -635,33 +635,33 @@
 }
 
 bool_t
-xdr_lw_call_t (XDR *xdrs, lw_call_t *objp)
+xdr_link_call_t (XDR *xdrs, link_call_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->id))
 		 return FALSE;
-	 if (!xdr_lw_what_t (xdrs, &objp->what))
+	 if (!xdr_link_call_arg_t (xdrs, &objp->what))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_result_t (XDR *xdrs, lw_result_t *objp)
+xdr_link_result_t (XDR *xdrs, link_result_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->item))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->item))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->dead))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_lw_reply_t (XDR *xdrs, lw_reply_t *objp)
+xdr_link_reply_t (XDR *xdrs, link_reply_t *objp)
 {
 	register int32_t *buf;
 
@@ -669,14 +669,14 @@
 		 return FALSE;
 	 if (!xdr_int (xdrs, &objp->status))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->message))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->message))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->bytes))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->bytes))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->total))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->results.results_val, (u_int *) &objp->results.results_len, ~0,
-		sizeof (lw_result_t), (xdrproc_t) xdr_lw_result_t))
+		sizeof (link_result_t), (xdrproc_t) xdr_link_result_t))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->empty))
 		 return FALSE;
@@ -684,7 +684,7 @@
 }
 
 bool_t
-xdr_lw_kind_t (XDR *xdrs, lw_kind_t *objp)
+xdr_link_kind_t (XDR *xdrs, link_kind_t *objp)
 {
 	register int32_t *buf;
 
@@ -694,82 +694,82 @@
 }
 
 bool_t
-xdr_lw_msg_t (XDR *xdrs, lw_msg_t *objp)
+xdr_link_msg_t (XDR *xdrs, link_msg_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_lw_kind_t (xdrs, &objp->kind))
+	 if (!xdr_link_kind_t (xdrs, &objp->kind))
 		 return FALSE;
 	switch (objp->kind) {
-	case LW_HELLO:
-		 if (!xdr_lw_hello_t (xdrs, &objp->lw_msg_t_u.hello))
+	case LINK_HELLO:
+		 if (!xdr_link_hello_t (xdrs, &objp->link_msg_t_u.hello))
 			 return FALSE;
 		break;
-	case LW_WELCOME:
-		 if (!xdr_lw_welcome_t (xdrs, &objp->lw_msg_t_u.welcome))
+	case LINK_WELCOME:
+		 if (!xdr_link_welcome_t (xdrs, &objp->link_msg_t_u.welcome))
 			 return FALSE;
 		break;
-	case LW_CONF:
-		 if (!xdr_lw_conf_t (xdrs, &objp->lw_msg_t_u.conf))
+	case LINK_CONFIG:
+		 if (!xdr_link_config_t (xdrs, &objp->link_msg_t_u.conf))
 			 return FALSE;
 		break;
-	case LW_VIEW:
-		 if (!xdr_lw_view_t (xdrs, &objp->lw_msg_t_u.view))
+	case LINK_VIEW:
+		 if (!xdr_link_view_t (xdrs, &objp->link_msg_t_u.view))
 			 return FALSE;
 		break;
-	case LW_ASK:
-		 if (!xdr_lw_ask_t (xdrs, &objp->lw_msg_t_u.ask))
+	case LINK_SLOT_REQUEST:
+		 if (!xdr_link_slot_request_t (xdrs, &objp->link_msg_t_u.ask))
 			 return FALSE;
 		break;
-	case LW_GRANT:
-		 if (!xdr_lw_grant_t (xdrs, &objp->lw_msg_t_u.grant))
+	case LINK_GRANT:
+		 if (!xdr_link_grant_t (xdrs, &objp->link_msg_t_u.grant))
 			 return FALSE;
 		break;
-	case LW_REFUSE:
-		 if (!xdr_lw_refuse_t (xdrs, &objp->lw_msg_t_u.refuse))
+	case LINK_REFUSE:
+		 if (!xdr_link_refuse_t (xdrs, &objp->link_msg_t_u.refuse))
 			 return FALSE;
 		break;
-	case LW_DROP:
-		 if (!xdr_u_quad_t (xdrs, &objp->lw_msg_t_u.request))
+	case LINK_WITHDRAW:
+		 if (!xdr_u_quad_t (xdrs, &objp->link_msg_t_u.request))
 			 return FALSE;
 		break;
-	case LW_ENDED:
-		 if (!xdr_lw_ended_t (xdrs, &objp->lw_msg_t_u.ended))
+	case LINK_ENDED:
+		 if (!xdr_link_ended_t (xdrs, &objp->link_msg_t_u.ended))
 			 return FALSE;
 		break;
-	case LW_ITEM_RUN:
-		 if (!xdr_lw_item_run_t (xdrs, &objp->lw_msg_t_u.run))
+	case LINK_ITEM_RUN:
+		 if (!xdr_link_item_run_t (xdrs, &objp->link_msg_t_u.run))
 			 return FALSE;
 		break;
-	case LW_ITEM_STOP:
-		 if (!xdr_lw_item_ref_t (xdrs, &objp->lw_msg_t_u.stop))
+	case LINK_ITEM_STOP:
+		 if (!xdr_link_item_ref_t (xdrs, &objp->link_msg_t_u.stop))
 			 return FALSE;
 		break;
-	case LW_ITEM_ENDED:
-		 if (!xdr_lw_item_ended_t (xdrs, &objp->lw_msg_t_u.item_ended))
+	case LINK_ITEM_ENDED:
+		 if (!xdr_link_item_ended_t (xdrs, &objp->link_msg_t_u.item_ended))
 			 return FALSE;
 		break;
-	case LW_ITEM_PROGRESS:
-		 if (!xdr_lw_item_progress_t (xdrs, &objp->lw_msg_t_u.progress))
+	case LINK_ITEM_PROGRESS:
+		 if (!xdr_link_item_progress_t (xdrs, &objp->link_msg_t_u.progress))
 			 return FALSE;
 		break;
-	case LW_LEAVER:
-		 if (!xdr_lw_leaver_t (xdrs, &objp->lw_msg_t_u.leaver))
+	case LINK_LEAVING:
+		 if (!xdr_link_leaving_t (xdrs, &objp->link_msg_t_u.leaving_replica))
 			 return FALSE;
 		break;
-	case LW_HOLDS:
-		 if (!xdr_lw_text_id_t (xdrs, &objp->lw_msg_t_u.holds))
+	case LINK_CONFIG_IN_FORCE:
+		 if (!xdr_link_config_id_t (xdrs, &objp->link_msg_t_u.holds))
 			 return FALSE;
 		break;
-	case LW_CALL:
-		 if (!xdr_lw_call_t (xdrs, &objp->lw_msg_t_u.call))
+	case LINK_CALL:
+		 if (!xdr_link_call_t (xdrs, &objp->link_msg_t_u.call))
 			 return FALSE;
 		break;
-	case LW_REPLY:
-		 if (!xdr_lw_reply_t (xdrs, &objp->lw_msg_t_u.reply))
+	case LINK_REPLY:
+		 if (!xdr_link_reply_t (xdrs, &objp->link_msg_t_u.reply))
 			 return FALSE;
 		break;
-	case LW_PING:
+	case LINK_PING:
 		break;
 	default:
 		return FALSE;
--- a/src/proto/px_grow.c
+++ b/src/proto/px_grow.c
@@ -40,7 +40,7 @@
 	return TRUE;
 }
 
-bool_t px_xdr_array(XDR *x, caddr_t *items, u_int *n, u_int max, u_int item_size, xdrproc_t proc)
+bool_t wire_xdr_array(XDR *x, caddr_t *items, u_int *n, u_int max, u_int item_size, xdrproc_t proc)
 {
 	if (x->x_op != XDR_DECODE)
 		return xdr_array(x, items, n, max, item_size, proc);
@@ -66,7 +66,7 @@
 	return TRUE;
 }
 
-bool_t px_xdr_bytes(XDR *x, char **bytes, u_int *n, u_int max)
+bool_t wire_xdr_bytes(XDR *x, char **bytes, u_int *n, u_int max)
 {
 	if (x->x_op != XDR_DECODE)
 		return xdr_bytes(x, bytes, n, max);
--- a/src/proto/px_grow.h
+++ b/src/proto/px_grow.h
@@ -6,11 +6,11 @@
 #include <rpc/rpc.h>
 
 /** As xdr_array; when decoding, *items must be NULL, and after a failure *n counts what to free. */
-bool_t px_xdr_array(XDR *x, caddr_t *items, u_int *n, u_int max, u_int item_size, xdrproc_t proc);
+bool_t wire_xdr_array(XDR *x, caddr_t *items, u_int *n, u_int max, u_int item_size, xdrproc_t proc);
 /** As xdr_bytes; when decoding, *bytes must be NULL. */
-bool_t px_xdr_bytes(XDR *x, char **bytes, u_int *n, u_int max);
+bool_t wire_xdr_bytes(XDR *x, char **bytes, u_int *n, u_int max);
 
-#define xdr_array px_xdr_array
-#define xdr_bytes px_xdr_bytes
+#define xdr_array wire_xdr_array
+#define xdr_bytes wire_xdr_bytes
 
 #endif
--- a/src/proto/rf.x
+++ b/src/proto/raft.x
@@ -2,39 +2,39 @@
  * Messages between the replicas of one group, and what a membership entry of the log holds.
  */
 
-enum rf_type_t {
-	RF_PREVOTE = 1,
-	RF_PREVOTE_RESP = 2,
-	RF_VOTE = 3,
-	RF_VOTE_RESP = 4,
-	RF_APPEND = 5,
-	RF_APPEND_RESP = 6,
-	RF_SNAP = 7,
-	RF_SNAP_RESP = 8,
-	RF_TIMEOUT_NOW = 9
+enum raft_msg_type_t {
+	RAFT_PREVOTE = 1,
+	RAFT_PREVOTE_RESP = 2,
+	RAFT_VOTE = 3,
+	RAFT_VOTE_RESP = 4,
+	RAFT_APPEND = 5,
+	RAFT_APPEND_RESP = 6,
+	RAFT_SNAPSHOT = 7,
+	RAFT_SNAPSHOT_RESP = 8,
+	RAFT_TIMEOUT_NOW = 9
 };
 
-enum rf_kind_t { RF_NOOP = 0, RF_COMMAND = 1, RF_CONF = 2 };
+enum raft_entry_kind_t { RAFT_ENTRY_NOOP = 0, RAFT_ENTRY_COMMAND = 1, RAFT_ENTRY_MEMBERS = 2 };
 
-struct rf_entry_t {
+struct raft_entry_t {
 	unsigned hyper term;
-	rf_kind_t kind;
+	raft_entry_kind_t kind;
 	opaque data<>;
 };
 
-struct rf_wire_peer_t {
+struct raft_wire_peer_t {
 	unsigned hyper id;
 	string addr<63>;
 	string zone<31>;
 	bool voter;
 };
 
-struct rf_wire_conf_t {
-	rf_wire_peer_t peers<9>;
+struct raft_wire_members_t {
+	raft_wire_peer_t peers<9>;
 };
 
-struct rf_msg_t {
-	rf_type_t type;
+struct raft_msg_t {
+	raft_msg_type_t type;
 	unsigned hyper from;
 	unsigned hyper to;
 	unsigned hyper term;
@@ -48,7 +48,7 @@
 					   offset; last SNAP: checksum of the whole */
 	bool reject;
 	bool force;			/* VOTE for a transfer of leadership: leases don't count */
-	rf_entry_t entries<>;
+	raft_entry_t entries<>;
 	unsigned hyper offset;		/* SNAP: place of data in the whole */
 	bool last;
 	opaque conf<>;			/* SNAP: members at index */
--- a/src/proto/rf_xdr.c
+++ b/src/proto/raft_xdr.c
@@ -3,10 +3,10 @@
  * It was generated using rpcgen.
  */
 
-#include "rf_xdr.h"
+#include "raft_xdr.h"
 
 bool_t
-xdr_rf_type_t (XDR *xdrs, rf_type_t *objp)
+xdr_raft_msg_type_t (XDR *xdrs, raft_msg_type_t *objp)
 {
 	register int32_t *buf;
 
@@ -16,7 +16,7 @@
 }
 
 bool_t
-xdr_rf_kind_t (XDR *xdrs, rf_kind_t *objp)
+xdr_raft_entry_kind_t (XDR *xdrs, raft_entry_kind_t *objp)
 {
 	register int32_t *buf;
 
@@ -26,13 +26,13 @@
 }
 
 bool_t
-xdr_rf_entry_t (XDR *xdrs, rf_entry_t *objp)
+xdr_raft_entry_t (XDR *xdrs, raft_entry_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->term))
 		 return FALSE;
-	 if (!xdr_rf_kind_t (xdrs, &objp->kind))
+	 if (!xdr_raft_entry_kind_t (xdrs, &objp->kind))
 		 return FALSE;
 	 if (!xdr_bytes (xdrs, (char **)&objp->data.data_val, (u_int *) &objp->data.data_len, ~0))
 		 return FALSE;
@@ -40,7 +40,7 @@
 }
 
 bool_t
-xdr_rf_wire_peer_t (XDR *xdrs, rf_wire_peer_t *objp)
+xdr_raft_wire_peer_t (XDR *xdrs, raft_wire_peer_t *objp)
 {
 	register int32_t *buf;
 
@@ -56,22 +56,22 @@
 }
 
 bool_t
-xdr_rf_wire_conf_t (XDR *xdrs, rf_wire_conf_t *objp)
+xdr_raft_wire_members_t (XDR *xdrs, raft_wire_members_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_array (xdrs, (char **)&objp->peers.peers_val, (u_int *) &objp->peers.peers_len, 9,
-		sizeof (rf_wire_peer_t), (xdrproc_t) xdr_rf_wire_peer_t))
+		sizeof (raft_wire_peer_t), (xdrproc_t) xdr_raft_wire_peer_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_rf_msg_t (XDR *xdrs, rf_msg_t *objp)
+xdr_raft_msg_t (XDR *xdrs, raft_msg_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_rf_type_t (xdrs, &objp->type))
+	 if (!xdr_raft_msg_type_t (xdrs, &objp->type))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->from))
 		 return FALSE;
@@ -96,7 +96,7 @@
 	 if (!xdr_bool (xdrs, &objp->force))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->entries.entries_val, (u_int *) &objp->entries.entries_len, ~0,
-		sizeof (rf_entry_t), (xdrproc_t) xdr_rf_entry_t))
+		sizeof (raft_entry_t), (xdrproc_t) xdr_raft_entry_t))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->offset))
 		 return FALSE;
--- a/src/proto/aw_xdr.c
+++ b/src/proto/wire_xdr.c
@@ -3,20 +3,20 @@
  * It was generated using rpcgen.
  */
 
-#include "aw_xdr.h"
+#include "wire_xdr.h"
 
 bool_t
-xdr_aw_bytes_t (XDR *xdrs, aw_bytes_t *objp)
+xdr_wire_bytes_t (XDR *xdrs, wire_bytes_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_bytes (xdrs, (char **)&objp->aw_bytes_t_val, (u_int *) &objp->aw_bytes_t_len, ~0))
+	 if (!xdr_bytes (xdrs, (char **)&objp->wire_bytes_t_val, (u_int *) &objp->wire_bytes_t_len, ~0))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_upstream_state_t (XDR *xdrs, aw_upstream_state_t *objp)
+xdr_wire_upstream_state_t (XDR *xdrs, wire_upstream_state_t *objp)
 {
 	register int32_t *buf;
 
@@ -26,19 +26,19 @@
 }
 
 bool_t
-xdr_aw_upstream_t (XDR *xdrs, aw_upstream_t *objp)
+xdr_wire_upstream_t (XDR *xdrs, wire_upstream_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->id))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->id))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->addr))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->addr))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->zone))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->zone))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
-	 if (!xdr_aw_upstream_state_t (xdrs, &objp->state))
+	 if (!xdr_wire_upstream_state_t (xdrs, &objp->state))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->owner))
 		 return FALSE;
@@ -48,17 +48,17 @@
 }
 
 bool_t
-xdr_aw_member_t (XDR *xdrs, aw_member_t *objp)
+xdr_wire_member_t (XDR *xdrs, wire_member_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->name))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->name))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->addr))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->addr))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->peer))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->peer))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->zone))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->zone))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->boot))
 		 return FALSE;
@@ -70,37 +70,37 @@
 }
 
 bool_t
-xdr_aw_conf_submit_t (XDR *xdrs, aw_conf_submit_t *objp)
+xdr_wire_config_submit_t (XDR *xdrs, wire_config_submit_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->number))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->operator_name))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->operator_name))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_session_close_t (XDR *xdrs, aw_session_close_t *objp)
+xdr_wire_session_close_t (XDR *xdrs, wire_session_close_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->session))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->reason))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->reason))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_own_change_t (XDR *xdrs, aw_own_change_t *objp)
+xdr_wire_owner_change_t (XDR *xdrs, wire_owner_change_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->id))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->id))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->was_fence))
 		 return FALSE;
@@ -110,17 +110,17 @@
 }
 
 bool_t
-xdr_aw_lot_item_t (XDR *xdrs, aw_lot_item_t *objp)
+xdr_wire_lot_item_t (XDR *xdrs, wire_lot_item_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->id))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->id))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->path))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->path))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->headers))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->headers))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->tokens))
 		 return FALSE;
@@ -128,15 +128,15 @@
 }
 
 bool_t
-xdr_aw_lot_open_t (XDR *xdrs, aw_lot_open_t *objp)
+xdr_wire_lot_open_t (XDR *xdrs, wire_lot_open_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->lot))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->lot))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->route))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->route))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->host))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->host))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->due_wall_ms))
 		 return FALSE;
@@ -147,35 +147,35 @@
 	 if (!xdr_u_quad_t (xdrs, &objp->quota))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->items.items_val, (u_int *) &objp->items.items_len, ~0,
-		sizeof (aw_lot_item_t), (xdrproc_t) xdr_aw_lot_item_t))
+		sizeof (wire_lot_item_t), (xdrproc_t) xdr_wire_lot_item_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_lot_result_t (XDR *xdrs, aw_lot_result_t *objp)
+xdr_wire_lot_result_t (XDR *xdrs, wire_lot_result_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->lot))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->lot))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->item))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->dead))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_lot_progress_t (XDR *xdrs, aw_lot_progress_t *objp)
+xdr_wire_lot_progress_t (XDR *xdrs, wire_lot_progress_t *objp)
 {
 	register int32_t *buf;
 
 
 	if (xdrs->x_op == XDR_ENCODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->lot))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->lot))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -191,11 +191,11 @@
 		IXDR_PUT_U_LONG(buf, objp->from);
 		IXDR_PUT_U_LONG(buf, objp->events);
 		}
-		 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->lot))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->lot))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -211,12 +211,12 @@
 		objp->from = IXDR_GET_U_LONG(buf);
 		objp->events = IXDR_GET_U_LONG(buf);
 		}
-		 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 			 return FALSE;
 	 return TRUE;
 	}
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->lot))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->lot))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->item))
 		 return FALSE;
@@ -224,39 +224,39 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->events))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_lots_cmd_t (XDR *xdrs, aw_lots_cmd_t *objp)
+xdr_wire_lots_cmd_t (XDR *xdrs, wire_lots_cmd_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_quad_t (xdrs, &objp->now_wall_ms))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->progress.progress_val, (u_int *) &objp->progress.progress_len, ~0,
-		sizeof (aw_lot_progress_t), (xdrproc_t) xdr_aw_lot_progress_t))
+		sizeof (wire_lot_progress_t), (xdrproc_t) xdr_wire_lot_progress_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->results.results_val, (u_int *) &objp->results.results_len, ~0,
-		sizeof (aw_lot_result_t), (xdrproc_t) xdr_aw_lot_result_t))
+		sizeof (wire_lot_result_t), (xdrproc_t) xdr_wire_lot_result_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->ends.ends_val, (u_int *) &objp->ends.ends_len, ~0,
-		sizeof (aw_bytes_t), (xdrproc_t) xdr_aw_bytes_t))
+		sizeof (wire_bytes_t), (xdrproc_t) xdr_wire_bytes_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->opens.opens_val, (u_int *) &objp->opens.opens_len, ~0,
-		sizeof (aw_lot_open_t), (xdrproc_t) xdr_aw_lot_open_t))
+		sizeof (wire_lot_open_t), (xdrproc_t) xdr_wire_lot_open_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_retire_t (XDR *xdrs, aw_retire_t *objp)
+xdr_wire_retire_t (XDR *xdrs, wire_retire_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->name))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->name))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->replica))
 		 return FALSE;
@@ -264,7 +264,7 @@
 }
 
 bool_t
-xdr_aw_fleet_kind_t (XDR *xdrs, aw_fleet_kind_t *objp)
+xdr_wire_fleet_kind_t (XDR *xdrs, wire_fleet_kind_t *objp)
 {
 	register int32_t *buf;
 
@@ -274,50 +274,50 @@
 }
 
 bool_t
-xdr_aw_fleet_cmd_t (XDR *xdrs, aw_fleet_cmd_t *objp)
+xdr_wire_fleet_cmd_t (XDR *xdrs, wire_fleet_cmd_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_fleet_kind_t (xdrs, &objp->kind))
+	 if (!xdr_wire_fleet_kind_t (xdrs, &objp->kind))
 		 return FALSE;
 	switch (objp->kind) {
-	case AW_FLEET_CONF_SUBMIT:
-		 if (!xdr_aw_conf_submit_t (xdrs, &objp->aw_fleet_cmd_t_u.submit))
+	case WIRE_FLEET_CONFIG_SUBMIT:
+		 if (!xdr_wire_config_submit_t (xdrs, &objp->wire_fleet_cmd_t_u.submit))
 			 return FALSE;
 		break;
-	case AW_FLEET_SESSION_OPEN:
-		 if (!xdr_aw_member_t (xdrs, &objp->aw_fleet_cmd_t_u.open))
+	case WIRE_FLEET_SESSION_OPEN:
+		 if (!xdr_wire_member_t (xdrs, &objp->wire_fleet_cmd_t_u.open))
 			 return FALSE;
 		break;
-	case AW_FLEET_SESSION_DRAIN:
-		 if (!xdr_u_quad_t (xdrs, &objp->aw_fleet_cmd_t_u.drain))
+	case WIRE_FLEET_SESSION_DRAIN:
+		 if (!xdr_u_quad_t (xdrs, &objp->wire_fleet_cmd_t_u.drain))
 			 return FALSE;
 		break;
-	case AW_FLEET_SESSION_CLOSE:
-		 if (!xdr_aw_session_close_t (xdrs, &objp->aw_fleet_cmd_t_u.close))
+	case WIRE_FLEET_SESSION_CLOSE:
+		 if (!xdr_wire_session_close_t (xdrs, &objp->wire_fleet_cmd_t_u.close))
 			 return FALSE;
 		break;
-	case AW_FLEET_OWN:
-		 if (!xdr_array (xdrs, (char **)&objp->aw_fleet_cmd_t_u.own.own_val, (u_int *) &objp->aw_fleet_cmd_t_u.own.own_len, ~0,
-			sizeof (aw_own_change_t), (xdrproc_t) xdr_aw_own_change_t))
+	case WIRE_FLEET_OWNERS:
+		 if (!xdr_array (xdrs, (char **)&objp->wire_fleet_cmd_t_u.own.own_val, (u_int *) &objp->wire_fleet_cmd_t_u.own.own_len, ~0,
+			sizeof (wire_owner_change_t), (xdrproc_t) xdr_wire_owner_change_t))
 			 return FALSE;
 		break;
-	case AW_FLEET_UPSTREAMS:
-		 if (!xdr_array (xdrs, (char **)&objp->aw_fleet_cmd_t_u.upstreams.upstreams_val, (u_int *) &objp->aw_fleet_cmd_t_u.upstreams.upstreams_len, ~0,
-			sizeof (aw_upstream_t), (xdrproc_t) xdr_aw_upstream_t))
+	case WIRE_FLEET_UPSTREAMS:
+		 if (!xdr_array (xdrs, (char **)&objp->wire_fleet_cmd_t_u.upstreams.upstreams_val, (u_int *) &objp->wire_fleet_cmd_t_u.upstreams.upstreams_len, ~0,
+			sizeof (wire_upstream_t), (xdrproc_t) xdr_wire_upstream_t))
 			 return FALSE;
 		break;
-	case AW_FLEET_FORGET:
-		 if (!xdr_array (xdrs, (char **)&objp->aw_fleet_cmd_t_u.forget.forget_val, (u_int *) &objp->aw_fleet_cmd_t_u.forget.forget_len, ~0,
+	case WIRE_FLEET_FORGET:
+		 if (!xdr_array (xdrs, (char **)&objp->wire_fleet_cmd_t_u.forget.forget_val, (u_int *) &objp->wire_fleet_cmd_t_u.forget.forget_len, ~0,
 			sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 			 return FALSE;
 		break;
-	case AW_FLEET_LOTS:
-		 if (!xdr_aw_lots_cmd_t (xdrs, &objp->aw_fleet_cmd_t_u.lots))
+	case WIRE_FLEET_LOTS:
+		 if (!xdr_wire_lots_cmd_t (xdrs, &objp->wire_fleet_cmd_t_u.lots))
 			 return FALSE;
 		break;
-	case AW_FLEET_RETIRE:
-		 if (!xdr_aw_retire_t (xdrs, &objp->aw_fleet_cmd_t_u.retire))
+	case WIRE_FLEET_RETIRE:
+		 if (!xdr_wire_retire_t (xdrs, &objp->wire_fleet_cmd_t_u.retire))
 			 return FALSE;
 		break;
 	default:
@@ -327,13 +327,13 @@
 }
 
 bool_t
-xdr_aw_fleet_res_t (XDR *xdrs, aw_fleet_res_t *objp)
+xdr_wire_fleet_res_t (XDR *xdrs, wire_fleet_res_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_int (xdrs, &objp->status))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->message))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->message))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->number))
 		 return FALSE;
@@ -346,7 +346,7 @@
 }
 
 bool_t
-xdr_aw_view_t (XDR *xdrs, aw_view_t *objp)
+xdr_wire_view_t (XDR *xdrs, wire_view_t *objp)
 {
 	register int32_t *buf;
 
@@ -357,16 +357,16 @@
 	 if (!xdr_u_int (xdrs, &objp->ledger_groups))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->members.members_val, (u_int *) &objp->members.members_len, ~0,
-		sizeof (aw_member_t), (xdrproc_t) xdr_aw_member_t))
+		sizeof (wire_member_t), (xdrproc_t) xdr_wire_member_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->upstreams.upstreams_val, (u_int *) &objp->upstreams.upstreams_len, ~0,
-		sizeof (aw_upstream_t), (xdrproc_t) xdr_aw_upstream_t))
+		sizeof (wire_upstream_t), (xdrproc_t) xdr_wire_upstream_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_conf_t (XDR *xdrs, aw_conf_t *objp)
+xdr_wire_config_t (XDR *xdrs, wire_config_t *objp)
 {
 	register int32_t *buf;
 
@@ -374,15 +374,15 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->digest))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->operator_name))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->operator_name))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_state_t (XDR *xdrs, aw_state_t *objp)
+xdr_wire_state_t (XDR *xdrs, wire_state_t *objp)
 {
 	register int32_t *buf;
 
@@ -392,17 +392,17 @@
 }
 
 bool_t
-xdr_aw_accept_t (XDR *xdrs, aw_accept_t *objp)
+xdr_wire_accept_t (XDR *xdrs, wire_accept_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->digest))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->repeatable))
 		 return FALSE;
@@ -410,49 +410,49 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->session))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->path))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->path))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->trace))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->trace))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_attempt_t (XDR *xdrs, aw_attempt_t *objp)
+xdr_wire_attempt_t (XDR *xdrs, wire_attempt_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->token))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->session))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->upstream))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->upstream))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_finish_t (XDR *xdrs, aw_finish_t *objp)
+xdr_wire_finish_t (XDR *xdrs, wire_finish_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 		 return FALSE;
-	 if (!xdr_aw_state_t (xdrs, &objp->state))
+	 if (!xdr_wire_state_t (xdrs, &objp->state))
 		 return FALSE;
 	 if (!xdr_int (xdrs, &objp->verdict))
 		 return FALSE;
 	 if (!xdr_int (xdrs, &objp->http_status))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->result))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->result))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->now_wall_ms))
 		 return FALSE;
@@ -462,23 +462,23 @@
 }
 
 bool_t
-xdr_aw_job_open_t (XDR *xdrs, aw_job_open_t *objp)
+xdr_wire_job_open_t (XDR *xdrs, wire_job_open_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->digest))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->deadline_wall_ms))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->count))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->trace))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->trace))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->now_wall_ms))
 		 return FALSE;
@@ -488,30 +488,30 @@
 }
 
 bool_t
-xdr_aw_job_items_t (XDR *xdrs, aw_job_items_t *objp)
+xdr_wire_job_items_t (XDR *xdrs, wire_job_items_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->first))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->bodies.bodies_val, (u_int *) &objp->bodies.bodies_len, ~0,
-		sizeof (aw_bytes_t), (xdrproc_t) xdr_aw_bytes_t))
+		sizeof (wire_bytes_t), (xdrproc_t) xdr_wire_bytes_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_job_ref_t (XDR *xdrs, aw_job_ref_t *objp)
+xdr_wire_job_ref_t (XDR *xdrs, wire_job_ref_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->now_wall_ms))
 		 return FALSE;
@@ -519,7 +519,7 @@
 }
 
 bool_t
-xdr_aw_lease_t (XDR *xdrs, aw_lease_t *objp)
+xdr_wire_lease_t (XDR *xdrs, wire_lease_t *objp)
 {
 	register int32_t *buf;
 
@@ -527,7 +527,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->seq))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->max))
 		 return FALSE;
@@ -537,17 +537,17 @@
 }
 
 bool_t
-xdr_aw_item_t (XDR *xdrs, aw_item_t *objp)
+xdr_wire_item_t (XDR *xdrs, wire_item_t *objp)
 {
 	register int32_t *buf;
 
 
 	if (xdrs->x_op == XDR_ENCODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 4 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -568,19 +568,19 @@
 		}
 		 if (!xdr_quad_t (xdrs, &objp->deadline_wall_ms))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->path))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->path))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->trace))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->trace))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 4 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -601,20 +601,20 @@
 		}
 		 if (!xdr_quad_t (xdrs, &objp->deadline_wall_ms))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->path))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->path))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->trace))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->trace))
 			 return FALSE;
 	 return TRUE;
 	}
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->index))
 		 return FALSE;
@@ -626,17 +626,17 @@
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->deadline_wall_ms))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->path))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->path))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->trace))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->trace))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_blame_t (XDR *xdrs, aw_blame_t *objp)
+xdr_wire_blame_t (XDR *xdrs, wire_blame_t *objp)
 {
 	register int32_t *buf;
 
@@ -646,17 +646,17 @@
 }
 
 bool_t
-xdr_aw_item_result_t (XDR *xdrs, aw_item_result_t *objp)
+xdr_wire_item_result_t (XDR *xdrs, wire_item_result_t *objp)
 {
 	register int32_t *buf;
 
 
 	if (xdrs->x_op == XDR_ENCODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -672,17 +672,17 @@
 		IXDR_PUT_U_LONG(buf, objp->attempt);
 		IXDR_PUT_BOOL(buf, objp->done);
 		}
-		 if (!xdr_aw_blame_t (xdrs, &objp->blame))
+		 if (!xdr_wire_blame_t (xdrs, &objp->blame))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -698,18 +698,18 @@
 		objp->attempt = IXDR_GET_U_LONG(buf);
 		objp->done = IXDR_GET_BOOL(buf);
 		}
-		 if (!xdr_aw_blame_t (xdrs, &objp->blame))
+		 if (!xdr_wire_blame_t (xdrs, &objp->blame))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 			 return FALSE;
 	 return TRUE;
 	}
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->index))
 		 return FALSE;
@@ -717,15 +717,15 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->done))
 		 return FALSE;
-	 if (!xdr_aw_blame_t (xdrs, &objp->blame))
+	 if (!xdr_wire_blame_t (xdrs, &objp->blame))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_done_t (XDR *xdrs, aw_done_t *objp)
+xdr_wire_done_t (XDR *xdrs, wire_done_t *objp)
 {
 	register int32_t *buf;
 
@@ -734,13 +734,13 @@
 	 if (!xdr_quad_t (xdrs, &objp->now_wall_ms))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->results.results_val, (u_int *) &objp->results.results_len, ~0,
-		sizeof (aw_item_result_t), (xdrproc_t) xdr_aw_item_result_t))
+		sizeof (wire_item_result_t), (xdrproc_t) xdr_wire_item_result_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_sessions_lost_t (XDR *xdrs, aw_sessions_lost_t *objp)
+xdr_wire_sessions_lost_t (XDR *xdrs, wire_sessions_lost_t *objp)
 {
 	register int32_t *buf;
 
@@ -753,7 +753,7 @@
 }
 
 bool_t
-xdr_aw_expire_t (XDR *xdrs, aw_expire_t *objp)
+xdr_wire_expire_t (XDR *xdrs, wire_expire_t *objp)
 {
 	register int32_t *buf;
 
@@ -765,7 +765,7 @@
 }
 
 bool_t
-xdr_aw_ledger_kind_t (XDR *xdrs, aw_ledger_kind_t *objp)
+xdr_wire_ledger_kind_t (XDR *xdrs, wire_ledger_kind_t *objp)
 {
 	register int32_t *buf;
 
@@ -775,55 +775,55 @@
 }
 
 bool_t
-xdr_aw_ledger_cmd_t (XDR *xdrs, aw_ledger_cmd_t *objp)
+xdr_wire_ledger_cmd_t (XDR *xdrs, wire_ledger_cmd_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_ledger_kind_t (xdrs, &objp->kind))
+	 if (!xdr_wire_ledger_kind_t (xdrs, &objp->kind))
 		 return FALSE;
 	switch (objp->kind) {
-	case AW_LEDGER_ACCEPT:
-		 if (!xdr_aw_accept_t (xdrs, &objp->aw_ledger_cmd_t_u.accept))
+	case WIRE_LEDGER_ACCEPT:
+		 if (!xdr_wire_accept_t (xdrs, &objp->wire_ledger_cmd_t_u.accept))
 			 return FALSE;
 		break;
-	case AW_LEDGER_ATTEMPT:
-		 if (!xdr_aw_attempt_t (xdrs, &objp->aw_ledger_cmd_t_u.attempt))
+	case WIRE_LEDGER_ATTEMPT:
+		 if (!xdr_wire_attempt_t (xdrs, &objp->wire_ledger_cmd_t_u.attempt))
 			 return FALSE;
 		break;
-	case AW_LEDGER_FINISH:
-		 if (!xdr_aw_finish_t (xdrs, &objp->aw_ledger_cmd_t_u.finish))
+	case WIRE_LEDGER_FINISH:
+		 if (!xdr_wire_finish_t (xdrs, &objp->wire_ledger_cmd_t_u.finish))
 			 return FALSE;
 		break;
-	case AW_LEDGER_JOB_OPEN:
-		 if (!xdr_aw_job_open_t (xdrs, &objp->aw_ledger_cmd_t_u.open))
+	case WIRE_LEDGER_JOB_OPEN:
+		 if (!xdr_wire_job_open_t (xdrs, &objp->wire_ledger_cmd_t_u.open))
 			 return FALSE;
 		break;
-	case AW_LEDGER_JOB_ITEMS:
-		 if (!xdr_aw_job_items_t (xdrs, &objp->aw_ledger_cmd_t_u.items))
+	case WIRE_LEDGER_JOB_ITEMS:
+		 if (!xdr_wire_job_items_t (xdrs, &objp->wire_ledger_cmd_t_u.items))
 			 return FALSE;
 		break;
-	case AW_LEDGER_JOB_SEAL:
-		 if (!xdr_aw_job_ref_t (xdrs, &objp->aw_ledger_cmd_t_u.seal))
+	case WIRE_LEDGER_JOB_SEAL:
+		 if (!xdr_wire_job_ref_t (xdrs, &objp->wire_ledger_cmd_t_u.seal))
 			 return FALSE;
 		break;
-	case AW_LEDGER_JOB_CANCEL:
-		 if (!xdr_aw_job_ref_t (xdrs, &objp->aw_ledger_cmd_t_u.cancel))
+	case WIRE_LEDGER_JOB_CANCEL:
+		 if (!xdr_wire_job_ref_t (xdrs, &objp->wire_ledger_cmd_t_u.cancel))
 			 return FALSE;
 		break;
-	case AW_LEDGER_LEASE:
-		 if (!xdr_aw_lease_t (xdrs, &objp->aw_ledger_cmd_t_u.lease))
+	case WIRE_LEDGER_LEASE:
+		 if (!xdr_wire_lease_t (xdrs, &objp->wire_ledger_cmd_t_u.lease))
 			 return FALSE;
 		break;
-	case AW_LEDGER_DONE:
-		 if (!xdr_aw_done_t (xdrs, &objp->aw_ledger_cmd_t_u.done))
+	case WIRE_LEDGER_DONE:
+		 if (!xdr_wire_done_t (xdrs, &objp->wire_ledger_cmd_t_u.done))
 			 return FALSE;
 		break;
-	case AW_LEDGER_SESSIONS_LOST:
-		 if (!xdr_aw_sessions_lost_t (xdrs, &objp->aw_ledger_cmd_t_u.lost))
+	case WIRE_LEDGER_SESSIONS_LOST:
+		 if (!xdr_wire_sessions_lost_t (xdrs, &objp->wire_ledger_cmd_t_u.lost))
 			 return FALSE;
 		break;
-	case AW_LEDGER_EXPIRE:
-		 if (!xdr_aw_expire_t (xdrs, &objp->aw_ledger_cmd_t_u.expire))
+	case WIRE_LEDGER_EXPIRE:
+		 if (!xdr_wire_expire_t (xdrs, &objp->wire_ledger_cmd_t_u.expire))
 			 return FALSE;
 		break;
 	default:
@@ -833,13 +833,13 @@
 }
 
 bool_t
-xdr_aw_record_t (XDR *xdrs, aw_record_t *objp)
+xdr_wire_record_t (XDR *xdrs, wire_record_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_bool (xdrs, &objp->fresh))
 		 return FALSE;
-	 if (!xdr_aw_state_t (xdrs, &objp->state))
+	 if (!xdr_wire_state_t (xdrs, &objp->state))
 		 return FALSE;
 	 if (!xdr_int (xdrs, &objp->verdict))
 		 return FALSE;
@@ -847,25 +847,25 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->session))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->result))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->result))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_job_t (XDR *xdrs, aw_job_t *objp)
+xdr_wire_job_t (XDR *xdrs, wire_job_t *objp)
 {
 	register int32_t *buf;
 
 
 	if (xdrs->x_op == XDR_ENCODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->digest))
 			 return FALSE;
@@ -905,11 +905,11 @@
 		}
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 			 return FALSE;
-		 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->digest))
 			 return FALSE;
@@ -950,11 +950,11 @@
 	 return TRUE;
 	}
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->service))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->service))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->digest))
 		 return FALSE;
@@ -984,31 +984,31 @@
 }
 
 bool_t
-xdr_aw_ledger_res_t (XDR *xdrs, aw_ledger_res_t *objp)
+xdr_wire_ledger_res_t (XDR *xdrs, wire_ledger_res_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_int (xdrs, &objp->status))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->message))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->message))
 		 return FALSE;
-	 if (!xdr_aw_record_t (xdrs, &objp->record))
+	 if (!xdr_wire_record_t (xdrs, &objp->record))
 		 return FALSE;
-	 if (!xdr_aw_job_t (xdrs, &objp->job))
+	 if (!xdr_wire_job_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->items.items_val, (u_int *) &objp->items.items_len, ~0,
-		sizeof (aw_item_t), (xdrproc_t) xdr_aw_item_t))
+		sizeof (wire_item_t), (xdrproc_t) xdr_wire_item_t))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->count))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->cancelled.cancelled_val, (u_int *) &objp->cancelled.cancelled_len, ~0,
-		sizeof (aw_job_ref_t), (xdrproc_t) xdr_aw_job_ref_t))
+		sizeof (wire_job_ref_t), (xdrproc_t) xdr_wire_job_ref_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_query_kind_t (XDR *xdrs, aw_query_kind_t *objp)
+xdr_wire_query_kind_t (XDR *xdrs, wire_query_kind_t *objp)
 {
 	register int32_t *buf;
 
@@ -1018,25 +1018,25 @@
 }
 
 bool_t
-xdr_aw_request_ref_t (XDR *xdrs, aw_request_ref_t *objp)
+xdr_wire_request_ref_t (XDR *xdrs, wire_request_ref_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->key))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->key))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_results_ref_t (XDR *xdrs, aw_results_ref_t *objp)
+xdr_wire_results_ref_t (XDR *xdrs, wire_results_ref_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->job))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->job))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->first))
 		 return FALSE;
@@ -1046,13 +1046,13 @@
 }
 
 bool_t
-xdr_aw_jobs_ref_t (XDR *xdrs, aw_jobs_ref_t *objp)
+xdr_wire_jobs_ref_t (XDR *xdrs, wire_jobs_ref_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->caller))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->caller))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->after))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->after))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->max))
 		 return FALSE;
@@ -1060,35 +1060,35 @@
 }
 
 bool_t
-xdr_aw_query_t (XDR *xdrs, aw_query_t *objp)
+xdr_wire_query_t (XDR *xdrs, wire_query_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_query_kind_t (xdrs, &objp->kind))
+	 if (!xdr_wire_query_kind_t (xdrs, &objp->kind))
 		 return FALSE;
 	switch (objp->kind) {
-	case AW_QUERY_CONF:
-		 if (!xdr_u_quad_t (xdrs, &objp->aw_query_t_u.number))
+	case WIRE_QUERY_CONFIG:
+		 if (!xdr_u_quad_t (xdrs, &objp->wire_query_t_u.number))
 			 return FALSE;
 		break;
-	case AW_QUERY_VIEW:
-		 if (!xdr_u_quad_t (xdrs, &objp->aw_query_t_u.known_version))
+	case WIRE_QUERY_VIEW:
+		 if (!xdr_u_quad_t (xdrs, &objp->wire_query_t_u.known_version))
 			 return FALSE;
 		break;
-	case AW_QUERY_REQUEST:
-		 if (!xdr_aw_request_ref_t (xdrs, &objp->aw_query_t_u.request))
+	case WIRE_QUERY_REQUEST:
+		 if (!xdr_wire_request_ref_t (xdrs, &objp->wire_query_t_u.request))
 			 return FALSE;
 		break;
-	case AW_QUERY_JOB:
-		 if (!xdr_aw_job_ref_t (xdrs, &objp->aw_query_t_u.job))
+	case WIRE_QUERY_JOB:
+		 if (!xdr_wire_job_ref_t (xdrs, &objp->wire_query_t_u.job))
 			 return FALSE;
 		break;
-	case AW_QUERY_JOBS:
-		 if (!xdr_aw_jobs_ref_t (xdrs, &objp->aw_query_t_u.jobs))
+	case WIRE_QUERY_JOBS:
+		 if (!xdr_wire_jobs_ref_t (xdrs, &objp->wire_query_t_u.jobs))
 			 return FALSE;
 		break;
-	case AW_QUERY_RESULTS:
-		 if (!xdr_aw_results_ref_t (xdrs, &objp->aw_query_t_u.results))
+	case WIRE_QUERY_RESULTS:
+		 if (!xdr_wire_results_ref_t (xdrs, &objp->wire_query_t_u.results))
 			 return FALSE;
 		break;
 	default:
@@ -1098,47 +1098,47 @@
 }
 
 bool_t
-xdr_aw_item_state_t (XDR *xdrs, aw_item_state_t *objp)
+xdr_wire_item_state_t (XDR *xdrs, wire_item_state_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_int (xdrs, &objp->index))
 		 return FALSE;
-	 if (!xdr_aw_state_t (xdrs, &objp->state))
+	 if (!xdr_wire_state_t (xdrs, &objp->state))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->attempts))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->body))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->body))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_query_res_t (XDR *xdrs, aw_query_res_t *objp)
+xdr_wire_query_res_t (XDR *xdrs, wire_query_res_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_int (xdrs, &objp->status))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->message))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->message))
 		 return FALSE;
-	 if (!xdr_aw_conf_t (xdrs, &objp->conf))
+	 if (!xdr_wire_config_t (xdrs, &objp->conf))
 		 return FALSE;
-	 if (!xdr_aw_view_t (xdrs, &objp->view))
+	 if (!xdr_wire_view_t (xdrs, &objp->view))
 		 return FALSE;
-	 if (!xdr_aw_record_t (xdrs, &objp->record))
+	 if (!xdr_wire_record_t (xdrs, &objp->record))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->jobs.jobs_val, (u_int *) &objp->jobs.jobs_len, ~0,
-		sizeof (aw_job_t), (xdrproc_t) xdr_aw_job_t))
+		sizeof (wire_job_t), (xdrproc_t) xdr_wire_job_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->items.items_val, (u_int *) &objp->items.items_len, ~0,
-		sizeof (aw_item_state_t), (xdrproc_t) xdr_aw_item_state_t))
+		sizeof (wire_item_state_t), (xdrproc_t) xdr_wire_item_state_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_exec_arg_t (XDR *xdrs, aw_exec_arg_t *objp)
+xdr_wire_exec_arg_t (XDR *xdrs, wire_exec_arg_t *objp)
 {
 	register int32_t *buf;
 
@@ -1158,7 +1158,7 @@
 		IXDR_PUT_U_LONG(buf, objp->wait_ms);
 		IXDR_PUT_BOOL(buf, objp->forward);
 		}
-		 if (!xdr_aw_bytes_t (xdrs, &objp->payload))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->payload))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
@@ -1176,7 +1176,7 @@
 		objp->wait_ms = IXDR_GET_U_LONG(buf);
 		objp->forward = IXDR_GET_BOOL(buf);
 		}
-		 if (!xdr_aw_bytes_t (xdrs, &objp->payload))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->payload))
 			 return FALSE;
 	 return TRUE;
 	}
@@ -1187,33 +1187,33 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->forward))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->payload))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->payload))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_exec_res_t (XDR *xdrs, aw_exec_res_t *objp)
+xdr_wire_exec_res_t (XDR *xdrs, wire_exec_res_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_int (xdrs, &objp->status))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->message))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->message))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->leader))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->leader))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->payload))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->payload))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_beat_arg_t (XDR *xdrs, aw_beat_arg_t *objp)
+xdr_wire_heartbeat_arg_t (XDR *xdrs, wire_heartbeat_arg_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_member_t (xdrs, &objp->member))
+	 if (!xdr_wire_member_t (xdrs, &objp->member))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->conf_number))
 		 return FALSE;
@@ -1225,13 +1225,13 @@
 }
 
 bool_t
-xdr_aw_beat_res_t (XDR *xdrs, aw_beat_res_t *objp)
+xdr_wire_heartbeat_res_t (XDR *xdrs, wire_heartbeat_res_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_int (xdrs, &objp->status))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->leader))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->leader))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->session))
 		 return FALSE;
@@ -1245,46 +1245,46 @@
 }
 
 bool_t
-xdr_aw_raft_msg_t (XDR *xdrs, aw_raft_msg_t *objp)
+xdr_wire_raft_msg_t (XDR *xdrs, wire_raft_msg_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_int (xdrs, &objp->group))
 		 return FALSE;
-	 if (!xdr_aw_bytes_t (xdrs, &objp->payload))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->payload))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_raft_arg_t (XDR *xdrs, aw_raft_arg_t *objp)
+xdr_wire_raft_arg_t (XDR *xdrs, wire_raft_arg_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->from))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->from))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->msgs.msgs_val, (u_int *) &objp->msgs.msgs_len, ~0,
-		sizeof (aw_raft_msg_t), (xdrproc_t) xdr_aw_raft_msg_t))
+		sizeof (wire_raft_msg_t), (xdrproc_t) xdr_wire_raft_msg_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_text_t (XDR *xdrs, aw_text_t *objp)
+xdr_wire_text_t (XDR *xdrs, wire_text_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->text))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->text))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_aw_events_arg_t (XDR *xdrs, aw_events_arg_t *objp)
+xdr_wire_events_arg_t (XDR *xdrs, wire_events_arg_t *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->needle))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->needle))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->max))
 		 return FALSE;
@@ -1292,13 +1292,13 @@
 }
 
 bool_t
-xdr_aw_load_t (XDR *xdrs, aw_load_t *objp)
+xdr_wire_load_t (XDR *xdrs, wire_load_t *objp)
 {
 	register int32_t *buf;
 
 
 	if (xdrs->x_op == XDR_ENCODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->id))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->id))
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->fence))
 			 return FALSE;
@@ -1327,7 +1327,7 @@
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
-		 if (!xdr_aw_bytes_t (xdrs, &objp->id))
+		 if (!xdr_wire_bytes_t (xdrs, &objp->id))
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->fence))
 			 return FALSE;
@@ -1357,7 +1357,7 @@
 	 return TRUE;
 	}
 
-	 if (!xdr_aw_bytes_t (xdrs, &objp->id))
+	 if (!xdr_wire_bytes_t (xdrs, &objp->id))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->fence))
 		 return FALSE;
@@ -1378,14 +1378,14 @@
 }
 
 bool_t
-xdr_aw_load_arg_t (XDR *xdrs, aw_load_arg_t *objp)
+xdr_wire_load_arg_t (XDR *xdrs, wire_load_arg_t *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->session))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->loads.loads_val, (u_int *) &objp->loads.loads_len, ~0,
-		sizeof (aw_load_t), (xdrproc_t) xdr_aw_load_t))
+		sizeof (wire_load_t), (xdrproc_t) xdr_wire_load_t))
 		 return FALSE;
 	return TRUE;
 }
--- a/src/raft/gr.h
+++ b/src/raft/group.h
@@ -3,15 +3,15 @@
  * machine that the caller supplies. Blocking calls are for traffic threads; callbacks run on the
  * group's own thread, one at a time.
  */
-#ifndef AUBURN_GR_H
-#define AUBURN_GR_H
+#ifndef AUBURN_GROUP_H
+#define AUBURN_GROUP_H
 
 #include <stdint.h>
-#include "base/clk.h"
+#include "base/clock.h"
 #include "base/status.h"
 #include "base/str.h"
 
-typedef struct gr gr_t;
+typedef struct gr group_t;
 
 /** A replica as the group's log names it. */
 typedef struct {
@@ -19,9 +19,9 @@
 	char addr[64]; /* ip:port of its control process */
 	char zone[32];
 	bool voter; /* else a learner */
-} gr_peer_t;
+} group_peer_t;
 
-#define GR_PEERS_MAX 9
+#define GROUP_PEERS_MAX 9
 
 typedef struct {
 	unsigned group;
@@ -50,35 +50,36 @@
 	void (*send)(void *ctx, const char *addr, unsigned group, str_t msg);
 	/** Called on the group's thread after a change of role. */
 	void (*role)(void *ctx, bool leader, uint64_t term);
-} gr_options_t;
+} group_options_t;
 
-/** Opens the folder, replays it and starts the group's thread. ST_CORRUPT names file and offset:
- * the replica must not go on under its old id; rename the folder away and join as a learner.
+/** Opens the folder, replays it and starts the group's thread. STATUS_CORRUPT names file and
+ * offset: the replica must not go on under its old id; rename the folder away and join as a
+ * learner.
  *
  *  The first voters' ids follow from their addresses, so a seed that has lost its folder must not
  * be opened with `bootstrap` again: it could vote twice. The caller first asks the other seeds; as
  *  soon as one of them answers with a term above 0, the group exists and `bootstrap` must be false.
  */
-status_t gr_open(const gr_options_t *o, gr_t **out);
+status_t group_open(const group_options_t *o, group_t **out);
 /** True when dir holds a replica already; `bootstrap` has no effect on it then. */
-bool gr_exists(const char *dir);
+bool group_exists(const char *dir);
 /** Id of the first voter at a seed's address. */
-uint64_t gr_seed_id(unsigned group, const char *addr);
-void gr_close(gr_t *g);
+uint64_t group_seed_id(unsigned group, const char *addr);
+void group_close(group_t *g);
 
 /** Hands in a message that another replica's send callback was given. */
-void gr_receive(gr_t *g, str_t msg);
+void group_receive(group_t *g, str_t msg);
 
-/** Commits and applies cmd. ST_NOT_LEADER: surely not done. ST_TIMEOUT: may be done, now or later.
- *  ST_IO: own disk failed. */
-status_t gr_propose(gr_t *g, str_t cmd, deadline_t deadline, buf_t *result);
+/** Commits and applies cmd. STATUS_NOT_LEADER: surely not done. STATUS_TIMEOUT: may be done, now or
+ * later. STATUS_IO: own disk failed. */
+status_t group_propose(group_t *g, str_t cmd, deadline_t deadline, buf_t *result);
 
-/** Returns ST_OK once this replica is known to lead still and has applied all that was committed
- *  when the call began. Concurrent calls share one round. */
-status_t gr_barrier(gr_t *g, deadline_t deadline);
+/** Returns STATUS_OK once this replica is known to lead still and has applied all that was
+ * committed when the call began. Concurrent calls share one round. */
+status_t group_read_barrier(group_t *g, deadline_t deadline);
 
 /** Runs fn on the group's thread, between two applies. */
-void gr_with_state(gr_t *g, void (*fn)(void *ctx, void *arg), void *arg);
+void group_with_state(group_t *g, void (*fn)(void *ctx, void *arg), void *arg);
 
 typedef struct {
 	uint64_t self;
@@ -90,27 +91,27 @@
 	uint64_t snapshot_index;
 	bool leader;
 	char leader_addr[64]; /* empty when unknown */
-	deadline_t led_since; /* when this replica began to lead; 0 if it doesn't */
+	deadline_t leader_since; /* when this replica began to lead; 0 if it doesn't */
 	unsigned npeers;
-	gr_peer_t peers[GR_PEERS_MAX];
-	uint64_t match[GR_PEERS_MAX]; /* leader only: synced index of each peer */
-	deadline_t heard[GR_PEERS_MAX]; /* leader only: when each peer last answered */
+	group_peer_t peers[GROUP_PEERS_MAX];
+	uint64_t match[GROUP_PEERS_MAX]; /* leader only: synced index of each peer */
+	deadline_t last_answer[GROUP_PEERS_MAX]; /* leader only: when each peer last answered */
 	uint64_t syncs;
 	uint64_t sync_us;
 	uint64_t commands;
-} gr_status_t;
+} group_status_t;
 
-void gr_status(gr_t *g, gr_status_t *out);
+void group_get_status(group_t *g, group_status_t *out);
 
 /** Membership, one change at a time; leader only. Each returns once the change is committed.
- *  ST_LIMIT: another change is under way, or no majority of the voters that it leaves has answered
- *  lately; gr_promote also refuses so until the learner has synced everything committed.
- *  gr_add_learner with the id of a member renews its address and availability zone, which the
+ *  STATUS_LIMIT: another change is under way, or no majority of the voters that it leaves has
+ * answered lately; group_promote also refuses so until the learner has synced everything committed.
+ *  group_add_learner with the id of a member renews its address and availability zone, which the
  *  first voters' entries lack, and leaves its vote as it is. */
-status_t gr_add_learner(gr_t *g, const gr_peer_t *peer, deadline_t deadline);
-status_t gr_promote(gr_t *g, uint64_t id, deadline_t deadline);
-status_t gr_remove(gr_t *g, uint64_t id, deadline_t deadline);
+status_t group_add_learner(group_t *g, const group_peer_t *peer, deadline_t deadline);
+status_t group_promote(group_t *g, uint64_t id, deadline_t deadline);
+status_t group_remove(group_t *g, uint64_t id, deadline_t deadline);
 /** Hands leadership to the most advanced voter, for a planned stop. */
-status_t gr_step_down(gr_t *g, deadline_t deadline);
+status_t group_step_down(group_t *g, deadline_t deadline);
 
 #endif
--- a/src/raft/gr_calls.c
+++ b/src/raft/group_calls.c
@@ -1,5 +1,5 @@
 /* Calls by other threads: each queues an item and waits for the group's thread to finish it. */
-#include "raft/gr_int.h"
+#include "raft/group_internal.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <time.h>
 
-void gr_list_add(gr_list_t *l, gr_item_t *it)
+void group_queue_push(group_queue_t *l, group_input_t *it)
 {
 	it->next = NULL;
 	if (l->last)
@@ -17,9 +17,9 @@
 	l->last = it;
 }
 
-gr_item_t *gr_list_take(gr_list_t *l)
+group_input_t *group_queue_pop(group_queue_t *l)
 {
-	gr_item_t *it = l->first;
+	group_input_t *it = l->first;
 
 	if (!it)
 		return NULL;
@@ -30,9 +30,9 @@
 	return it;
 }
 
-static gr_item_t *new_item(gr_kind_t kind, unsigned refs)
+static group_input_t *new_item(group_input_kind_t kind, unsigned refs)
 {
-	gr_item_t *it = mem_new(sizeof(*it));
+	group_input_t *it = mem_new(sizeof(*it));
 	pthread_condattr_t attr;
 
 	it->kind = kind;
@@ -45,7 +45,7 @@
 }
 
 /* With the lock held. */
-static void unref_locked(gr_item_t *it)
+static void unref_locked(group_input_t *it)
 {
 	if (--it->refs > 0)
 		return;
@@ -54,26 +54,26 @@
 	free(it);
 }
 
-void gr_item_unref(gr_t *g, gr_item_t *it)
+void group_input_unref(group_t *g, group_input_t *it)
 {
 	pthread_mutex_lock(&g->lock);
 	unref_locked(it);
 	pthread_mutex_unlock(&g->lock);
 }
 
-void gr_item_finish(gr_t *g, gr_item_t *it, status_t st)
+void group_input_finish(group_t *g, group_input_t *it, status_t st)
 {
 	pthread_mutex_lock(&g->lock);
 	it->done = true;
 	it->st = st;
-	if (st != ST_OK)
-		snprintf(it->message, sizeof(it->message), "%s", st_message());
+	if (st != STATUS_OK)
+		snprintf(it->message, sizeof(it->message), "%s", status_message());
 	pthread_cond_signal(&it->cond);
 	unref_locked(it);
 	pthread_mutex_unlock(&g->lock);
 }
 
-void gr_wait(gr_t *g, pthread_cond_t *cond, int64_t ms)
+void group_cond_wait(group_t *g, pthread_cond_t *cond, int64_t ms)
 {
 	struct timespec ts;
 
@@ -89,39 +89,39 @@
 
 #define WAIT_MAX_MS 1000 /* a wait is cut into such, since its clock doesn't count suspend */
 
-static void wait_done(gr_t *g, gr_item_t *it, deadline_t deadline)
+static void wait_done(group_t *g, group_input_t *it, deadline_t deadline)
 {
 	while (!it->done) {
-		int64_t left = clk_left_ms(deadline);
+		int64_t left = clock_left_ms(deadline);
 
 		if (left == 0)
 			return;
-		gr_wait(g, &it->cond, left < WAIT_MAX_MS ? left : WAIT_MAX_MS);
+		group_cond_wait(g, &it->cond, left < WAIT_MAX_MS ? left : WAIT_MAX_MS);
 	}
 }
 
 /* Queues an item, waits for it and lets go of it. */
-static status_t run_item(gr_t *g, gr_item_t *it, deadline_t deadline, buf_t *result)
+static status_t run_item(group_t *g, group_input_t *it, deadline_t deadline, buf_t *result)
 {
-	status_t st = ST_TIMEOUT;
+	status_t st = STATUS_TIMEOUT;
 
 	pthread_mutex_lock(&g->lock);
 	if (g->stop) {
 		it->refs = 1;
 		unref_locked(it);
 		pthread_mutex_unlock(&g->lock);
-		return st_fail(ST_NOT_LEADER, "the group is closed");
+		return status_fail(STATUS_NOT_LEADER, "the group is closed");
 	}
 	g->callers++;
-	gr_list_add(&g->inbox, it);
+	group_queue_push(&g->inbox, it);
 	pthread_cond_signal(&g->wake);
 	wait_done(g, it, deadline);
 	if (it->done)
 		st = it->st;
-	if (st == ST_OK && result)
+	if (st == STATUS_OK && result)
 		buf_add(result, str_buf(&it->data));
-	if (st != ST_OK)
-		st_fail(st, "%s", it->done ? it->message : "no answer before the deadline");
+	if (st != STATUS_OK)
+		status_fail(st, "%s", it->done ? it->message : "no answer before the deadline");
 	unref_locked(it);
 	if (--g->callers == 0)
 		pthread_cond_signal(&g->idle);
@@ -129,73 +129,73 @@
 	return st;
 }
 
-status_t gr_propose(gr_t *g, str_t cmd, deadline_t deadline, buf_t *result)
+status_t group_propose(group_t *g, str_t cmd, deadline_t deadline, buf_t *result)
 {
-	gr_item_t *it = new_item(GR_PROPOSE, 2);
+	group_input_t *it = new_item(GROUP_PROPOSE, 2);
 
 	buf_add(&it->data, cmd);
 	return run_item(g, it, deadline, result);
 }
 
-status_t gr_barrier(gr_t *g, deadline_t deadline)
+status_t group_read_barrier(group_t *g, deadline_t deadline)
 {
-	return run_item(g, new_item(GR_BARRIER, 2), deadline, NULL);
+	return run_item(g, new_item(GROUP_READ_BARRIER, 2), deadline, NULL);
 }
 
-void gr_with_state(gr_t *g, void (*fn)(void *ctx, void *arg), void *arg)
+void group_with_state(group_t *g, void (*fn)(void *ctx, void *arg), void *arg)
 {
-	gr_item_t *it = new_item(GR_WITH_STATE, 2);
+	group_input_t *it = new_item(GROUP_WITH_STATE, 2);
 
 	it->fn = fn;
 	it->arg = arg;
 	run_item(g, it, DEADLINE_NEVER, NULL);
 }
 
-status_t gr_add_learner(gr_t *g, const gr_peer_t *peer, deadline_t deadline)
+status_t group_add_learner(group_t *g, const group_peer_t *peer, deadline_t deadline)
 {
-	gr_item_t *it = new_item(GR_ADD_LEARNER, 2);
+	group_input_t *it = new_item(GROUP_ADD_LEARNER, 2);
 
 	it->peer = *peer;
 	return run_item(g, it, deadline, NULL);
 }
 
-status_t gr_promote(gr_t *g, uint64_t id, deadline_t deadline)
+status_t group_promote(group_t *g, uint64_t id, deadline_t deadline)
 {
-	gr_item_t *it = new_item(GR_PROMOTE, 2);
+	group_input_t *it = new_item(GROUP_PROMOTE, 2);
 
 	it->peer.id = id;
 	return run_item(g, it, deadline, NULL);
 }
 
-status_t gr_remove(gr_t *g, uint64_t id, deadline_t deadline)
+status_t group_remove(group_t *g, uint64_t id, deadline_t deadline)
 {
-	gr_item_t *it = new_item(GR_REMOVE, 2);
+	group_input_t *it = new_item(GROUP_REMOVE, 2);
 
 	it->peer.id = id;
 	return run_item(g, it, deadline, NULL);
 }
 
-status_t gr_step_down(gr_t *g, deadline_t deadline)
+status_t group_step_down(group_t *g, deadline_t deadline)
 {
-	return run_item(g, new_item(GR_STEP_DOWN, 2), deadline, NULL);
+	return run_item(g, new_item(GROUP_STEP_DOWN, 2), deadline, NULL);
 }
 
-void gr_receive(gr_t *g, str_t msg)
+void group_receive(group_t *g, str_t msg)
 {
-	gr_item_t *it = new_item(GR_MESSAGE, 1);
+	group_input_t *it = new_item(GROUP_MESSAGE, 1);
 
 	buf_add(&it->data, msg);
 	pthread_mutex_lock(&g->lock);
 	if (g->stop) {
 		unref_locked(it);
 	} else {
-		gr_list_add(&g->inbox, it);
+		group_queue_push(&g->inbox, it);
 		pthread_cond_signal(&g->wake);
 	}
 	pthread_mutex_unlock(&g->lock);
 }
 
-void gr_status(gr_t *g, gr_status_t *out)
+void group_get_status(group_t *g, group_status_t *out)
 {
 	pthread_mutex_lock(&g->lock);
 	*out = g->status;
--- a/src/raft/gr_disk.c
+++ b/src/raft/group_disk.c
@@ -1,19 +1,20 @@
 /* The threads that wait for the disk: one syncs the log, a short-lived one writes a snapshot. */
-#include "raft/gr_int.h"
+#include "raft/group_internal.h"
 
 #include <assert.h>
-#include "base/lg.h"
+#include "base/log.h"
 
-void gr_disk_mark_failed(gr_t *g)
+void group_disk_set_failed(group_t *g)
 {
-	lg(LG_ERROR, "disk_failed", LG_I("group", g->o.group), LG_C("what", st_message()));
+	log_event(LOG_LEVEL_ERROR, "disk_failed", LOG_INT("group", g->o.group),
+		  LOG_CSTR("what", status_message()));
 	pthread_mutex_lock(&g->lock);
 	g->disk_failed = true;
 	pthread_cond_signal(&g->wake);
 	pthread_mutex_unlock(&g->lock);
 }
 
-void gr_disk_poke(gr_t *g)
+void group_disk_wake(group_t *g)
 {
 	pthread_mutex_lock(&g->lock);
 	pthread_cond_signal(&g->disk_wake);
@@ -21,28 +22,28 @@
 }
 
 /* Waits until something is queued; false: the group closes and nothing is. */
-static bool wait_queued(gr_t *g)
+static bool wait_queued(group_t *g)
 {
 	bool has;
 
-	if (!rs_has_queued(g->rs))
-		rs_idle(g->rs);
+	if (!store_has_queued(g->rs))
+		store_write_sync_mark(g->rs);
 	pthread_mutex_lock(&g->lock);
-	while (!(has = rs_has_queued(g->rs)) && !g->disk_stop)
+	while (!(has = store_has_queued(g->rs)) && !g->disk_stop)
 		pthread_cond_wait(&g->disk_wake, &g->lock);
 	pthread_mutex_unlock(&g->lock);
 	return has;
 }
 
-void *gr_disk_loop(void *arg)
+void *group_disk_thread_main(void *arg)
 {
-	gr_t *g = arg;
+	group_t *g = arg;
 
 	while (wait_queued(g)) {
 		uint64_t seq = 0;
 
-		if (rs_sync(g->rs, &seq) != ST_OK) {
-			gr_disk_mark_failed(g);
+		if (store_sync(g->rs, &seq) != STATUS_OK) {
+			group_disk_set_failed(g);
 			return NULL;
 		}
 		pthread_mutex_lock(&g->lock);
@@ -55,12 +56,12 @@
 
 static void *save_snapshot(void *arg)
 {
-	gr_t *g = arg;
-	status_t st = rs_snap_save(g->rs, g->snap_index, g->snap_term, str_buf(&g->snap_conf),
-				   str_buf(&g->snap_state));
+	group_t *g = arg;
+	status_t st = store_save_snapshot(g->rs, g->snap_index, g->snap_term,
+					  str_buf(&g->snap_conf), str_buf(&g->snap_state));
 
-	if (st != ST_OK)
-		gr_disk_mark_failed(g);
+	if (st != STATUS_OK)
+		group_disk_set_failed(g);
 	pthread_mutex_lock(&g->lock);
 	g->snap_saved = true;
 	pthread_cond_signal(&g->wake);
@@ -69,16 +70,16 @@
 }
 
 /* Takes the state as of what is applied and has it written. */
-void gr_snap_begin(gr_t *g)
+void group_snapshot_begin(group_t *g)
 {
-	rf_conf_t conf;
+	raft_members_t conf;
 
 	assert(!g->snap_running);
-	g->snap_index = rf_applied(g->rf);
-	g->snap_term = rf_term_at(g->rf, g->snap_index);
-	rf_conf_at(g->rf, g->snap_index, &conf);
+	g->snap_index = raft_applied_index(g->rf);
+	g->snap_term = raft_term_at(g->rf, g->snap_index);
+	raft_members_at(g->rf, g->snap_index, &conf);
 	g->snap_conf.n = 0;
-	rf_conf_encode(&conf, &g->snap_conf);
+	raft_members_encode(&conf, &g->snap_conf);
 	g->snap_state.n = 0;
 	g->o.snapshot(g->o.ctx, &g->snap_state);
 	g->applied_bytes = 0;
@@ -88,13 +89,13 @@
 }
 
 /* Joins the thread that has ended, and drops the entries that are no longer needed. */
-void gr_snap_end(gr_t *g)
+void group_snapshot_end(group_t *g)
 {
-	gr_snap_join(g);
-	rf_compact(g->rf, rs_snap_oldest(g->rs));
+	group_snapshot_join(g);
+	raft_compact(g->rf, store_oldest_snapshot(g->rs));
 }
 
-void gr_snap_join(gr_t *g)
+void group_snapshot_join(group_t *g)
 {
 	if (!g->snap_running)
 		return;
--- /dev/null
+++ b/src/raft/raft.c
@@ -0,0 +1,342 @@
+/* Set-up, dispatch of inputs, terms, and messages that wait for the disk. */
+#include "raft/raft_internal.h"
+
+#include <assert.h>
+#include <stdlib.h>
+#include <string.h>
+#include "base/prng.h"
+
+void raft_reset_election_timeout(raft_t *r)
+{
+	r->elapsed = 0;
+	r->timeout = r->election_ticks + (unsigned)(prng_next(&r->random) % r->election_ticks);
+}
+
+/* A snapshot may have been synced before the term that it came in. No vote of that term can have
+ * left then, since votes wait for their sync. */
+static void raise_term(raft_t *r)
+{
+	uint64_t last_term = raft_term_at(r, raft_last_index(r));
+
+	if (last_term <= r->term)
+		return;
+	r->term = last_term;
+	r->vote = 0;
+}
+
+static bool is_sole_voter(const raft_t *r)
+{
+	for (unsigned i = 0; i < r->conf.n; i++) {
+		if (r->conf.peers[i].voter && r->conf.peers[i].id != r->self)
+			return false;
+	}
+	return raft_members_find(&r->conf, r->self) >= 0;
+}
+
+/* A member that has just started knows of no leader. If there is one, the others reject its
+ * pre-vote; if all have started anew, nobody need wait out a whole timeout. */
+static void start_early(raft_t *r)
+{
+	unsigned wait = 1 + (unsigned)(prng_next(&r->random) % (r->election_ticks / 2 + 1));
+
+	r->elapsed = r->timeout > wait ? r->timeout - wait : 0;
+}
+
+raft_t *raft_new(const raft_options_t *o)
+{
+	raft_t *r = mem_new(sizeof(*r));
+
+	assert(o->self != 0 && o->election_ticks > o->heartbeat_ticks);
+	r->cb = o->cb;
+	r->self = o->self;
+	r->election_ticks = o->election_ticks;
+	r->heartbeat_ticks = o->heartbeat_ticks;
+	r->random = o->random_seed ? o->random_seed : o->self;
+	r->term = o->term;
+	r->vote = o->vote;
+	r->base = r->commit = r->applied = o->base;
+	r->base_term = o->base_term;
+	r->base_conf = r->conf = o->base_members;
+	r->conf_index = o->base;
+	for (size_t i = 0; i < o->nentries; i++) {
+		raft_entry_t e = o->entries[i];
+
+		e.data.data_val = str_dup((str_t){e.data.data_val, e.data.data_len});
+		raft_log_append(r, e);
+		r->seqs[i] = 0;
+	}
+	r->persisted = r->synced = raft_last_index(r);
+	r->verified = r->commit;
+	raise_term(r);
+	raft_reset_election_timeout(r);
+	if (is_sole_voter(r))
+		r->elapsed = r->timeout - 1; /* there is nobody to wait for */
+	else if (r->term > 0)
+		start_early(r);
+	return r;
+}
+
+void raft_free(raft_t *r)
+{
+	if (!r)
+		return;
+	for (size_t i = 0; i < r->nlog; i++)
+		free(r->log[i].data.data_val);
+	free(r->log);
+	free(r->seqs);
+	free(r->held);
+	free(r->reads);
+	free(r);
+}
+
+void raft_set_hard_state(raft_t *r, uint64_t term, uint64_t vote)
+{
+	assert(term >= r->term);
+	assert(term > r->term || r->vote == 0 || r->vote == vote); /* one vote a term */
+	if (term == r->term && vote == r->vote)
+		return;
+	if (term > r->term)
+		r->term_leader = 0;
+	r->term = term;
+	r->vote = vote;
+	r->hard_seq = ++r->next_seq;
+	r->cb.persist_hard_state(r->cb.ctx, r->hard_seq, term, vote);
+}
+
+static void hold(raft_t *r, const raft_msg_t *m)
+{
+	if (r->nheld == r->held_cap) {
+		r->held_cap = r->held_cap ? r->held_cap * 2 : 8;
+		r->held = mem_grow(r->held, r->held_cap * sizeof(*r->held));
+	}
+	r->held[r->nheld++] = (raft_held_msg_t){*m, r->hard_seq};
+}
+
+void raft_send_msg(raft_t *r, raft_msg_t *m, uint64_t to)
+{
+	m->from = r->self;
+	m->to = to;
+	if (m->term == 0)
+		m->term = r->term;
+	if (r->synced_seq >= r->hard_seq) {
+		r->cb.send(r->cb.ctx, m);
+		return;
+	}
+	/* Term and vote must be durable before anybody may rely on them. */
+	assert(m->entries.entries_len == 0 && m->data.data_len == 0);
+	hold(r, m);
+}
+
+static void release_held(raft_t *r)
+{
+	size_t done = 0;
+
+	while (done < r->nheld && r->held[done].seq <= r->synced_seq) {
+		raft_msg_t m = r->held[done++].m;
+
+		if (m.term >= r->term || m.type == RAFT_PREVOTE_RESP)
+			r->cb.send(r->cb.ctx, &m);
+	}
+	if (done == 0)
+		return;
+	r->nheld -= done;
+	memmove(r->held, r->held + done, r->nheld * sizeof(*r->held));
+}
+
+static void set_role(raft_t *r, raft_role_t role)
+{
+	bool was = r->role == RAFT_LEADER;
+
+	r->role = role;
+	if (!was)
+		return;
+	r->transfer_to = 0;
+	raft_reads_fail(r);
+	r->cb.role(r->cb.ctx, role, r->term);
+}
+
+void raft_become_follower(raft_t *r, uint64_t term, uint64_t leader)
+{
+	if (term > r->term) {
+		raft_set_hard_state(r, term, 0);
+		r->verified = r->commit;
+		r->round_answered = 0;
+	}
+	r->leader = leader;
+	set_role(r, RAFT_FOLLOWER);
+	raft_reset_election_timeout(r);
+}
+
+void raft_step_down(raft_t *r)
+{
+	if (r->role == RAFT_LEADER)
+		raft_become_follower(r, r->term, 0);
+}
+
+void raft_on_disk_failed(raft_t *r)
+{
+	/* Nothing more is acknowledged here, so that a successor need not wait for its timeout. */
+	if (r->role == RAFT_LEADER)
+		raft_leader_hand_over(r);
+	raft_step_down(r);
+	r->failed = true;
+	r->role = RAFT_FOLLOWER;
+	r->leader = 0;
+	r->nheld = 0;
+}
+
+void raft_tick(raft_t *r)
+{
+	if (r->failed)
+		return;
+	if (r->role == RAFT_LEADER) {
+		raft_leader_tick(r);
+		return;
+	}
+	r->elapsed++;
+	if (r->elapsed < r->timeout)
+		return;
+	r->leader = 0;
+	raft_reset_election_timeout(r);
+	raft_start_prevote(r);
+}
+
+void raft_on_synced(raft_t *r, uint64_t seq)
+{
+	if (r->failed)
+		return;
+	assert(seq >= r->synced_seq && seq <= r->next_seq);
+	r->synced_seq = seq;
+	release_held(r);
+	if (r->role == RAFT_CANDIDATE)
+		raft_count_self_vote(r);
+	if (!raft_log_update_synced(r))
+		return;
+	if (r->role == RAFT_LEADER)
+		raft_leader_update_commit(r);
+	else
+		raft_report_synced(r);
+}
+
+void raft_flush(raft_t *r)
+{
+	if (r->failed)
+		return;
+	raft_log_persist(r);
+	if (r->role == RAFT_LEADER)
+		raft_leader_flush(r);
+}
+
+/* Tells the sender of an old term that it has passed. */
+static void answer_old_term(raft_t *r, const raft_msg_t *m)
+{
+	raft_msg_t resp = {.reject = true};
+
+	if (m->type == RAFT_PREVOTE)
+		resp.type = RAFT_PREVOTE_RESP;
+	else if (m->type == RAFT_APPEND || m->type == RAFT_SNAPSHOT)
+		resp.type = RAFT_APPEND_RESP;
+	else
+		return;
+	raft_send_msg(r, &resp, m->from);
+}
+
+/* Brings the own term up to the message's; false when the message is to be dropped. */
+static bool check_term(raft_t *r, const raft_msg_t *m)
+{
+	bool leads = m->type == RAFT_APPEND || m->type == RAFT_SNAPSHOT;
+
+	if (m->type == RAFT_PREVOTE)
+		return true;
+	if (m->type == RAFT_VOTE && !m->force && raft_has_leader_lease(r))
+		return false;
+	if (m->term < r->term) {
+		answer_old_term(r, m);
+		return false;
+	}
+	if (m->term > r->term && (m->type != RAFT_PREVOTE_RESP || m->reject))
+		raft_become_follower(r, m->term, leads ? m->from : 0);
+	return true;
+}
+
+static void dispatch(raft_t *r, raft_msg_t *m)
+{
+	switch (m->type) {
+	case RAFT_PREVOTE:
+		if (m->term < r->term)
+			answer_old_term(r, m);
+		else
+			raft_handle_prevote(r, m);
+		break;
+	case RAFT_VOTE:
+		raft_handle_vote(r, m);
+		break;
+	case RAFT_PREVOTE_RESP:
+	case RAFT_VOTE_RESP:
+		raft_handle_vote_resp(r, m);
+		break;
+	case RAFT_APPEND:
+		raft_handle_append(r, m);
+		break;
+	case RAFT_APPEND_RESP:
+		raft_handle_append_resp(r, m);
+		break;
+	case RAFT_SNAPSHOT:
+		raft_handle_snap(r, m);
+		break;
+	case RAFT_SNAPSHOT_RESP:
+		raft_handle_snap_resp(r, m);
+		break;
+	case RAFT_TIMEOUT_NOW:
+		if (r->role != RAFT_LEADER && m->term == r->term)
+			raft_campaign(r, true);
+		break;
+	}
+}
+
+void raft_receive(raft_t *r, raft_msg_t *m)
+{
+	if (r->failed || m->to != r->self || m->from == r->self)
+		return;
+	if (check_term(r, m))
+		dispatch(r, m);
+}
+
+uint64_t raft_propose(raft_t *r, str_t cmd)
+{
+	raft_entry_t e = {.term = r->term, .kind = RAFT_ENTRY_COMMAND};
+
+	if (r->role != RAFT_LEADER || r->transfer_to || r->failed)
+		return 0;
+	e.data.data_len = (u_int)cmd.n;
+	e.data.data_val = str_dup(cmd);
+	raft_log_append(r, e);
+	return raft_last_index(r);
+}
+
+raft_role_t raft_role(const raft_t *r)
+{
+	return r->role;
+}
+
+uint64_t raft_applied_index(const raft_t *r)
+{
+	return r->applied;
+}
+
+void raft_get_status(const raft_t *r, raft_status_t *out)
+{
+	*out = (raft_status_t){.self = r->self,
+			       .role = r->role,
+			       .term = r->term,
+			       .leader = r->leader,
+			       .commit = r->commit,
+			       .applied = r->applied,
+			       .base = r->base,
+			       .last = raft_last_index(r),
+			       .synced = r->synced,
+			       .failed = r->failed,
+			       .members = r->conf};
+	for (unsigned i = 0; i < r->conf.n && r->role == RAFT_LEADER; i++)
+		out->match[i] = r->conf.peers[i].id == r->self ? r->synced : r->progress[i].match;
+}
--- a/src/raft/rf_follow.c
+++ b/src/raft/raft_follower.c
@@ -1,5 +1,5 @@
 /* The follower's side: entries and snapshots from the leader of the term. */
-#include "raft/rf_int.h"
+#include "raft/raft_internal.h"
 
 #include <assert.h>
 #include <string.h>
@@ -10,55 +10,55 @@
 }
 
 /* Takes note that m's sender leads this term. */
-static void hear_leader(rf_t *r, const rf_msg_t *m)
+static void hear_leader(raft_t *r, const raft_msg_t *m)
 {
 	assert(m->term == r->term);
-	assert(r->role != RF_LEADER); /* one leader a term */
+	assert(r->role != RAFT_LEADER); /* one leader a term */
 	assert(r->term_leader == 0 || r->term_leader == m->from);
 	r->term_leader = m->from;
 	r->leader = m->from;
-	r->role = RF_FOLLOWER;
+	r->role = RAFT_FOLLOWER;
 	r->asked = false;
-	rf_reset_timeout(r);
+	raft_reset_election_timeout(r);
 }
 
-static void answer(rf_t *r)
+static void answer(raft_t *r)
 {
-	rf_msg_t resp = {.type = RF_APPEND_RESP, .round = r->round_answered};
+	raft_msg_t resp = {.type = RAFT_APPEND_RESP, .round = r->round_answered};
 
 	resp.index = min_u64(r->verified, r->synced);
-	rf_send(r, &resp, r->leader);
+	raft_send_msg(r, &resp, r->leader);
 }
 
-void rf_report_synced(rf_t *r)
+void raft_report_synced(raft_t *r)
 {
 	if (r->leader != 0)
 		answer(r);
 }
 
 /* The newest index at which this log may equal the leader's, which differs at prev. */
-static uint64_t meeting_hint(const rf_t *r, uint64_t prev)
+static uint64_t meeting_hint(const raft_t *r, uint64_t prev)
 {
-	uint64_t at = min_u64(prev, rf_last(r) + 1) - 1;
+	uint64_t at = min_u64(prev, raft_last_index(r) + 1) - 1;
 	uint64_t term;
 
-	if (prev > rf_last(r))
-		return rf_last(r);
-	term = rf_term_at(r, prev);
-	while (at > r->commit && rf_term_at(r, at) == term)
+	if (prev > raft_last_index(r))
+		return raft_last_index(r);
+	term = raft_term_at(r, prev);
+	while (at > r->commit && raft_term_at(r, at) == term)
 		at--;
 	return at < r->commit ? r->commit : at;
 }
 
-static void refuse(rf_t *r, uint64_t prev, uint64_t round)
+static void refuse(raft_t *r, uint64_t prev, uint64_t round)
 {
-	rf_msg_t resp = {.type = RF_APPEND_RESP, .reject = true, .index = prev, .round = round};
+	raft_msg_t resp = {.type = RAFT_APPEND_RESP, .reject = true, .index = prev, .round = round};
 
 	resp.hint = meeting_hint(r, prev);
-	rf_send(r, &resp, r->leader);
+	raft_send_msg(r, &resp, r->leader);
 }
 
-static void assert_same(const rf_entry_t *a, const rf_entry_t *b)
+static void assert_same(const raft_entry_t *a, const raft_entry_t *b)
 {
 	assert(a->kind == b->kind && a->data.data_len == b->data.data_len);
 	if (a->data.data_len)
@@ -66,7 +66,7 @@
 }
 
 /* Adds those entries after prev that the log lacks; true when there were any. */
-static bool take_entries(rf_t *r, uint64_t prev, rf_entry_t *e, size_t n)
+static bool take_entries(raft_t *r, uint64_t prev, raft_entry_t *e, size_t n)
 {
 	bool added = false;
 
@@ -75,13 +75,13 @@
 
 		if (index <= r->base)
 			continue;
-		if (index <= rf_last(r) && rf_term_at(r, index) == e[i].term) {
-			assert_same(rf_entry(r, index), &e[i]); /* log matching */
+		if (index <= raft_last_index(r) && raft_term_at(r, index) == e[i].term) {
+			assert_same(raft_entry_at(r, index), &e[i]); /* log matching */
 			continue;
 		}
-		if (index <= rf_last(r))
-			rf_log_truncate(r, index - 1);
-		rf_log_append(r, e[i]);
+		if (index <= raft_last_index(r))
+			raft_log_truncate(r, index - 1);
+		raft_log_append(r, e[i]);
 		e[i].data.data_val = NULL;
 		e[i].data.data_len = 0;
 		added = true;
@@ -89,7 +89,7 @@
 	return added;
 }
 
-void rf_handle_append(rf_t *r, rf_msg_t *m)
+void raft_handle_append(raft_t *r, raft_msg_t *m)
 {
 	uint64_t prev = m->index;
 	uint64_t end = prev + m->entries.entries_len;
@@ -97,35 +97,36 @@
 	bool added;
 
 	hear_leader(r, m);
-	if (prev > rf_last(r) || (prev >= r->base && rf_term_at(r, prev) != m->log_term)) {
+	if (prev > raft_last_index(r) ||
+	    (prev >= r->base && raft_term_at(r, prev) != m->log_term)) {
 		assert(prev > r->commit); /* leader completeness */
 		refuse(r, prev, m->round);
 		return;
 	}
 	added = take_entries(r, prev, m->entries.entries_val, m->entries.entries_len);
-	rf_log_persist(r);
+	raft_log_persist(r);
 	new_round = m->round > r->round_answered;
 	if (new_round)
 		r->round_answered = m->round;
 	if (r->verified < end)
 		r->verified = end;
 	if (m->commit > r->commit && r->verified > r->commit)
-		rf_log_commit(r, min_u64(m->commit, r->verified));
+		raft_log_commit(r, min_u64(m->commit, r->verified));
 	if (!added || new_round)
 		answer(r);
 }
 
-static void answer_snap(rf_t *r, const rf_msg_t *m, uint64_t wanted)
+static void answer_snap(raft_t *r, const raft_msg_t *m, uint64_t wanted)
 {
-	rf_msg_t resp = {.type = RF_SNAP_RESP, .index = m->index, .hint = wanted};
+	raft_msg_t resp = {.type = RAFT_SNAPSHOT_RESP, .index = m->index, .hint = wanted};
 
-	rf_send(r, &resp, m->from);
+	raft_send_msg(r, &resp, m->from);
 }
 
-static void install(rf_t *r, const rf_msg_t *m, const rf_conf_t *conf)
+static void install(raft_t *r, const raft_msg_t *m, const raft_members_t *conf)
 {
 	r->next_seq++;
-	rf_log_reset(r, m->index, m->log_term, conf);
+	raft_log_reset(r, m->index, m->log_term, conf);
 	r->commit = m->index;
 	r->applied = m->index;
 	r->cb.persist_reset(r->cb.ctx, r->next_seq, m->index, m->log_term);
@@ -133,28 +134,28 @@
 
 /* True when the log has the snapshot's last entry, and so all before it. What follows may have been
  * acknowledged and must stay. */
-static bool holds_entry(rf_t *r, uint64_t index, uint64_t term)
+static bool holds_entry(raft_t *r, uint64_t index, uint64_t term)
 {
 	if (index <= r->commit)
 		return true;
-	if (index > rf_last(r) || rf_term_at(r, index) != term)
+	if (index > raft_last_index(r) || raft_term_at(r, index) != term)
 		return false;
 	if (r->verified < index)
 		r->verified = index;
-	rf_log_commit(r, index);
+	raft_log_commit(r, index);
 	return true;
 }
 
-void rf_handle_snap(rf_t *r, const rf_msg_t *m)
+void raft_handle_snap(raft_t *r, const raft_msg_t *m)
 {
-	rf_chunk_t c = {.index = m->index,
-			.term = m->log_term,
-			.conf = {m->conf.conf_val, m->conf.conf_len},
-			.offset = m->offset,
-			.data = {m->data.data_val, m->data.data_len},
-			.last = m->last,
-			.crc = (uint32_t)m->hint};
-	rf_conf_t conf;
+	raft_snap_chunk_t c = {.index = m->index,
+			       .term = m->log_term,
+			       .members = {m->conf.conf_val, m->conf.conf_len},
+			       .offset = m->offset,
+			       .data = {m->data.data_val, m->data.data_len},
+			       .last = m->last,
+			       .crc = (uint32_t)m->hint};
+	raft_members_t conf;
 
 	hear_leader(r, m);
 	if (holds_entry(r, m->index, m->log_term)) {
@@ -167,7 +168,8 @@
 		answer_snap(r, m, r->snap_in_index == m->index ? r->snap_in_offset : 0);
 		return;
 	}
-	if (rf_conf_decode(c.conf, &conf) != ST_OK || !r->cb.snap_write(r->cb.ctx, &c)) {
+	if (raft_members_decode(c.members, &conf) != STATUS_OK ||
+	    !r->cb.snap_write(r->cb.ctx, &c)) {
 		r->snap_in_offset = 0;
 		answer_snap(r, m, 0);
 		return;
--- /dev/null
+++ b/src/raft/raft_leader.c
@@ -0,0 +1,331 @@
+/* The leader's side: what each member has, commit by majority, check-quorum, transfer. */
+#include "raft/raft_internal.h"
+
+#include <assert.h>
+
+static uint64_t max_u64(uint64_t a, uint64_t b)
+{
+	return a > b ? a : b;
+}
+
+bool raft_has_quorum(const raft_t *r, bool (*has)(const raft_t *r, unsigned i, uint64_t arg),
+		     uint64_t arg)
+{
+	unsigned voters = 0;
+	unsigned yes = 0;
+
+	for (unsigned i = 0; i < r->conf.n; i++) {
+		if (!r->conf.peers[i].voter)
+			continue;
+		voters++;
+		if (has(r, i, arg))
+			yes++;
+	}
+	return yes > voters / 2;
+}
+
+static raft_progress_t *find_progress(raft_t *r, uint64_t id)
+{
+	int at = raft_members_find(&r->conf, id);
+
+	return at < 0 || id == r->self ? NULL : &r->progress[at];
+}
+
+/* Gives each member of the present configuration its progress, keeping what is known. */
+void raft_leader_rebuild_progress(raft_t *r)
+{
+	raft_progress_t old[GROUP_PEERS_MAX];
+	unsigned nold = 0;
+
+	while (nold < GROUP_PEERS_MAX && r->progress[nold].id != 0) {
+		old[nold] = r->progress[nold];
+		nold++;
+	}
+	for (unsigned i = 0; i < GROUP_PEERS_MAX; i++) {
+		raft_progress_t *p = &r->progress[i];
+
+		*p = (raft_progress_t){0};
+		if (i >= r->conf.n)
+			continue;
+		p->id = r->conf.peers[i].id;
+		p->next = raft_last_index(r) + 1;
+		for (unsigned k = 0; k < nold; k++) {
+			if (old[k].id == p->id)
+				*p = old[k];
+		}
+	}
+}
+
+void raft_become_leader(raft_t *r)
+{
+	assert(r->role == RAFT_CANDIDATE && r->term_leader == 0);
+	assert(r->synced_seq >= r->hard_seq);
+	assert(raft_last_index(r) >= r->commit); /* leader completeness */
+	r->role = RAFT_LEADER;
+	r->leader = r->self;
+	r->term_leader = r->self;
+	r->elapsed = 0;
+	r->heartbeat_elapsed = 0;
+	r->round = 0;
+	r->transfer_to = 0;
+	for (unsigned i = 0; i < GROUP_PEERS_MAX; i++)
+		r->progress[i] = (raft_progress_t){0};
+	raft_leader_rebuild_progress(r);
+	raft_log_append(r, (raft_entry_t){.term = r->term, .kind = RAFT_ENTRY_NOOP});
+	r->term_start = raft_last_index(r);
+	r->cb.role(r->cb.ctx, RAFT_LEADER, r->term);
+	raft_flush(r);
+}
+
+static bool is_live(const raft_t *r, uint64_t id)
+{
+	int at = raft_members_find(&r->conf, id);
+
+	if (id == r->self)
+		return true;
+	return at >= 0 && r->progress[at].silent_ticks < r->election_ticks;
+}
+
+bool raft_leader_has_live_majority(const raft_t *r, const raft_members_t *conf)
+{
+	unsigned voters = 0;
+	unsigned live = 0;
+
+	for (unsigned i = 0; i < conf->n; i++) {
+		if (!conf->peers[i].voter)
+			continue;
+		voters++;
+		live += is_live(r, conf->peers[i].id);
+	}
+	return live > voters / 2;
+}
+
+static void tick_peers(raft_t *r, bool heartbeat)
+{
+	for (unsigned i = 0; i < r->conf.n; i++) {
+		raft_progress_t *p = &r->progress[i];
+
+		if (p->id == r->self)
+			continue;
+		p->silent_ticks++;
+		if (p->flow == RAFT_MODE_SNAPSHOT && ++p->snap_wait_ticks >= r->election_ticks)
+			p->snap_sent = false;
+		if (!heartbeat)
+			continue;
+		p->probing = false;
+		raft_send_append(r, p, true);
+	}
+}
+
+void raft_leader_tick(raft_t *r)
+{
+	bool heartbeat = ++r->heartbeat_elapsed >= r->heartbeat_ticks;
+
+	/* Check-quorum: without a majority, another leader may be at work already. */
+	if (!raft_leader_has_live_majority(r, &r->conf)) {
+		raft_become_follower(r, r->term, 0);
+		return;
+	}
+	if (r->transfer_to && ++r->transfer_ticks >= r->election_ticks)
+		r->transfer_to = 0;
+	if (heartbeat)
+		r->heartbeat_elapsed = 0;
+	tick_peers(r, heartbeat);
+}
+
+void raft_leader_flush(raft_t *r)
+{
+	raft_reads_begin_round(r);
+	for (unsigned i = 0; i < r->conf.n; i++) {
+		if (r->progress[i].id != r->self)
+			raft_send_append(r, &r->progress[i], false);
+	}
+	raft_reads_complete(r);
+}
+
+static bool has_synced(const raft_t *r, unsigned i, uint64_t index)
+{
+	if (r->conf.peers[i].id == r->self)
+		return r->synced >= index;
+	return r->progress[i].match >= index;
+}
+
+/* The highest index that some member is known to have synced. */
+static uint64_t highest_match(const raft_t *r)
+{
+	uint64_t high = r->synced;
+
+	for (unsigned i = 0; i < r->conf.n; i++)
+		high = max_u64(high, r->progress[i].match);
+	return high;
+}
+
+static bool still_voter(const raft_t *r)
+{
+	int at = raft_members_find(&r->conf, r->self);
+
+	return at >= 0 && r->conf.peers[at].voter;
+}
+
+/* The highest index that a majority of voters has synced. */
+static uint64_t majority_match(const raft_t *r)
+{
+	uint64_t low = r->commit;
+	uint64_t high = highest_match(r);
+
+	while (low < high) {
+		uint64_t mid = low + (high - low + 1) / 2;
+
+		if (raft_has_quorum(r, has_synced, mid))
+			low = mid;
+		else
+			high = mid - 1;
+	}
+	return low;
+}
+
+void raft_leader_update_commit(raft_t *r)
+{
+	uint64_t index = majority_match(r);
+
+	/* Entries of earlier terms are committed only together with one of this term. */
+	if (index <= r->commit || index < r->term_start)
+		return;
+	raft_log_commit(r, index);
+	if (r->conf_index <= r->commit && !still_voter(r)) {
+		raft_become_follower(r, r->term, 0);
+		return;
+	}
+	raft_reads_complete(r);
+}
+
+static void pop_inflight(raft_progress_t *p)
+{
+	while (p->inflight_n && p->inflight[p->inflight_head] <= p->match) {
+		p->inflight_head = (p->inflight_head + 1) % RAFT_INFLIGHT_MAX;
+		p->inflight_n--;
+	}
+}
+
+static void start_probe(raft_progress_t *p, uint64_t next)
+{
+	p->flow = RAFT_MODE_PROBE;
+	p->next = next;
+	p->probing = false;
+	p->inflight_n = 0;
+}
+
+static void handle_reject(raft_t *r, raft_progress_t *p, const raft_msg_t *m)
+{
+	uint64_t next = m->index < m->hint + 1 ? m->index : m->hint + 1;
+
+	if (p->flow == RAFT_MODE_SNAPSHOT || m->index <= p->match || m->index >= p->next)
+		return;
+	start_probe(p, max_u64(next, p->match + 1));
+	raft_send_append(r, p, false);
+}
+
+/* Sends the transfer's target on its way once it has the whole log. */
+static void try_transfer(raft_t *r, const raft_progress_t *p)
+{
+	raft_msg_t m = {.type = RAFT_TIMEOUT_NOW};
+
+	if (r->transfer_to == p->id && p->match == raft_last_index(r))
+		raft_send_msg(r, &m, p->id);
+}
+
+void raft_handle_append_resp(raft_t *r, const raft_msg_t *m)
+{
+	raft_progress_t *p = find_progress(r, m->from);
+
+	if (r->role != RAFT_LEADER || !p)
+		return;
+	p->silent_ticks = 0;
+	p->round = max_u64(p->round, m->round);
+	if (m->reject) {
+		handle_reject(r, p, m);
+		raft_reads_complete(r);
+		return;
+	}
+	assert(m->index <=
+	       raft_last_index(r)); /* log matching: it has verified no more than we hold */
+	p->match = max_u64(p->match, m->index);
+	pop_inflight(p);
+	if (p->flow == RAFT_MODE_PROBE ||
+	    (p->flow == RAFT_MODE_SNAPSHOT && p->match >= p->snap_index)) {
+		p->flow = RAFT_MODE_REPLICATE;
+		p->probing = false;
+		p->next = p->match + 1;
+		p->inflight_n = 0;
+	}
+	p->next = max_u64(p->next, p->match + 1);
+	raft_leader_update_commit(r);
+	if (r->role != RAFT_LEADER)
+		return;
+	raft_reads_complete(r);
+	raft_send_append(r, p, false);
+	try_transfer(r, p);
+}
+
+void raft_handle_snap_resp(raft_t *r, const raft_msg_t *m)
+{
+	raft_progress_t *p = find_progress(r, m->from);
+
+	if (r->role != RAFT_LEADER || !p)
+		return;
+	p->silent_ticks = 0;
+	if (p->flow != RAFT_MODE_SNAPSHOT || m->index != p->snap_index)
+		return;
+	p->snap_offset = m->hint;
+	p->snap_sent = false;
+	raft_send_snap_chunk(r, p);
+}
+
+bool raft_sending_snapshot(const raft_t *r)
+{
+	for (unsigned i = 0; i < r->conf.n && r->role == RAFT_LEADER; i++) {
+		if (r->progress[i].flow == RAFT_MODE_SNAPSHOT && is_live(r, r->progress[i].id))
+			return true;
+	}
+	return false;
+}
+
+/* The other voter that has synced most, or NULL. */
+static const raft_progress_t *most_advanced(const raft_t *r)
+{
+	const raft_progress_t *best = NULL;
+
+	for (unsigned i = 0; i < r->conf.n; i++) {
+		const raft_progress_t *p = &r->progress[i];
+
+		if (p->id == r->self || !r->conf.peers[i].voter)
+			continue;
+		if (!best || p->match > best->match)
+			best = p;
+	}
+	return best;
+}
+
+bool raft_transfer_leadership(raft_t *r)
+{
+	const raft_progress_t *best;
+
+	if (r->role != RAFT_LEADER)
+		return false;
+	best = most_advanced(r);
+	if (!best)
+		return false;
+	r->transfer_to = best->id;
+	r->transfer_ticks = 0;
+	try_transfer(r, best);
+	return true;
+}
+
+void raft_leader_hand_over(raft_t *r)
+{
+	const raft_progress_t *best = most_advanced(r);
+	raft_msg_t m = {.type = RAFT_TIMEOUT_NOW};
+
+	if (best)
+		raft_send_msg(r, &m, best->id);
+}
--- a/src/raft/rf_log.c
+++ b/src/raft/raft_log.c
@@ -1,5 +1,5 @@
 /* The log in memory: entries after the base, what is persisted, synced, committed and applied. */
-#include "raft/rf_int.h"
+#include "raft/raft_internal.h"
 
 #include <assert.h>
 #include <stdlib.h>
@@ -7,50 +7,50 @@
 
 #define LOG_MIN_CAP 64
 
-static str_t entry_data(const rf_entry_t *e)
+static str_t entry_data(const raft_entry_t *e)
 {
 	return (str_t){e->data.data_val, e->data.data_len};
 }
 
-static void use_conf(rf_t *r, const rf_conf_t *conf, uint64_t index)
+static void use_conf(raft_t *r, const raft_members_t *conf, uint64_t index)
 {
 	r->conf = *conf;
 	r->conf_index = index;
-	if (r->role == RF_LEADER)
-		rf_lead_rebuild_progress(r);
+	if (r->role == RAFT_LEADER)
+		raft_leader_rebuild_progress(r);
 }
 
-static void decode_conf(const rf_entry_t *e, rf_conf_t *out)
+static void decode_conf(const raft_entry_t *e, raft_members_t *out)
 {
-	status_t st = rf_conf_decode(entry_data(e), out);
+	status_t st = raft_members_decode(entry_data(e), out);
 
-	assert(st == ST_OK);
+	assert(st == STATUS_OK);
 	(void)st;
 }
 
-void rf_log_append(rf_t *r, rf_entry_t e)
+void raft_log_append(raft_t *r, raft_entry_t e)
 {
 	if (r->nlog == r->log_cap) {
 		r->log_cap = r->log_cap ? r->log_cap * 2 : LOG_MIN_CAP;
 		r->log = mem_grow(r->log, r->log_cap * sizeof(*r->log));
 		r->seqs = mem_grow(r->seqs, r->log_cap * sizeof(*r->seqs));
 	}
-	assert(rf_term_at(r, rf_last(r)) <= e.term);
+	assert(raft_term_at(r, raft_last_index(r)) <= e.term);
 	r->log[r->nlog] = e;
-	r->seqs[r->nlog] = RF_SEQ_NOT_PERSISTED;
+	r->seqs[r->nlog] = RAFT_SEQ_NOT_PERSISTED;
 	r->nlog++;
-	if (e.kind == RF_CONF) {
-		rf_conf_t conf;
+	if (e.kind == RAFT_ENTRY_MEMBERS) {
+		raft_members_t conf;
 
 		decode_conf(&e, &conf);
-		use_conf(r, &conf, rf_last(r));
+		use_conf(r, &conf, raft_last_index(r));
 	}
 }
 
-void rf_log_truncate(rf_t *r, uint64_t last)
+void raft_log_truncate(raft_t *r, uint64_t last)
 {
 	assert(last >= r->commit); /* what is committed never changes */
-	while (rf_last(r) > last)
+	while (raft_last_index(r) > last)
 		free(r->log[--r->nlog].data.data_val);
 	if (r->persisted > last)
 		r->persisted = last;
@@ -59,10 +59,10 @@
 	if (r->verified > last)
 		r->verified = last;
 	if (r->conf_index > last)
-		rf_log_use_newest_conf(r);
+		raft_log_use_newest_members(r);
 }
 
-void rf_log_reset(rf_t *r, uint64_t index, uint64_t term, const rf_conf_t *conf)
+void raft_log_reset(raft_t *r, uint64_t index, uint64_t term, const raft_members_t *conf)
 {
 	assert(index >= r->commit);
 	while (r->nlog)
@@ -77,11 +77,11 @@
 }
 
 /* Members of the newest entry up to index that holds some; *at is its index. */
-static void find_conf(const rf_t *r, uint64_t index, rf_conf_t *out, uint64_t *at)
+static void find_conf(const raft_t *r, uint64_t index, raft_members_t *out, uint64_t *at)
 {
 	for (uint64_t i = index; i > r->base; i--) {
-		if (rf_entry(r, i)->kind == RF_CONF) {
-			decode_conf(rf_entry(r, i), out);
+		if (raft_entry_at(r, i)->kind == RAFT_ENTRY_MEMBERS) {
+			decode_conf(raft_entry_at(r, i), out);
 			*at = i;
 			return;
 		}
@@ -90,44 +90,44 @@
 	*at = r->base;
 }
 
-void rf_conf_at(const rf_t *r, uint64_t index, rf_conf_t *out)
+void raft_members_at(const raft_t *r, uint64_t index, raft_members_t *out)
 {
 	uint64_t at;
 
-	assert(index >= r->base && index <= rf_last(r));
+	assert(index >= r->base && index <= raft_last_index(r));
 	find_conf(r, index, out, &at);
 }
 
-void rf_log_use_newest_conf(rf_t *r)
+void raft_log_use_newest_members(raft_t *r)
 {
-	rf_conf_t conf;
+	raft_members_t conf;
 	uint64_t at;
 
-	find_conf(r, rf_last(r), &conf, &at);
+	find_conf(r, raft_last_index(r), &conf, &at);
 	use_conf(r, &conf, at);
 }
 
-uint64_t rf_term_at(const rf_t *r, uint64_t index)
+uint64_t raft_term_at(const raft_t *r, uint64_t index)
 {
-	assert(index >= r->base && index <= rf_last(r));
-	return index == r->base ? r->base_term : rf_entry(r, index)->term;
+	assert(index >= r->base && index <= raft_last_index(r));
+	return index == r->base ? r->base_term : raft_entry_at(r, index)->term;
 }
 
-void rf_log_persist(rf_t *r)
+void raft_log_persist(raft_t *r)
 {
 	uint64_t from = r->persisted + 1;
-	size_t n = rf_last(r) - r->persisted;
+	size_t n = raft_last_index(r) - r->persisted;
 
 	if (n == 0 || r->failed)
 		return;
 	r->next_seq++;
-	for (uint64_t i = from; i <= rf_last(r); i++)
+	for (uint64_t i = from; i <= raft_last_index(r); i++)
 		r->seqs[i - r->base - 1] = r->next_seq;
-	r->persisted = rf_last(r);
-	r->cb.persist_entries(r->cb.ctx, r->next_seq, from, rf_entry(r, from), n);
+	r->persisted = raft_last_index(r);
+	r->cb.persist_entries(r->cb.ctx, r->next_seq, from, raft_entry_at(r, from), n);
 }
 
-bool rf_log_update_synced(rf_t *r)
+bool raft_log_update_synced(raft_t *r)
 {
 	uint64_t was = r->synced;
 
@@ -136,26 +136,26 @@
 	return r->synced > was;
 }
 
-void rf_log_commit(rf_t *r, uint64_t index)
+void raft_log_commit(raft_t *r, uint64_t index)
 {
-	assert(index >= r->commit && index <= rf_last(r));
+	assert(index >= r->commit && index <= raft_last_index(r));
 	r->commit = index;
 	while (r->applied < r->commit) {
 		r->applied++;
-		r->cb.apply(r->cb.ctx, r->applied, rf_entry(r, r->applied));
+		r->cb.apply(r->cb.ctx, r->applied, raft_entry_at(r, r->applied));
 	}
 }
 
-void rf_compact(rf_t *r, uint64_t index)
+void raft_compact(raft_t *r, uint64_t index)
 {
 	size_t n = index - r->base;
-	rf_conf_t conf;
+	raft_members_t conf;
 
 	if (index <= r->base)
 		return;
 	assert(index <= r->applied);
-	rf_conf_at(r, index, &conf);
-	r->base_term = rf_term_at(r, index);
+	raft_members_at(r, index, &conf);
+	r->base_term = raft_term_at(r, index);
 	r->base_conf = conf;
 	for (size_t i = 0; i < n; i++)
 		free(r->log[i].data.data_val);
--- a/src/raft/rf_read.c
+++ b/src/raft/raft_read.c
@@ -1,24 +1,24 @@
 /* Read index: a read is answered after a majority has confirmed the leader in a later round. */
-#include "raft/rf_int.h"
+#include "raft/raft_internal.h"
 
 #include <string.h>
 
-bool rf_read(rf_t *r, uint64_t token)
+bool raft_read_index(raft_t *r, uint64_t token)
 {
 	uint64_t index = r->commit > r->term_start ? r->commit : r->term_start;
 
-	if (r->role != RF_LEADER || r->failed)
+	if (r->role != RAFT_LEADER || r->failed)
 		return false;
 	if (r->nreads == r->reads_cap) {
 		r->reads_cap = r->reads_cap ? r->reads_cap * 2 : 16;
 		r->reads = mem_grow(r->reads, r->reads_cap * sizeof(*r->reads));
 	}
 	/* Until an entry of this term is committed, the leader may not know all that is. */
-	r->reads[r->nreads++] = (rf_read_t){token, 0, index};
+	r->reads[r->nreads++] = (raft_pending_read_t){token, 0, index};
 	return true;
 }
 
-void rf_reads_begin_round(rf_t *r)
+void raft_reads_begin_round(raft_t *r)
 {
 	if (r->nreads == 0 || r->reads[r->nreads - 1].round != 0)
 		return;
@@ -27,21 +27,21 @@
 		r->reads[i - 1].round = r->round;
 }
 
-static bool answered_round(const rf_t *r, unsigned i, uint64_t round)
+static bool answered_round(const raft_t *r, unsigned i, uint64_t round)
 {
 	return r->conf.peers[i].id == r->self || r->progress[i].round >= round;
 }
 
-void rf_reads_answer(rf_t *r)
+void raft_reads_complete(raft_t *r)
 {
 	size_t done = 0;
 
 	while (done < r->nreads) {
-		const rf_read_t *rd = &r->reads[done];
+		const raft_pending_read_t *rd = &r->reads[done];
 
 		if (rd->round == 0 || rd->index > r->applied)
 			break;
-		if (!rf_quorum(r, answered_round, rd->round))
+		if (!raft_has_quorum(r, answered_round, rd->round))
 			break;
 		done++;
 	}
@@ -53,7 +53,7 @@
 	memmove(r->reads, r->reads + done, r->nreads * sizeof(*r->reads));
 }
 
-void rf_reads_fail(rf_t *r)
+void raft_reads_fail(raft_t *r)
 {
 	size_t n = r->nreads;
 
--- a/src/raft/rs_file.c
+++ b/src/raft/store_file.c
@@ -1,4 +1,4 @@
-#include "raft/rs_file.h"
+#include "raft/store_file.h"
 
 #include <dirent.h>
 #include <errno.h>
@@ -19,7 +19,7 @@
 	return at ? strtol(at + strlen(key), NULL, 10) : -1;
 }
 
-void rs_fault_read(rs_fault_t *f)
+void store_disk_fault_from_env(store_disk_fault_t *f)
 {
 	const char *env = getenv("AUBURN_DISK_FAULT");
 
@@ -29,11 +29,11 @@
 
 static status_t io_error(const char *what, const char *name)
 {
-	return st_fail(ST_IO, "%s: %s: %s", name, what, strerror(errno));
+	return status_fail(STATUS_IO, "%s: %s: %s", name, what, strerror(errno));
 }
 
 /* Takes n bytes from the bound of a disk that is to become full. */
-static bool take_room(rs_fault_t *f, size_t n)
+static bool take_room(store_disk_fault_t *f, size_t n)
 {
 	long left = __atomic_load_n(&f->full_after_bytes, __ATOMIC_RELAXED);
 
@@ -45,7 +45,7 @@
 	return true;
 }
 
-status_t rs_file_write(rs_fault_t *f, int fd, const char *name, str_t data, off_t at)
+status_t store_file_write(store_disk_fault_t *f, int fd, const char *name, str_t data, off_t at)
 {
 	if (!take_room(f, data.n)) {
 		errno = ENOSPC;
@@ -62,10 +62,10 @@
 		data.n -= (size_t)n;
 		at += n;
 	}
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static bool sync_may_succeed(rs_fault_t *f)
+static bool sync_may_succeed(store_disk_fault_t *f)
 {
 	long left = __atomic_load_n(&f->fsync_fail_after, __ATOMIC_RELAXED);
 
@@ -75,26 +75,26 @@
 	return left != 0;
 }
 
-status_t rs_file_sync(rs_fault_t *f, int fd, const char *name)
+status_t store_file_sync(store_disk_fault_t *f, int fd, const char *name)
 {
 	if (!sync_may_succeed(f) || fdatasync(fd) != 0)
 		return io_error("sync", name);
-	return ST_OK;
+	return STATUS_OK;
 }
 
-status_t rs_dir_sync(rs_fault_t *f, const char *dir)
+status_t store_dir_sync(store_disk_fault_t *f, const char *dir)
 {
 	int fd = open(dir, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
 	status_t st;
 
 	if (fd < 0)
 		return io_error("open", dir);
-	st = sync_may_succeed(f) && fsync(fd) == 0 ? ST_OK : io_error("sync", dir);
+	st = sync_may_succeed(f) && fsync(fd) == 0 ? STATUS_OK : io_error("sync", dir);
 	close(fd);
 	return st;
 }
 
-status_t rs_file_read(const char *path, buf_t *out)
+status_t store_file_read(const char *path, buf_t *out)
 {
 	int fd = open(path, O_RDONLY | O_CLOEXEC);
 	char *tmp = mem_new(READ_BYTES);
@@ -108,20 +108,20 @@
 	if (fd < 0)
 		return io_error("open", path);
 	close(fd);
-	return n < 0 ? io_error("read", path) : ST_OK;
+	return n < 0 ? io_error("read", path) : STATUS_OK;
 }
 
 /* Writes data with a sync after each piece: much unsynced data would hold up the log's syncs. */
-static status_t write_pieces(rs_fault_t *f, int fd, const char *name, str_t data, off_t *at)
+static status_t write_pieces(store_disk_fault_t *f, int fd, const char *name, str_t data, off_t *at)
 {
-	status_t st = ST_OK;
+	status_t st = STATUS_OK;
 
-	while (data.n > 0 && st == ST_OK) {
+	while (data.n > 0 && st == STATUS_OK) {
 		size_t n = data.n < PIECE_BYTES ? data.n : PIECE_BYTES;
 
-		st = rs_file_write(f, fd, name, (str_t){data.p, n}, *at);
-		if (st == ST_OK && n == PIECE_BYTES)
-			st = rs_file_sync(f, fd, name);
+		st = store_file_write(f, fd, name, (str_t){data.p, n}, *at);
+		if (st == STATUS_OK && n == PIECE_BYTES)
+			st = store_file_sync(f, fd, name);
 		data.p += n;
 		data.n -= n;
 		*at += (off_t)n;
@@ -129,21 +129,22 @@
 	return st;
 }
 
-static status_t write_parts(rs_fault_t *f, int fd, const char *name, const str_t *parts, size_t n)
+static status_t write_parts(store_disk_fault_t *f, int fd, const char *name, const str_t *parts,
+			    size_t n)
 {
-	status_t st = ST_OK;
+	status_t st = STATUS_OK;
 	off_t at = 0;
 
-	for (size_t i = 0; i < n && st == ST_OK; i++)
+	for (size_t i = 0; i < n && st == STATUS_OK; i++)
 		st = write_pieces(f, fd, name, parts[i], &at);
 	return st;
 }
 
-status_t rs_file_replace(rs_fault_t *f, const char *dir, const char *name, const str_t *parts,
-			 size_t n)
+status_t store_file_replace(store_disk_fault_t *f, const char *dir, const char *name,
+			    const str_t *parts, size_t n)
 {
-	char path[RS_PATH_BYTES];
-	char tmp[RS_PATH_BYTES];
+	char path[STORE_PATH_BYTES];
+	char tmp[STORE_PATH_BYTES];
 	status_t st;
 	int fd;
 
@@ -153,26 +154,26 @@
 	if (fd < 0)
 		return io_error("open", tmp);
 	st = write_parts(f, fd, tmp, parts, n);
-	if (st == ST_OK)
-		st = rs_file_sync(f, fd, tmp);
+	if (st == STATUS_OK)
+		st = store_file_sync(f, fd, tmp);
 	close(fd);
-	if (st == ST_OK && rename(tmp, path) != 0)
+	if (st == STATUS_OK && rename(tmp, path) != 0)
 		st = io_error("rename", path);
-	return st == ST_OK ? rs_dir_sync(f, dir) : st;
+	return st == STATUS_OK ? store_dir_sync(f, dir) : st;
 }
 
-status_t rs_dir_make(rs_fault_t *f, const char *dir)
+status_t store_dir_make(store_disk_fault_t *f, const char *dir)
 {
-	char up[RS_PATH_BYTES];
+	char up[STORE_PATH_BYTES];
 	char *slash;
 	status_t st;
 
 	if (mkdir(dir, 0700) == 0) {
 		snprintf(up, sizeof(up), "%s/..", dir);
-		return rs_dir_sync(f, up);
+		return store_dir_sync(f, up);
 	}
 	if (errno == EEXIST)
-		return ST_OK;
+		return STATUS_OK;
 	if (errno != ENOENT)
 		return io_error("mkdir", dir);
 	snprintf(up, sizeof(up), "%s", dir);
@@ -180,8 +181,8 @@
 	if (!slash || slash == up)
 		return io_error("mkdir", dir);
 	*slash = 0;
-	st = rs_dir_make(f, up);
-	return st == ST_OK ? rs_dir_make(f, dir) : st;
+	st = store_dir_make(f, up);
+	return st == STATUS_OK ? store_dir_make(f, dir) : st;
 }
 
 static int compare_numbers(const void *a, const void *b)
@@ -203,7 +204,7 @@
 	return *end == 0;
 }
 
-size_t rs_list_numbered(const char *dir, const char *prefix, uint64_t **out)
+size_t store_list_numbered_files(const char *dir, const char *prefix, uint64_t **out)
 {
 	DIR *d = opendir(dir);
 	struct dirent *e;
--- a/src/raft/rs_log.c
+++ b/src/raft/store_log.c
@@ -1,5 +1,5 @@
 /* Writing: records are queued by one thread and written with one sync by another. */
-#include "raft/rs_int.h"
+#include "raft/store_internal.h"
 
 #include <assert.h>
 #include <errno.h>
@@ -9,11 +9,11 @@
 #include <string.h>
 #include <unistd.h>
 #include <isa-l.h>
-#include "base/clk.h"
+#include "base/clock.h"
 
 #define CRC_BYTES (1 << 30) /* the library counts in an int */
 
-uint32_t rs_crc(uint32_t crc, const void *p, size_t n)
+uint32_t store_crc(uint32_t crc, const void *p, size_t n)
 {
 	unsigned char *at = (unsigned char *)p;
 
@@ -25,49 +25,49 @@
 	return crc32_iscsi(at, (int)n, crc);
 }
 
-void rs_segment_path(const rs_t *s, uint64_t number, char path[RS_PATH_BYTES])
+void store_segment_path(const store_t *s, uint64_t number, char path[STORE_PATH_BYTES])
 {
-	snprintf(path, RS_PATH_BYTES, "%s/log-%016lx", s->dir, (unsigned long)number);
+	snprintf(path, STORE_PATH_BYTES, "%s/log-%016lx", s->dir, (unsigned long)number);
 }
 
-void rs_segment_add(rs_t *s, uint64_t number, uint64_t max_index)
+void store_segment_add(store_t *s, uint64_t number, uint64_t max_index)
 {
 	pthread_mutex_lock(&s->lock);
 	s->segments = mem_grow(s->segments, (s->nsegments + 1) * sizeof(*s->segments));
-	s->segments[s->nsegments++] = (rs_segment_t){number, max_index};
+	s->segments[s->nsegments++] = (store_segment_t){number, max_index};
 	pthread_mutex_unlock(&s->lock);
 }
 
-static void add_record(buf_t *out, rs_record_t rec, str_t data)
+static void add_record(buf_t *out, store_record_t rec, str_t data)
 {
-	static const char zeros[RS_ALIGN];
-	size_t over = data.n % RS_ALIGN;
+	static const char zeros[STORE_RECORD_ALIGN];
+	size_t over = data.n % STORE_RECORD_ALIGN;
 
-	rec.magic = RS_RECORD_MAGIC;
+	rec.magic = STORE_RECORD_MAGIC;
 	rec.len = (uint32_t)data.n;
 	buf_add(out, (str_t){(const char *)&rec, sizeof(rec)});
 	buf_add(out, data);
 	if (over)
-		buf_add(out, (str_t){zeros, RS_ALIGN - over});
+		buf_add(out, (str_t){zeros, STORE_RECORD_ALIGN - over});
 }
 
-void rs_hard(rs_t *s, uint64_t seq, uint64_t term, uint64_t vote)
+void store_queue_hard_state(store_t *s, uint64_t seq, uint64_t term, uint64_t vote)
 {
 	pthread_mutex_lock(&s->lock);
-	s->hard = (rs_record_t){.type = RS_HARD, .index = vote, .term = term};
+	s->hard = (store_record_t){.type = STORE_RECORD_HARD_STATE, .index = vote, .term = term};
 	add_record(&s->queued, s->hard, (str_t){0});
 	s->queued_seq = seq;
 	pthread_mutex_unlock(&s->lock);
 }
 
-void rs_entries(rs_t *s, uint64_t seq, uint64_t from, const rf_entry_t *e, size_t n)
+void store_queue_entries(store_t *s, uint64_t seq, uint64_t from, const raft_entry_t *e, size_t n)
 {
 	pthread_mutex_lock(&s->lock);
 	for (size_t i = 0; i < n; i++) {
-		rs_record_t rec = {.type = RS_ENTRY,
-				   .kind = (uint16_t)e[i].kind,
-				   .index = from + i,
-				   .term = e[i].term};
+		store_record_t rec = {.type = STORE_RECORD_ENTRY,
+				      .entry_kind = (uint16_t)e[i].kind,
+				      .index = from + i,
+				      .term = e[i].term};
 
 		add_record(&s->queued, rec, (str_t){e[i].data.data_val, e[i].data.data_len});
 	}
@@ -77,16 +77,17 @@
 	pthread_mutex_unlock(&s->lock);
 }
 
-void rs_reset(rs_t *s, uint64_t seq, uint64_t index, uint64_t term)
+void store_queue_reset(store_t *s, uint64_t seq, uint64_t index, uint64_t term)
 {
 	pthread_mutex_lock(&s->lock);
-	add_record(&s->queued, (rs_record_t){.type = RS_RESET, .index = index, .term = term},
+	add_record(&s->queued,
+		   (store_record_t){.type = STORE_RECORD_RESET, .index = index, .term = term},
 		   (str_t){0});
 	s->queued_seq = seq;
 	pthread_mutex_unlock(&s->lock);
 }
 
-bool rs_has_queued(rs_t *s)
+bool store_has_queued(store_t *s)
 {
 	bool has;
 
@@ -102,91 +103,92 @@
 	size_t at = 0;
 
 	while (at < b->n) {
-		rs_record_t rec;
+		store_record_t rec;
 		uint32_t crc;
 
 		memcpy(&rec, b->p + at, sizeof(rec));
-		rec.synced = synced;
-		crc = rs_crc(0, &rec.len, sizeof(rec) - offsetof(rs_record_t, len));
-		rec.crc = rs_crc(crc, b->p + at + sizeof(rec), rec.len);
+		rec.synced_len = synced;
+		crc = store_crc(0, &rec.len, sizeof(rec) - offsetof(store_record_t, len));
+		rec.crc = store_crc(crc, b->p + at + sizeof(rec), rec.len);
 		memcpy(b->p + at, &rec, sizeof(rec));
-		at += sizeof(rec) + (rec.len + RS_ALIGN - 1) / RS_ALIGN * RS_ALIGN;
+		at += sizeof(rec) +
+		      (rec.len + STORE_RECORD_ALIGN - 1) / STORE_RECORD_ALIGN * STORE_RECORD_ALIGN;
 	}
 	assert(at == b->n);
 }
 
-static status_t write_synced(rs_t *s, buf_t *b)
+static status_t write_synced(store_t *s, buf_t *b)
 {
-	char path[RS_PATH_BYTES];
+	char path[STORE_PATH_BYTES];
 	status_t st;
 
-	rs_segment_path(s, s->number, path);
+	store_segment_path(s, s->number, path);
 	seal_records(b, s->size);
-	st = rs_file_write(&s->fault, s->fd, path, str_buf(b), (off_t)s->size);
-	if (st == ST_OK)
-		st = rs_file_sync(&s->fault, s->fd, path);
-	if (st == ST_OK)
+	st = store_file_write(&s->fault, s->fd, path, str_buf(b), (off_t)s->size);
+	if (st == STATUS_OK)
+		st = store_file_sync(&s->fault, s->fd, path);
+	if (st == STATUS_OK)
 		s->size += b->n;
 	return st;
 }
 
 /* Makes a segment; its first record repeats term and vote, so that older ones may go. */
-status_t rs_segment_begin(rs_t *s, uint64_t number)
+status_t store_segment_begin(store_t *s, uint64_t number)
 {
-	rs_segment_header_t h = {RS_SEGMENT_MAGIC, s->id, number, 0, 0};
+	store_segment_header_t h = {STORE_SEGMENT_MAGIC, s->id, number, 0, 0};
 	AUTO_BUF b = {0};
-	rs_record_t hard;
-	char path[RS_PATH_BYTES];
+	store_record_t hard;
+	char path[STORE_PATH_BYTES];
 	status_t st;
 
-	h.crc = rs_crc(0, &h, offsetof(rs_segment_header_t, crc));
-	rs_segment_path(s, number, path);
+	h.crc = store_crc(0, &h, offsetof(store_segment_header_t, crc));
+	store_segment_path(s, number, path);
 	s->fd = open(path, O_CREAT | O_TRUNC | O_RDWR | O_CLOEXEC, 0600);
 	if (s->fd < 0)
-		return st_fail(ST_IO, "%s: open: %s", path, strerror(errno));
+		return status_fail(STATUS_IO, "%s: open: %s", path, strerror(errno));
 	s->number = number;
 	s->size = sizeof(h);
-	rs_segment_add(s, number, 0);
-	st = rs_file_write(&s->fault, s->fd, path, (str_t){(const char *)&h, sizeof(h)}, 0);
-	if (st != ST_OK)
+	store_segment_add(s, number, 0);
+	st = store_file_write(&s->fault, s->fd, path, (str_t){(const char *)&h, sizeof(h)}, 0);
+	if (st != STATUS_OK)
 		return st;
 	pthread_mutex_lock(&s->lock);
 	hard = s->hard;
 	pthread_mutex_unlock(&s->lock);
 	add_record(&b, hard, (str_t){0});
 	st = write_synced(s, &b);
-	return st == ST_OK ? rs_dir_sync(&s->fault, s->dir) : st;
+	return st == STATUS_OK ? store_dir_sync(&s->fault, s->dir) : st;
 }
 
-status_t rs_segment_continue(rs_t *s, uint64_t size)
+status_t store_segment_continue(store_t *s, uint64_t size)
 {
-	char path[RS_PATH_BYTES];
+	char path[STORE_PATH_BYTES];
 
 	s->number = s->segments[s->nsegments - 1].number;
-	rs_segment_path(s, s->number, path);
+	store_segment_path(s, s->number, path);
 	s->fd = open(path, O_RDWR | O_CLOEXEC);
 	if (s->fd < 0)
-		return st_fail(ST_IO, "%s: open: %s", path, strerror(errno));
+		return status_fail(STATUS_IO, "%s: open: %s", path, strerror(errno));
 	s->size = size;
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static status_t begin_next_segment(rs_t *s)
+static status_t begin_next_segment(store_t *s)
 {
 	close(s->fd);
-	return rs_segment_begin(s, s->number + 1);
+	return store_segment_begin(s, s->number + 1);
 }
 
 /* Takes what is queued; its number is *seq. */
-static status_t take_queued(rs_t *s, uint64_t *seq)
+static status_t take_queued(store_t *s, uint64_t *seq)
 {
-	rs_segment_t *seg;
+	store_segment_t *seg;
 	buf_t swap;
 
 	pthread_mutex_lock(&s->lock);
 	if (s->failed) {
 		pthread_mutex_unlock(&s->lock);
-		return st_fail(ST_IO, "%s: the disk failed before", s->dir);
+		return status_fail(STATUS_IO, "%s: the disk failed before", s->dir);
 	}
 	swap = s->writing;
 	swap.n = 0;
@@ -198,26 +200,26 @@
 		seg->max_index = s->queued_max;
 	s->queued_max = 0;
 	pthread_mutex_unlock(&s->lock);
-	return ST_OK;
+	return STATUS_OK;
 }
 
-status_t rs_sync(rs_t *s, uint64_t *seq)
+status_t store_sync(store_t *s, uint64_t *seq)
 {
-	int64_t start = clk_now_us();
+	int64_t start = clock_now_us();
 	status_t st = take_queued(s, seq);
 
-	if (st != ST_OK || s->writing.n == 0)
+	if (st != STATUS_OK || s->writing.n == 0)
 		return st;
 	s->marked = false;
 	st = write_synced(s, &s->writing);
 	pthread_mutex_lock(&s->lock);
 	s->counters.syncs++;
-	s->counters.sync_us += (uint64_t)(clk_now_us() - start);
+	s->counters.sync_us += (uint64_t)(clock_now_us() - start);
 	s->counters.bytes += s->writing.n;
 	pthread_mutex_unlock(&s->lock);
-	if (st == ST_OK && s->size >= s->segment_bytes)
+	if (st == STATUS_OK && s->size >= s->segment_bytes)
 		st = begin_next_segment(s);
-	if (st != ST_OK) {
+	if (st != STATUS_OK) {
 		pthread_mutex_lock(&s->lock);
 		s->failed = true;
 		pthread_mutex_unlock(&s->lock);
@@ -225,23 +227,23 @@
 	return st;
 }
 
-void rs_idle(rs_t *s)
+void store_write_sync_mark(store_t *s)
 {
 	AUTO_BUF b = {0};
-	char path[RS_PATH_BYTES];
+	char path[STORE_PATH_BYTES];
 
 	if (s->marked)
 		return;
 	s->marked = true;
-	add_record(&b, (rs_record_t){.type = RS_MARK}, (str_t){0});
+	add_record(&b, (store_record_t){.type = STORE_RECORD_SYNC_MARK}, (str_t){0});
 	seal_records(&b, s->size);
-	rs_segment_path(s, s->number, path);
-	if (rs_file_write(&s->fault, s->fd, path, str_buf(&b), (off_t)s->size) == ST_OK)
+	store_segment_path(s, s->number, path);
+	if (store_file_write(&s->fault, s->fd, path, str_buf(&b), (off_t)s->size) == STATUS_OK)
 		s->size += b.n;
 }
 
 /* Takes the oldest segment off the list if it holds nothing beyond index. */
-static bool take_oldest(rs_t *s, uint64_t index, uint64_t *number)
+static bool take_oldest(store_t *s, uint64_t index, uint64_t *number)
 {
 	bool take;
 
@@ -256,19 +258,19 @@
 	return take;
 }
 
-void rs_segments_drop(rs_t *s, uint64_t index)
+void store_segments_remove(store_t *s, uint64_t index)
 {
-	char path[RS_PATH_BYTES];
+	char path[STORE_PATH_BYTES];
 	uint64_t number;
 
 	/* Without the lock: removing a file may wait for a sync of another. */
 	while (take_oldest(s, index, &number)) {
-		rs_segment_path(s, number, path);
+		store_segment_path(s, number, path);
 		unlink(path);
 	}
 }
 
-void rs_counters(rs_t *s, rs_counters_t *out)
+void store_get_counters(store_t *s, store_counters_t *out)
 {
 	pthread_mutex_lock(&s->lock);
 	*out = s->counters;
--- /dev/null
+++ b/src/raft/store_open.c
@@ -0,0 +1,169 @@
+/* Opening and closing a folder, and the id that is written when it is first made. */
+#include "raft/store_internal.h"
+
+#include <dirent.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <unistd.h>
+
+#define ID_NAME "id"
+
+typedef struct {
+	uint64_t magic;
+	uint64_t id;
+	uint32_t crc;
+	uint32_t zero;
+} id_file_t;
+
+bool store_exists(const char *dir)
+{
+	char path[STORE_PATH_BYTES];
+
+	snprintf(path, sizeof(path), "%s/" ID_NAME, dir);
+	return access(path, F_OK) == 0;
+}
+
+static status_t read_id(store_t *s)
+{
+	char path[STORE_PATH_BYTES];
+	AUTO_BUF b = {0};
+	id_file_t f;
+	status_t st;
+
+	snprintf(path, sizeof(path), "%s/" ID_NAME, s->dir);
+	st = store_file_read(path, &b);
+	if (st != STATUS_OK)
+		return st;
+	if (b.n != sizeof(f))
+		return status_fail(STATUS_CORRUPT, "%s: offset %zu: wrong length", path, b.n);
+	memcpy(&f, b.p, sizeof(f));
+	if (f.magic != STORE_ID_MAGIC || f.crc != store_crc(0, &f, offsetof(id_file_t, crc)))
+		return status_fail(STATUS_CORRUPT, "%s: offset 0: checksum differs", path);
+	s->id = f.id;
+	return STATUS_OK;
+}
+
+static status_t write_id(store_t *s)
+{
+	id_file_t f = {STORE_ID_MAGIC, s->id, 0, 0};
+
+	f.crc = store_crc(0, &f, offsetof(id_file_t, crc));
+	return store_file_replace(&s->fault, s->dir, ID_NAME, &(str_t){(const char *)&f, sizeof(f)},
+				  1);
+}
+
+/* Removes what a making that was cut off left behind; a folder with a snapshot is no such. */
+static status_t clear_unfinished(const store_t *s)
+{
+	DIR *d = opendir(s->dir);
+	status_t st = STATUS_OK;
+	struct dirent *e;
+
+	while (d && (e = readdir(d))) {
+		char path[STORE_PATH_BYTES * 2];
+
+		if (strncmp(e->d_name, "snap-", 5) == 0)
+			st = status_fail(STATUS_CORRUPT, "%s/%s: offset 0: the file is missing",
+					 s->dir, ID_NAME);
+		snprintf(path, sizeof(path), "%s/%s", s->dir, e->d_name);
+		if (st == STATUS_OK && strncmp(e->d_name, "log-", 4) == 0)
+			unlink(path);
+	}
+	if (d)
+		closedir(d);
+	return st;
+}
+
+/* Makes the first segment; the id comes last and so marks a folder that is whole. */
+static status_t make_folder(store_t *s, const store_options_t *o)
+{
+	AUTO_BUF conf = {0};
+	raft_entry_t e = {.kind = RAFT_ENTRY_MEMBERS};
+	uint64_t seq;
+	status_t st = clear_unfinished(s);
+
+	if (st != STATUS_OK)
+		return st;
+	s->id = o->new_id;
+	s->hard = (store_record_t){.type = STORE_RECORD_HARD_STATE};
+	st = store_segment_begin(s, 1);
+	if (st == STATUS_OK && o->first_members) {
+		raft_members_encode(o->first_members, &conf);
+		e.data.data_val = conf.p;
+		e.data.data_len = (u_int)conf.n;
+		store_queue_entries(s, 0, 1, &e, 1);
+		st = store_sync(s, &seq);
+	}
+	if (st == STATUS_OK)
+		st = write_id(s);
+	close(s->fd);
+	s->fd = -1;
+	s->nsegments = 0;
+	return st;
+}
+
+static status_t open_folder(store_t *s, const store_options_t *o, store_contents_t *state)
+{
+	status_t st = store_dir_make(&s->fault, s->dir);
+
+	state->created = !store_exists(s->dir);
+	if (st == STATUS_OK && state->created)
+		st = make_folder(s, o);
+	if (st == STATUS_OK)
+		st = read_id(s);
+	if (st == STATUS_OK)
+		st = store_snaps_find(s, state);
+	if (st == STATUS_OK)
+		st = store_replay(s, state);
+	state->id = s->id;
+	return st;
+}
+
+status_t store_open(const store_options_t *o, store_t **out, store_contents_t *state)
+{
+	store_t *s = mem_new(sizeof(*s));
+	status_t st;
+
+	*state = (store_contents_t){0};
+	pthread_mutex_init(&s->lock, NULL);
+	snprintf(s->dir, sizeof(s->dir), "%s", o->dir);
+	s->segment_bytes = o->segment_bytes ? o->segment_bytes : STORE_SEGMENT_BYTES;
+	s->fd = -1;
+	s->in.fd = -1;
+	s->chunk.p = mem_new(STORE_CHUNK_BYTES);
+	store_disk_fault_from_env(&s->fault);
+	st = open_folder(s, o, state);
+	if (st != STATUS_OK) {
+		store_close(s);
+		store_contents_free(state);
+		return st;
+	}
+	*out = s;
+	return STATUS_OK;
+}
+
+void store_close(store_t *s)
+{
+	if (!s)
+		return;
+	if (s->fd >= 0)
+		close(s->fd);
+	store_snaps_close(s);
+	buf_free(&s->queued);
+	buf_free(&s->writing);
+	buf_free(&s->chunk);
+	buf_free(&s->chunk_conf);
+	free(s->segments);
+	pthread_mutex_destroy(&s->lock);
+	free(s);
+}
+
+void store_contents_free(store_contents_t *state)
+{
+	for (size_t i = 0; i < state->nentries; i++)
+		free(state->entries[i].data.data_val);
+	free(state->entries);
+	buf_free(&state->snap);
+	*state = (store_contents_t){0};
+}
--- a/src/raft/rs_replay.c
+++ b/src/raft/store_replay.c
@@ -1,5 +1,5 @@
 /* Reading the segments back when a folder is opened. */
-#include "raft/rs_int.h"
+#include "raft/store_internal.h"
 
 #include <assert.h>
 #include <errno.h>
@@ -11,12 +11,12 @@
 
 /* The log while it is put together. */
 typedef struct {
-	rs_t *s;
-	rs_state_t *state;
+	store_t *s;
+	store_contents_t *state;
 	uint64_t base; /* entries[i] is entry base + 1 + i */
 	bool based; /* base is known */
 	uint64_t base_term;
-	rf_entry_t *entries;
+	raft_entry_t *entries;
 	size_t n;
 	size_t cap;
 	uint64_t max_index; /* of the segment being read */
@@ -28,9 +28,9 @@
 		free(rp->entries[--rp->n].data.data_val);
 }
 
-static void take_entry(replay_t *rp, const rs_record_t *rec, str_t data)
+static void take_entry(replay_t *rp, const store_record_t *rec, str_t data)
 {
-	rf_entry_t e = {.term = rec->term, .kind = (rf_kind_t)rec->kind};
+	raft_entry_t e = {.term = rec->term, .kind = (raft_entry_kind_t)rec->entry_kind};
 
 	if (!rp->based || rec->index <= rp->base) {
 		drop_entries(rp, 0);
@@ -49,39 +49,39 @@
 		rp->max_index = rec->index;
 }
 
-static status_t take_record(replay_t *rp, const rs_record_t *rec, str_t data, const char *path,
+static status_t take_record(replay_t *rp, const store_record_t *rec, str_t data, const char *path,
 			    size_t at)
 {
 	switch (rec->type) {
-	case RS_ENTRY:
+	case STORE_RECORD_ENTRY:
 		if (rec->index == 0 || (rp->based && rec->index > rp->base + rp->n + 1))
-			return st_fail(ST_CORRUPT, "%s: offset %zu: entry %lu after %lu", path, at,
-				       (unsigned long)rec->index,
-				       (unsigned long)(rp->base + rp->n));
+			return status_fail(STATUS_CORRUPT, "%s: offset %zu: entry %lu after %lu",
+					   path, at, (unsigned long)rec->index,
+					   (unsigned long)(rp->base + rp->n));
 		take_entry(rp, rec, data);
-		return ST_OK;
-	case RS_HARD:
+		return STATUS_OK;
+	case STORE_RECORD_HARD_STATE:
 		rp->state->term = rec->term;
 		rp->state->vote = rec->index;
-		rp->s->hard =
-			(rs_record_t){.type = RS_HARD, .index = rec->index, .term = rec->term};
-		return ST_OK;
-	case RS_RESET:
+		rp->s->hard = (store_record_t){
+			.type = STORE_RECORD_HARD_STATE, .index = rec->index, .term = rec->term};
+		return STATUS_OK;
+	case STORE_RECORD_RESET:
 		drop_entries(rp, 0);
 		rp->base = rec->index;
 		rp->base_term = rec->term;
 		rp->based = true;
-		return ST_OK;
-	case RS_MARK:
-		return ST_OK;
+		return STATUS_OK;
+	case STORE_RECORD_SYNC_MARK:
+		return STATUS_OK;
 	default:
-		return st_fail(ST_CORRUPT, "%s: offset %zu: record of type %u", path, at,
-			       rec->type);
+		return status_fail(STATUS_CORRUPT, "%s: offset %zu: record of type %u", path, at,
+				   rec->type);
 	}
 }
 
 /* Reads the record at `at`; its length with padding, or 0 when there is no whole one. */
-static size_t parse_record(str_t file, size_t at, rs_record_t *rec, str_t *data)
+static size_t parse_record(str_t file, size_t at, store_record_t *rec, str_t *data)
 {
 	size_t padded;
 	uint32_t crc;
@@ -89,12 +89,13 @@
 	if (file.n - at < sizeof(*rec))
 		return 0;
 	memcpy(rec, file.p + at, sizeof(*rec));
-	if (rec->magic != RS_RECORD_MAGIC || rec->len > file.n - at - sizeof(*rec))
+	if (rec->magic != STORE_RECORD_MAGIC || rec->len > file.n - at - sizeof(*rec))
 		return 0;
-	padded = ((size_t)rec->len + RS_ALIGN - 1) / RS_ALIGN * RS_ALIGN;
+	padded = ((size_t)rec->len + STORE_RECORD_ALIGN - 1) / STORE_RECORD_ALIGN *
+		 STORE_RECORD_ALIGN;
 	*data = (str_t){file.p + at + sizeof(*rec), rec->len};
-	crc = rs_crc(0, &rec->len, sizeof(*rec) - offsetof(rs_record_t, len));
-	if (rs_crc(crc, data->p, data->n) != rec->crc || padded > file.n - at - sizeof(*rec))
+	crc = store_crc(0, &rec->len, sizeof(*rec) - offsetof(store_record_t, len));
+	if (store_crc(crc, data->p, data->n) != rec->crc || padded > file.n - at - sizeof(*rec))
 		return 0;
 	return sizeof(*rec) + padded;
 }
@@ -102,36 +103,37 @@
 /* True when a later record proves that the bytes at `broken` had been synced. */
 static bool was_synced(str_t file, size_t broken)
 {
-	rs_record_t rec;
+	store_record_t rec;
 	str_t data;
 
-	for (size_t at = broken + RS_ALIGN; at + sizeof(rec) <= file.n; at += RS_ALIGN) {
-		if (parse_record(file, at, &rec, &data) != 0 && rec.synced > broken)
+	for (size_t at = broken + STORE_RECORD_ALIGN; at + sizeof(rec) <= file.n;
+	     at += STORE_RECORD_ALIGN) {
+		if (parse_record(file, at, &rec, &data) != 0 && rec.synced_len > broken)
 			return true;
 	}
 	return false;
 }
 
-static bool header_is_whole(const rs_t *s, str_t file, uint64_t number)
+static bool header_is_whole(const store_t *s, str_t file, uint64_t number)
 {
-	rs_segment_header_t h;
+	store_segment_header_t h;
 
 	if (file.n < sizeof(h))
 		return false;
 	memcpy(&h, file.p, sizeof(h));
-	return h.magic == RS_SEGMENT_MAGIC && h.id == s->id && h.number == number &&
-	       h.crc == rs_crc(0, &h, offsetof(rs_segment_header_t, crc));
+	return h.magic == STORE_SEGMENT_MAGIC && h.id == s->id && h.number == number &&
+	       h.crc == store_crc(0, &h, offsetof(store_segment_header_t, crc));
 }
 
-static status_t cut_tail(rs_t *s, const char *path, size_t at)
+static status_t cut_tail(store_t *s, const char *path, size_t at)
 {
 	int fd = open(path, O_RDWR | O_CLOEXEC);
-	status_t st = ST_OK;
+	status_t st = STATUS_OK;
 
 	if (fd < 0 || ftruncate(fd, (off_t)at) != 0)
-		st = st_fail(ST_IO, "%s: truncate: %s", path, strerror(errno));
-	if (st == ST_OK)
-		st = rs_file_sync(&s->fault, fd, path);
+		st = status_fail(STATUS_IO, "%s: truncate: %s", path, strerror(errno));
+	if (st == STATUS_OK)
+		st = store_file_sync(&s->fault, fd, path);
 	if (fd >= 0)
 		close(fd);
 	return st;
@@ -140,26 +142,26 @@
 /* Reads one segment; *size is the length of its whole records. */
 static status_t read_segment(replay_t *rp, uint64_t number, bool is_last, size_t *size)
 {
-	char path[RS_PATH_BYTES];
+	char path[STORE_PATH_BYTES];
 	AUTO_BUF b = {0};
-	rs_record_t rec;
+	store_record_t rec;
 	str_t data;
 	str_t file;
-	size_t at = sizeof(rs_segment_header_t);
+	size_t at = sizeof(store_segment_header_t);
 	status_t st;
 
-	rs_segment_path(rp->s, number, path);
-	st = rs_file_read(path, &b);
-	if (st != ST_OK)
+	store_segment_path(rp->s, number, path);
+	st = store_file_read(path, &b);
+	if (st != STATUS_OK)
 		return st;
 	file = str_buf(&b);
 	*size = 0;
 	if (!header_is_whole(rp->s, file, number)) {
 		if (is_last && !was_synced(file, 0)) {
 			rp->state->cut_bytes = file.n;
-			return ST_OK;
+			return STATUS_OK;
 		}
-		return st_fail(ST_CORRUPT, "%s: offset 0: broken header", path);
+		return status_fail(STATUS_CORRUPT, "%s: offset 0: broken header", path);
 	}
 	while (at < file.n) {
 		size_t n = parse_record(file, at, &rec, &data);
@@ -167,15 +169,15 @@
 		if (n == 0)
 			break;
 		st = take_record(rp, &rec, data, path, at);
-		if (st != ST_OK)
+		if (st != STATUS_OK)
 			return st;
 		at += n;
 	}
 	*size = at;
 	if (at == file.n)
-		return ST_OK;
+		return STATUS_OK;
 	if (!is_last || was_synced(file, at))
-		return st_fail(ST_CORRUPT, "%s: offset %zu: broken record", path, at);
+		return status_fail(STATUS_CORRUPT, "%s: offset %zu: broken record", path, at);
 	rp->state->cut_bytes = file.n - at;
 	return cut_tail(rp->s, path, at);
 }
@@ -183,43 +185,45 @@
 static status_t read_segments(replay_t *rp)
 {
 	AUTO_FREE uint64_t *numbers = NULL;
-	size_t n = rs_list_numbered(rp->s->dir, "log-", &numbers);
-	status_t st = ST_OK;
+	size_t n = store_list_numbered_files(rp->s->dir, "log-", &numbers);
+	status_t st = STATUS_OK;
 	size_t size = 0;
 
-	for (size_t i = 0; i < n && st == ST_OK; i++) {
+	for (size_t i = 0; i < n && st == STATUS_OK; i++) {
 		if (i > 0 && numbers[i] != numbers[i - 1] + 1)
-			return st_fail(ST_CORRUPT, "%s: segment %lx is missing", rp->s->dir,
-				       (unsigned long)numbers[i - 1] + 1);
+			return status_fail(STATUS_CORRUPT, "%s: segment %lx is missing", rp->s->dir,
+					   (unsigned long)numbers[i - 1] + 1);
 		rp->max_index = 0;
 		st = read_segment(rp, numbers[i], i + 1 == n, &size);
-		if (st == ST_OK && size > 0)
-			rs_segment_add(rp->s, numbers[i], rp->max_index);
+		if (st == STATUS_OK && size > 0)
+			store_segment_add(rp->s, numbers[i], rp->max_index);
 	}
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	if (n == 0)
-		return st_fail(ST_CORRUPT, "%s: no segment", rp->s->dir);
+		return status_fail(STATUS_CORRUPT, "%s: no segment", rp->s->dir);
 	/* A segment whose header is torn held nothing yet; it is made anew. */
 	if (size == 0 && n == 1)
-		return st_fail(ST_CORRUPT, "%s: the only segment has no whole header", rp->s->dir);
+		return status_fail(STATUS_CORRUPT, "%s: the only segment has no whole header",
+				   rp->s->dir);
 	if (size == 0)
-		return rs_segment_begin(rp->s, numbers[n - 1]);
-	return rs_segment_continue(rp->s, size);
+		return store_segment_begin(rp->s, numbers[n - 1]);
+	return store_segment_continue(rp->s, size);
 }
 
 /* Hands over what follows the snapshot. */
 static status_t join_snapshot(replay_t *rp)
 {
-	rs_state_t *state = rp->state;
+	store_contents_t *state = rp->state;
 	uint64_t snap = state->snap_index;
 	uint64_t last = rp->base + rp->n;
 	uint64_t term = state->snap_term;
 	size_t skip;
 
 	if (rp->based && rp->base > snap)
-		return st_fail(ST_CORRUPT, "%s: the log begins after %lu, the snapshot ends at %lu",
-			       rp->s->dir, (unsigned long)rp->base, (unsigned long)snap);
+		return status_fail(STATUS_CORRUPT,
+				   "%s: the log begins after %lu, the snapshot ends at %lu",
+				   rp->s->dir, (unsigned long)rp->base, (unsigned long)snap);
 	skip = last < snap ? rp->n : snap - rp->base;
 	assert(skip == 0 || rp->entries);
 	if (skip)
@@ -227,25 +231,25 @@
 	if (last < snap || term != state->snap_term) {
 		/* The snapshot came from a leader, and the log wasn't yet begun anew. */
 		drop_entries(rp, 0);
-		rs_reset(rp->s, 0, snap, state->snap_term);
-		return ST_OK;
+		store_queue_reset(rp->s, 0, snap, state->snap_term);
+		return STATUS_OK;
 	}
 	for (size_t i = 0; i < skip; i++)
 		free(rp->entries[i].data.data_val);
 	rp->n -= skip;
 	if (rp->n)
 		memmove(rp->entries, rp->entries + skip, rp->n * sizeof(*rp->entries));
-	return ST_OK;
+	return STATUS_OK;
 }
 
-status_t rs_replay(rs_t *s, rs_state_t *state)
+status_t store_replay(store_t *s, store_contents_t *state)
 {
 	replay_t rp = {.s = s, .state = state};
 	status_t st = read_segments(&rp);
 
-	if (st == ST_OK)
+	if (st == STATUS_OK)
 		st = join_snapshot(&rp);
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		drop_entries(&rp, 0);
 	state->entries = rp.entries;
 	state->nentries = rp.n;
