--- a/src/raft/rs_snap.c
+++ b/src/raft/store_snapshot.c
@@ -1,5 +1,5 @@
 /* Snapshot files: written from the own state or from a leader's pieces, read back in pieces. */
-#include "raft/rs_int.h"
+#include "raft/store_internal.h"
 
 #include <assert.h>
 #include <errno.h>
@@ -12,28 +12,28 @@
 
 #define RECEIVE_NAME "snap.tmp"
 
-static void snap_path(const rs_t *s, uint64_t index, char path[RS_PATH_BYTES])
+static void snap_path(const store_t *s, uint64_t index, char path[STORE_PATH_BYTES])
 {
-	snprintf(path, RS_PATH_BYTES, "%s/snap-%016lx", s->dir, (unsigned long)index);
+	snprintf(path, STORE_PATH_BYTES, "%s/snap-%016lx", s->dir, (unsigned long)index);
 }
 
-static rs_snap_header_t make_header(uint64_t index, uint64_t term, str_t conf)
+static store_snap_header_t make_header(uint64_t index, uint64_t term, str_t conf)
 {
-	rs_snap_header_t h = {RS_SNAP_MAGIC, index, term, (uint32_t)conf.n, 0};
+	store_snap_header_t h = {STORE_SNAP_MAGIC, index, term, (uint32_t)conf.n, 0};
 
-	h.crc = rs_crc(0, &h, offsetof(rs_snap_header_t, crc));
-	h.crc = rs_crc(h.crc, conf.p, conf.n);
+	h.crc = store_crc(0, &h, offsetof(store_snap_header_t, crc));
+	h.crc = store_crc(h.crc, conf.p, conf.n);
 	return h;
 }
 
-static void close_snap(rs_snap_t *sn)
+static void close_snap(store_snap_t *sn)
 {
 	if (sn->fd >= 0)
 		close(sn->fd);
 	buf_free(&sn->conf);
 }
 
-void rs_snaps_close(rs_t *s)
+void store_snaps_close(store_t *s)
 {
 	for (unsigned i = 0; i < s->nsnaps; i++)
 		close_snap(&s->snaps[i]);
@@ -74,15 +74,15 @@
 }
 
 /* Reads what stands around the state. False: the file was cut short or isn't a snapshot. */
-static bool read_frame(rs_snap_t *sn, uint64_t size)
+static bool read_frame(store_snap_t *sn, uint64_t size)
 {
-	rs_snap_header_t h;
-	rs_snap_footer_t f;
+	store_snap_header_t h;
+	store_snap_footer_t f;
 
 	if (size < sizeof(h) + sizeof(f) || !read_at(sn->fd, 0, &h, sizeof(h)) ||
 	    !read_at(sn->fd, size - sizeof(f), &f, sizeof(f)))
 		return false;
-	if (h.magic != RS_SNAP_MAGIC || h.index != sn->index || f.magic != RS_RECORD_MAGIC ||
+	if (h.magic != STORE_SNAP_MAGIC || h.index != sn->index || f.magic != STORE_RECORD_MAGIC ||
 	    h.conf_len > size || sizeof(h) + h.conf_len + f.len + sizeof(f) != size)
 		return false;
 	sn->term = h.term;
@@ -94,40 +94,42 @@
 }
 
 /* Opens a snapshot's file and checks all but the state. */
-static status_t open_snap(const rs_t *s, uint64_t index, rs_snap_t *sn)
+static status_t open_snap(const store_t *s, uint64_t index, store_snap_t *sn)
 {
-	char path[RS_PATH_BYTES];
+	char path[STORE_PATH_BYTES];
 	struct stat sb;
 
-	*sn = (rs_snap_t){.index = index};
+	*sn = (store_snap_t){.index = index};
 	snap_path(s, index, path);
 	sn->fd = open(path, O_RDONLY | O_CLOEXEC);
 	if (sn->fd < 0 || fstat(sn->fd, &sb) != 0)
-		return st_fail(ST_IO, "%s: open: %s", path, strerror(errno));
+		return status_fail(STATUS_IO, "%s: open: %s", path, strerror(errno));
 	if (!read_frame(sn, (uint64_t)sb.st_size))
-		return st_fail(ST_CORRUPT, "%s: offset 0: cut short or not a snapshot", path);
-	return ST_OK;
+		return status_fail(STATUS_CORRUPT, "%s: offset 0: cut short or not a snapshot",
+				   path);
+	return STATUS_OK;
 }
 
 /* Appends the state to out once it is checked. */
-static status_t load_state(const rs_t *s, const rs_snap_t *sn, buf_t *out)
+static status_t load_state(const store_t *s, const store_snap_t *sn, buf_t *out)
 {
-	char path[RS_PATH_BYTES];
+	char path[STORE_PATH_BYTES];
 	size_t was = out->n;
 
 	snap_path(s, sn->index, path);
 	if (!append_at(sn->fd, sn->at, sn->len, out))
-		return st_fail(ST_IO, "%s: read: %s", path, strerror(errno));
-	if (rs_crc(0, out->p + was, sn->len) == sn->crc)
-		return ST_OK;
+		return status_fail(STATUS_IO, "%s: read: %s", path, strerror(errno));
+	if (store_crc(0, out->p + was, sn->len) == sn->crc)
+		return STATUS_OK;
 	out->n = was;
-	return st_fail(ST_CORRUPT, "%s: offset %lu: checksum differs", path, (unsigned long)sn->at);
+	return status_fail(STATUS_CORRUPT, "%s: offset %lu: checksum differs", path,
+			   (unsigned long)sn->at);
 }
 
 /* Puts a snapshot into the list, which is oldest first; drops those beyond the two newest. */
-static rs_snap_t insert_snap(rs_t *s, const rs_snap_t *sn)
+static store_snap_t insert_snap(store_t *s, const store_snap_t *sn)
 {
-	rs_snap_t old = {.fd = -1};
+	store_snap_t old = {.fd = -1};
 	unsigned at = s->nsnaps;
 
 	while (at > 0 && s->snaps[at - 1].index > sn->index)
@@ -135,7 +137,7 @@
 	memmove(&s->snaps[at + 1], &s->snaps[at], (s->nsnaps - at) * sizeof(*sn));
 	s->snaps[at] = *sn;
 	s->nsnaps++;
-	if (s->nsnaps > RS_SNAPS_KEPT) {
+	if (s->nsnaps > STORE_SNAPS_MAX) {
 		old = s->snaps[0];
 		s->nsnaps--;
 		memmove(s->snaps, s->snaps + 1, s->nsnaps * sizeof(s->snaps[0]));
@@ -144,10 +146,10 @@
 }
 
 /* Keeps an open snapshot; removes the one that it makes superfluous. */
-static void keep_snap(rs_t *s, const rs_snap_t *sn)
+static void keep_snap(store_t *s, const store_snap_t *sn)
 {
-	char path[RS_PATH_BYTES];
-	rs_snap_t old;
+	char path[STORE_PATH_BYTES];
+	store_snap_t old;
 
 	pthread_mutex_lock(&s->lock);
 	old = insert_snap(s, sn);
@@ -160,12 +162,12 @@
 }
 
 /* Keeps the snapshot whose file was just written. */
-static status_t keep_written(rs_t *s, uint64_t index)
+static status_t keep_written(store_t *s, uint64_t index)
 {
-	rs_snap_t sn;
+	store_snap_t sn;
 	status_t st = open_snap(s, index, &sn);
 
-	if (st == ST_OK)
+	if (st == STATUS_OK)
 		keep_snap(s, &sn);
 	else
 		close_snap(&sn);
@@ -173,10 +175,10 @@
 }
 
 /* Renames a file that is broken, so that it isn't met again. */
-static void set_aside(const rs_t *s, uint64_t index)
+static void set_aside(const store_t *s, uint64_t index)
 {
-	char path[RS_PATH_BYTES];
-	char aside[RS_PATH_BYTES + 16];
+	char path[STORE_PATH_BYTES];
+	char aside[STORE_PATH_BYTES + 16];
 
 	snap_path(s, index, path);
 	snprintf(aside, sizeof(aside), "%s.broken", path);
@@ -185,71 +187,71 @@
 
 /* Checks one file and keeps it; the first that is whole gives the state. A broken one is set
  * aside. */
-static status_t take_snap(rs_t *s, uint64_t index, rs_state_t *state)
+static status_t take_snap(store_t *s, uint64_t index, store_contents_t *state)
 {
-	rs_snap_t sn;
-	rf_conf_t conf;
+	store_snap_t sn;
+	raft_members_t conf;
 	status_t st = open_snap(s, index, &sn);
 
-	if (st == ST_OK)
-		st = rf_conf_decode(str_buf(&sn.conf), &conf);
-	if (st == ST_OK && state->snap_index == 0)
+	if (st == STATUS_OK)
+		st = raft_members_decode(str_buf(&sn.conf), &conf);
+	if (st == STATUS_OK && state->snap_index == 0)
 		st = load_state(s, &sn, &state->snap);
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		close_snap(&sn);
-	if (st == ST_CORRUPT) {
+	if (st == STATUS_CORRUPT) {
 		set_aside(s, index);
 		state->snap_broken = true;
-		return ST_OK;
+		return STATUS_OK;
 	}
-	if (st != ST_OK)
+	if (st != STATUS_OK)
 		return st;
 	if (state->snap_index == 0) {
 		state->snap_index = index;
 		state->snap_term = sn.term;
-		state->snap_conf = conf;
+		state->snap_members = conf;
 	}
 	keep_snap(s, &sn);
-	return ST_OK;
+	return STATUS_OK;
 }
 
 /* The newest whole snapshot becomes the state; a broken one gives way to the one before. */
-status_t rs_snaps_find(rs_t *s, rs_state_t *state)
+status_t store_snaps_find(store_t *s, store_contents_t *state)
 {
 	AUTO_FREE uint64_t *v = NULL;
-	size_t n = rs_list_numbered(s->dir, "snap-", &v);
+	size_t n = store_list_numbered_files(s->dir, "snap-", &v);
 
 	for (size_t i = n; i > 0; i--) {
 		status_t st = take_snap(s, v[i - 1], state);
 
-		if (st != ST_OK)
+		if (st != STATUS_OK)
 			return st;
 	}
-	return ST_OK;
+	return STATUS_OK;
 }
 
-status_t rs_snap_save(rs_t *s, uint64_t index, uint64_t term, str_t conf, str_t state)
+status_t store_save_snapshot(store_t *s, uint64_t index, uint64_t term, str_t conf, str_t state)
 {
-	rs_snap_header_t h = make_header(index, term, conf);
-	rs_snap_footer_t f = {state.n, rs_crc(0, state.p, state.n), RS_RECORD_MAGIC};
+	store_snap_header_t h = make_header(index, term, conf);
+	store_snap_footer_t f = {state.n, store_crc(0, state.p, state.n), STORE_RECORD_MAGIC};
 	const str_t parts[] = {
 		{(const char *)&h, sizeof(h)}, conf, state, {(const char *)&f, sizeof(f)}};
 	char name[64];
 	status_t st;
 
-	if (index <= rs_snap_newest(s))
-		return ST_OK;
+	if (index <= store_newest_snapshot(s))
+		return STATUS_OK;
 	snprintf(name, sizeof(name), "snap-%016lx", (unsigned long)index);
-	st = rs_file_replace(&s->fault, s->dir, name, parts, sizeof(parts) / sizeof(parts[0]));
-	if (st != ST_OK)
+	st = store_file_replace(&s->fault, s->dir, name, parts, sizeof(parts) / sizeof(parts[0]));
+	if (st != STATUS_OK)
 		return st;
 	st = keep_written(s, index);
-	if (st == ST_OK)
-		rs_segments_drop(s, rs_snap_oldest(s));
+	if (st == STATUS_OK)
+		store_segments_remove(s, store_oldest_snapshot(s));
 	return st;
 }
 
-static rs_snap_t *find_snap(rs_t *s, uint64_t index)
+static store_snap_t *find_snap(store_t *s, uint64_t index)
 {
 	for (unsigned i = s->nsnaps; i > 0; i--) {
 		if (index == 0 || s->snaps[i - 1].index == index)
@@ -258,9 +260,9 @@
 	return NULL;
 }
 
-bool rs_snap_read(rs_t *s, rf_chunk_t *c)
+bool store_read_snapshot(store_t *s, raft_snap_chunk_t *c)
 {
-	rs_snap_t *sn;
+	store_snap_t *sn;
 	size_t n;
 	bool ok;
 
@@ -268,7 +270,8 @@
 	sn = find_snap(s, c->index);
 	ok = sn && c->offset <= sn->len;
 	if (ok) {
-		n = sn->len - c->offset < RS_CHUNK_BYTES ? sn->len - c->offset : RS_CHUNK_BYTES;
+		n = sn->len - c->offset < STORE_CHUNK_BYTES ? sn->len - c->offset
+							    : STORE_CHUNK_BYTES;
 		ok = read_at(sn->fd, sn->at + c->offset, s->chunk.p, n);
 		s->chunk.n = n;
 	}
@@ -277,7 +280,7 @@
 		buf_add(&s->chunk_conf, str_buf(&sn->conf));
 		c->index = sn->index;
 		c->term = sn->term;
-		c->conf = str_buf(&s->chunk_conf);
+		c->members = str_buf(&s->chunk_conf);
 		c->data = (str_t){s->chunk.p, s->chunk.n};
 		c->last = c->offset + s->chunk.n == sn->len;
 		c->crc = sn->crc;
@@ -286,79 +289,80 @@
 	return ok;
 }
 
-status_t rs_snap_load(rs_t *s, uint64_t index, buf_t *out)
+status_t store_load_snapshot(store_t *s, uint64_t index, buf_t *out)
 {
-	rs_snap_t sn;
+	store_snap_t sn;
 	status_t st = open_snap(s, index, &sn);
 
-	if (st == ST_OK)
+	if (st == STATUS_OK)
 		st = load_state(s, &sn, out);
 	close_snap(&sn);
 	return st;
 }
 
-static status_t begin_incoming(rs_t *s, const rf_chunk_t *c, const char *path)
+static status_t begin_incoming(store_t *s, const raft_snap_chunk_t *c, const char *path)
 {
-	rs_snap_header_t h = make_header(c->index, c->term, c->conf);
+	store_snap_header_t h = make_header(c->index, c->term, c->members);
 	AUTO_BUF b = {0};
 
 	if (s->in.fd >= 0)
 		close(s->in.fd);
-	s->in = (rs_incoming_t){.index = c->index, .at = sizeof(h) + c->conf.n};
+	s->in = (store_incoming_snap_t){.index = c->index, .at = sizeof(h) + c->members.n};
 	s->in.fd = open(path, O_CREAT | O_TRUNC | O_RDWR | O_CLOEXEC, 0600);
 	if (s->in.fd < 0)
-		return st_fail(ST_IO, "%s: open: %s", path, strerror(errno));
+		return status_fail(STATUS_IO, "%s: open: %s", path, strerror(errno));
 	buf_add(&b, (str_t){(const char *)&h, sizeof(h)});
-	buf_add(&b, c->conf);
-	return rs_file_write(&s->fault, s->in.fd, path, str_buf(&b), 0);
+	buf_add(&b, c->members);
+	return store_file_write(&s->fault, s->in.fd, path, str_buf(&b), 0);
 }
 
-static status_t finish_incoming(rs_t *s, const rf_chunk_t *c, const char *path)
+static status_t finish_incoming(store_t *s, const raft_snap_chunk_t *c, const char *path)
 {
-	rs_snap_footer_t f = {s->in.len, s->in.crc, RS_RECORD_MAGIC};
-	char final[RS_PATH_BYTES];
+	store_snap_footer_t f = {s->in.len, s->in.crc, STORE_RECORD_MAGIC};
+	char final[STORE_PATH_BYTES];
 	status_t st;
 
 	if (c->crc != s->in.crc)
-		return st_fail(ST_INVALID, "the snapshot at %lu arrived with another checksum",
-			       (unsigned long)c->index);
-
-	st = rs_file_write(&s->fault, s->in.fd, path, (str_t){(const char *)&f, sizeof(f)},
-			   (off_t)(s->in.at + s->in.len));
-	if (st == ST_OK)
-		st = rs_file_sync(&s->fault, s->in.fd, path);
+		return status_fail(STATUS_INVALID,
+				   "the snapshot at %lu arrived with another checksum",
+				   (unsigned long)c->index);
+
+	st = store_file_write(&s->fault, s->in.fd, path, (str_t){(const char *)&f, sizeof(f)},
+			      (off_t)(s->in.at + s->in.len));
+	if (st == STATUS_OK)
+		st = store_file_sync(&s->fault, s->in.fd, path);
 	close(s->in.fd);
 	s->in.fd = -1;
 	snap_path(s, c->index, final);
-	if (st == ST_OK && rename(path, final) != 0)
-		st = st_fail(ST_IO, "%s: rename: %s", path, strerror(errno));
-	if (st == ST_OK)
-		st = rs_dir_sync(&s->fault, s->dir);
-	return st == ST_OK ? keep_written(s, c->index) : st;
+	if (st == STATUS_OK && rename(path, final) != 0)
+		st = status_fail(STATUS_IO, "%s: rename: %s", path, strerror(errno));
+	if (st == STATUS_OK)
+		st = store_dir_sync(&s->fault, s->dir);
+	return st == STATUS_OK ? keep_written(s, c->index) : st;
 }
 
-status_t rs_snap_receive(rs_t *s, const rf_chunk_t *c)
+status_t store_receive_snapshot(store_t *s, const raft_snap_chunk_t *c)
 {
-	char path[RS_PATH_BYTES];
-	status_t st = ST_OK;
+	char path[STORE_PATH_BYTES];
+	status_t st = STATUS_OK;
 
 	snprintf(path, sizeof(path), "%s/%s", s->dir, RECEIVE_NAME);
 	if (c->offset == 0)
 		st = begin_incoming(s, c, path);
-	if (st == ST_OK && (s->in.fd < 0 || s->in.index != c->index || s->in.len != c->offset))
-		return st_fail(ST_INVALID, "a piece at %lu is out of order",
-			       (unsigned long)c->offset);
-	if (st == ST_OK)
-		st = rs_file_write(&s->fault, s->in.fd, path, c->data,
-				   (off_t)(s->in.at + s->in.len));
-	if (st != ST_OK)
+	if (st == STATUS_OK && (s->in.fd < 0 || s->in.index != c->index || s->in.len != c->offset))
+		return status_fail(STATUS_INVALID, "a piece at %lu is out of order",
+				   (unsigned long)c->offset);
+	if (st == STATUS_OK)
+		st = store_file_write(&s->fault, s->in.fd, path, c->data,
+				      (off_t)(s->in.at + s->in.len));
+	if (st != STATUS_OK)
 		return st;
-	s->in.crc = rs_crc(s->in.crc, c->data.p, c->data.n);
+	s->in.crc = store_crc(s->in.crc, c->data.p, c->data.n);
 	s->in.len += c->data.n;
-	return c->last ? finish_incoming(s, c, path) : ST_OK;
+	return c->last ? finish_incoming(s, c, path) : STATUS_OK;
 }
 
-uint64_t rs_snap_oldest(rs_t *s)
+uint64_t store_oldest_snapshot(store_t *s)
 {
 	uint64_t index;
 
@@ -368,7 +372,7 @@
 	return index;
 }
 
-uint64_t rs_snap_newest(rs_t *s)
+uint64_t store_newest_snapshot(store_t *s)
 {
 	uint64_t index;
 
--- /dev/null
+++ b/src/state/config_routes.c
@@ -0,0 +1,118 @@
+/* Routes of the operators' text. */
+#include <stdlib.h>
+#include <string.h>
+#include "state/config_internal.h"
+
+#define NAME_BYTES_MAX	   128
+#define PREFIX_BYTES_MAX   1024
+#define SHARES_MAX	   32
+#define TIMEOUT_MS_MAX	   (24LL * 3600 * 1000)
+#define RETENTION_S_MAX	   (366LL * 86400)
+#define ATTEMPTS_MAX	   16
+#define PRIORITY_MAX	   9
+#define TOKENS_MAX	   (1LL << 50)
+#define TIMEOUT_DEFAULT_MS 30000
+/** Bounds on what clients send where the text names none: the usual ones of HTTP servers. */
+#define HEADER_BYTES 16384
+#define BODY_BYTES   (8LL << 20)
+#define HEADER_MS    5000
+#define IDLE_MS	     60000
+#define MS_PER_S     1000
+
+static const struct {
+	const char *word;
+	route_kind_t kind;
+} kinds[] = {{"repeatable", ROUTE_REPEATABLE},
+	     {"once", ROUTE_ONCE},
+	     {"stream", ROUTE_STREAM},
+	     {"batch", ROUTE_BATCH}};
+
+static status_t read_kind(const toml_doc_t *c, const toml_table_t *t, const char *word,
+			  route_spec_t *r)
+{
+	for (size_t i = 0; i < sizeof(kinds) / sizeof(kinds[0]); i++) {
+		if (strcmp(kinds[i].word, word) == 0) {
+			r->kind = kinds[i].kind;
+			return STATUS_OK;
+		}
+	}
+	return status_fail(STATUS_INVALID, "%s:%d: kind: unknown kind \"%s\"", toml_name(c),
+			   toml_line(t, "kind"), word);
+}
+
+/* "service" or "service=weight". */
+static void read_share(const char *text, route_share_t *s)
+{
+	const char *eq = strrchr(text, '=');
+
+	*s = eq ? (route_share_t){str_dup((str_t){text, (size_t)(eq - text)}), atoll(eq + 1)}
+		: (route_share_t){str_dup(str_c(text)), 1};
+}
+
+static status_t read_route(const toml_doc_t *c, const toml_table_t *t, route_spec_t *r)
+{
+	AUTO_FREE char *kind = NULL;
+	toml_strs_t services = {0};
+	int64_t retention_s = 0;
+	const toml_key_t keys[] = {
+		{"name", TOML_STR, true, 1, NAME_BYTES_MAX, &r->name},
+		{"host", TOML_STR, true, 1, NAME_BYTES_MAX, &r->host},
+		{"prefix", TOML_STR, true, 1, PREFIX_BYTES_MAX, &r->prefix},
+		{"kind", TOML_STR, true, 1, NAME_BYTES_MAX, &kind},
+		{"services", TOML_STRS, true, 1, SHARES_MAX, &services},
+		{"timeout_ms", TOML_INT, false, 1, TIMEOUT_MS_MAX, &r->timeout_ms},
+		{"objective_ms", TOML_INT, false, 1, TIMEOUT_MS_MAX, &r->objective_ms},
+		{"pause_ms", TOML_INT, false, 0, TIMEOUT_MS_MAX, &r->pause_ms},
+		{"patience_ms", TOML_INT, false, 0, TIMEOUT_MS_MAX, &r->give_up_ms},
+		{"due_ms", TOML_INT, false, 0, TIMEOUT_MS_MAX, &r->due_ms},
+		{"retention_s", TOML_INT, false, 1, RETENTION_S_MAX, &retention_s},
+		{"attempts", TOML_INT, false, 1, ATTEMPTS_MAX, &r->attempts},
+		{"priority", TOML_INT, false, 0, PRIORITY_MAX, &r->priority},
+		{"waiting_tokens_max", TOML_INT, false, 0, TOKENS_MAX, &r->waiting_tokens_max},
+		{"resumable", TOML_BOOL, false, 0, 0, &r->resumable},
+		{0},
+	};
+	status_t st;
+
+	r->timeout_ms = r->objective_ms = TIMEOUT_DEFAULT_MS;
+	r->attempts = 1;
+	st = toml_read(c, t, keys, NULL);
+	if (st == STATUS_OK)
+		st = read_kind(c, t, kind, r);
+	r->retention_ms = retention_s * MS_PER_S;
+	r->shares = mem_new((services.n + 1) * sizeof(*r->shares));
+	for (; r->nshares < services.n; r->nshares++)
+		read_share(services.v[r->nshares], &r->shares[r->nshares]);
+	toml_strs_free(&services);
+	return st;
+}
+
+static void add_services(const config_t *t, route_table_t *r)
+{
+	r->services = mem_new((t->nservices + 1) * sizeof(*r->services));
+	for (; r->nservices < t->nservices; r->nservices++) {
+		const config_service_t *s = &t->services[r->nservices];
+
+		r->services[r->nservices] = (route_service_t){
+			.name = str_dup(str_c(s->name)),
+			.health_path = str_dup(STR("")),
+			.slots = s->slots,
+		};
+	}
+}
+
+status_t config_read_routes(const toml_doc_t *c, config_t *t)
+{
+	size_t n = toml_table_count(toml_root(c), "route");
+	route_table_t *r = t->routes = route_table_new();
+	status_t st = STATUS_OK;
+
+	r->limits = (route_client_limits_t){HEADER_BYTES, BODY_BYTES, HEADER_MS, IDLE_MS};
+	add_services(t, r);
+	r->routes = mem_new((n + 1) * sizeof(*r->routes));
+	for (size_t i = 0; i < n && st == STATUS_OK; i++) {
+		r->nroutes = i + 1;
+		st = read_route(c, toml_table_at(toml_root(c), "route", i), &r->routes[i]);
+	}
+	return st == STATUS_OK ? route_table_build(r) : st;
+}
--- a/src/state/fl_plan.c
+++ b/src/state/fleet_plan.c
@@ -1,22 +1,22 @@
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
-#include "state/fl_core.h"
+#include "state/fleet_internal.h"
 
 /** A member that may own upstreams, with its load while the plan is made. */
 typedef struct {
-	const fl_member_t *m;
+	const fleet_member_t *m;
 	size_t total; /* upstreams of all services */
 	size_t load; /* upstreams of the service at hand */
 	size_t cap; /* its share of the service at hand */
 } place_t;
 
 typedef struct {
-	const fl_t *f;
-	const fl_plan_t *options;
+	const fleet_state_t *f;
+	const fleet_plan_options_t *options;
 	place_t *places;
 	size_t nplaces;
-	aw_own_change_t *changes;
+	wire_owner_change_t *changes;
 	size_t nchanges;
 } planner_t;
 
@@ -28,12 +28,12 @@
 	return NULL;
 }
 
-static void change(planner_t *p, const fl_upstream_t *u, uint64_t session)
+static void change(planner_t *p, const fleet_upstream_t *u, uint64_t session)
 {
 	if (p->nchanges == p->options->max_changes)
 		return;
-	p->changes[p->nchanges++] = (aw_own_change_t){
-		.id = px_copy(str_c(u->id)),
+	p->changes[p->nchanges++] = (wire_owner_change_t){
+		.id = wire_copy(str_c(u->id)),
 		.was_fence = u->fence,
 		.session = session,
 	};
@@ -41,8 +41,8 @@
 
 static int by_service(const void *a, const void *b)
 {
-	const fl_upstream_t *x = *(fl_upstream_t *const *)a;
-	const fl_upstream_t *y = *(fl_upstream_t *const *)b;
+	const fleet_upstream_t *x = *(fleet_upstream_t *const *)a;
+	const fleet_upstream_t *y = *(fleet_upstream_t *const *)b;
 	int c = strcmp(x->service, y->service);
 
 	return c ? c : strcmp(x->id, y->id);
@@ -89,7 +89,7 @@
 	return a->m->session < b->m->session;
 }
 
-static void give(planner_t *p, const fl_upstream_t *u)
+static void give(planner_t *p, const fleet_upstream_t *u)
 {
 	place_t *best = NULL;
 
@@ -107,17 +107,17 @@
 }
 
 /** True when nobody may still act as the upstream's owner. */
-static bool is_free(const planner_t *p, const fl_upstream_t *u)
+static bool is_free(const planner_t *p, const fleet_upstream_t *u)
 {
 	if (u->owner)
-		return !fl_member(p->f, u->owner);
-	if (!u->last_owner || !p->options->seen || !fl_member(p->f, u->last_owner))
+		return !fleet_find_member(p->f, u->owner);
+	if (!u->last_owner || !p->options->session_saw || !fleet_find_member(p->f, u->last_owner))
 		return true;
-	return p->options->seen(p->options->ctx, u->last_owner, u->released_view);
+	return p->options->session_saw(p->options->ctx, u->last_owner, u->released_view);
 }
 
 /** Releases what a place holds over its share, upstreams of other zones first. */
-static void shed(planner_t *p, place_t *at, fl_upstream_t *const *us, size_t n, bool near_too)
+static void shed(planner_t *p, place_t *at, fleet_upstream_t *const *us, size_t n, bool near_too)
 {
 	for (size_t i = 0; i < n && at->load > at->cap; i++) {
 		bool near = strcmp(us[i]->zone, at->m->zone) == 0;
@@ -130,7 +130,7 @@
 	}
 }
 
-static void plan_service(planner_t *p, fl_upstream_t *const *us, size_t n)
+static void plan_service(planner_t *p, fleet_upstream_t *const *us, size_t n)
 {
 	for (size_t i = 0; i < p->nplaces; i++)
 		p->places[i].load = 0;
@@ -156,10 +156,10 @@
 /** Releases upstreams that are gone, or whose owner is when nobody else may own them. */
 static void release_dead(planner_t *p)
 {
-	for (const fl_upstream_t *u = p->f->upstreams; u; u = u->hh.next) {
-		bool orphaned = p->nplaces == 0 && !fl_member(p->f, u->owner);
+	for (const fleet_upstream_t *u = p->f->upstreams; u; u = u->hh.next) {
+		bool orphaned = p->nplaces == 0 && !fleet_find_member(p->f, u->owner);
 
-		if (u->owner && (u->state == AW_UP_GONE || orphaned))
+		if (u->owner && (u->state == WIRE_UPSTREAM_GONE || orphaned))
 			change(p, u, 0);
 	}
 }
@@ -167,28 +167,28 @@
 static void find_places(planner_t *p)
 {
 	p->places = mem_new(HASH_COUNT(p->f->members) * sizeof(*p->places));
-	for (const fl_member_t *m = p->f->members; m; m = m->hh.next)
+	for (const fleet_member_t *m = p->f->members; m; m = m->hh.next)
 		if (!m->draining)
 			p->places[p->nplaces++].m = m;
 }
 
 static void plan_all(planner_t *p)
 {
-	fl_upstream_t **us = mem_new(HASH_COUNT(p->f->upstreams) * sizeof(fl_upstream_t *));
+	fleet_upstream_t **us = mem_new(HASH_COUNT(p->f->upstreams) * sizeof(fleet_upstream_t *));
 	size_t n = 0;
 	size_t from = 0;
 
-	for (fl_upstream_t *u = p->f->upstreams; u; u = u->hh.next) {
+	for (fleet_upstream_t *u = p->f->upstreams; u; u = u->hh.next) {
 		place_t *at = place_of(p, u->owner);
 
-		if (u->state == AW_UP_GONE)
+		if (u->state == WIRE_UPSTREAM_GONE)
 			continue;
 		us[n++] = u;
 		if (at)
 			at->total++;
 	}
 	if (n)
-		qsort(us, n, sizeof(fl_upstream_t *), by_service);
+		qsort(us, n, sizeof(fleet_upstream_t *), by_service);
 	for (size_t i = 1; i <= n && p->nplaces; i++) {
 		if (i < n && strcmp(us[i]->service, us[from]->service) == 0)
 			continue;
@@ -198,7 +198,8 @@
 	free(us);
 }
 
-size_t fl_plan_owners_seen(const fl_t *f, const fl_plan_t *plan, aw_fleet_cmd_t *cmd)
+size_t fleet_plan_owners_with(const fleet_state_t *f, const fleet_plan_options_t *plan,
+			      wire_fleet_cmd_t *cmd)
 {
 	planner_t p = {.f = f, .options = plan};
 
@@ -208,13 +209,13 @@
 	plan_all(&p);
 	free(p.places);
 	memset(cmd, 0, sizeof(*cmd));
-	cmd->kind = AW_FLEET_OWN;
-	cmd->aw_fleet_cmd_t_u.own.own_val = p.changes;
-	cmd->aw_fleet_cmd_t_u.own.own_len = (u_int)p.nchanges;
+	cmd->kind = WIRE_FLEET_OWNERS;
+	cmd->wire_fleet_cmd_t_u.own.own_val = p.changes;
+	cmd->wire_fleet_cmd_t_u.own.own_len = (u_int)p.nchanges;
 	return p.nchanges;
 }
 
-size_t fl_plan_owners(const fl_t *f, size_t max_changes, aw_fleet_cmd_t *cmd)
+size_t fleet_plan_owners(const fleet_state_t *f, size_t max_changes, wire_fleet_cmd_t *cmd)
 {
-	return fl_plan_owners_seen(f, &(fl_plan_t){.max_changes = max_changes}, cmd);
+	return fleet_plan_owners_with(f, &(fleet_plan_options_t){.max_changes = max_changes}, cmd);
 }
--- a/src/state/ld_job.c
+++ b/src/state/ledger_job.c
@@ -2,23 +2,23 @@
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
-#include "state/ld_core.h"
+#include "state/ledger_internal.h"
 
-ld_job_t *ld_job_find(const ld_t *l, str_t caller, str_t name)
+ledger_job_t *ledger_job_find(const ledger_t *l, str_t caller, str_t name)
 {
 	AUTO_BUF id = {0};
-	ld_job_t *j;
+	ledger_job_t *j;
 
-	ld_key(&id, caller, name);
+	ledger_id_encode(&id, caller, name);
 	HASH_FIND(hh, l->jobs, id.p, id.n, j);
 	return j;
 }
 
-void ld_job_fill(const ld_job_t *j, aw_job_t *out)
+void ledger_job_fill_status(const ledger_job_t *j, wire_job_t *out)
 {
-	out->caller = px_copy(ld_id_caller(&j->id));
-	out->job = px_copy(ld_id_name(&j->id));
-	out->service = px_copy((str_t){j->service->name, j->service->name_n});
+	out->caller = wire_copy(ledger_id_caller(&j->id));
+	out->job = wire_copy(ledger_id_name(&j->id));
+	out->service = wire_copy((str_t){j->service->name, j->service->name_n});
 	out->digest = j->digest;
 	out->sealed = j->sealed;
 	out->cancelled = j->cancelled;
@@ -32,9 +32,9 @@
 	out->dropped = j->dropped;
 }
 
-static ld_caller_t *caller_get(ld_t *l, str_t name)
+static ledger_caller_t *caller_get(ledger_t *l, str_t name)
 {
-	ld_caller_t *c;
+	ledger_caller_t *c;
 
 	HASH_FIND(hh, l->callers, name.p, name.n, c);
 	if (c)
@@ -46,26 +46,26 @@
 	return c;
 }
 
-static size_t job_bytes(const ld_job_t *j)
+static size_t job_bytes(const ledger_job_t *j)
 {
 	return sizeof(*j) + j->id.n + j->trace_n;
 }
 
-void ld_job_add(ld_t *l, ld_job_t *j)
+void ledger_job_add(ledger_t *l, ledger_job_t *j)
 {
-	j->caller = caller_get(l, ld_id_caller(&j->id));
+	j->caller = caller_get(l, ledger_id_caller(&j->id));
 	DL_APPEND2(j->caller->jobs, j, caller_prev, caller_next);
 	HASH_ADD_KEYPTR(hh, l->jobs, j->id.p, j->id.n, j);
 	HASH_ADD(hh_serial, l->jobs_by_serial, serial, sizeof(j->serial), j);
-	j->back = (ld_queue_t){LD_NO_ITEM, LD_NO_ITEM};
-	j->retry = (ld_queue_t){LD_NO_ITEM, LD_NO_ITEM};
+	j->back = (ledger_item_queue_t){LEDGER_NO_ITEM, LEDGER_NO_ITEM};
+	j->retry = (ledger_item_queue_t){LEDGER_NO_ITEM, LEDGER_NO_ITEM};
 	l->items += j->count;
 	l->bytes += job_bytes(j);
 }
 
-static ld_band_t *band_get(ld_service_t *s, int64_t key)
+static ledger_band_t *band_get(ledger_service_t *s, int64_t key)
 {
-	ld_band_t *b;
+	ledger_band_t *b;
 
 	HASH_FIND(hh, s->band_table, &key, sizeof(key), b);
 	if (b)
@@ -77,31 +77,31 @@
 	return b;
 }
 
-void ld_job_enlist(ld_job_t *j)
+void ledger_job_join_lane(ledger_job_t *j)
 {
-	ld_band_t *b = band_get(j->service, j->deadline_ms / LD_BAND_MS);
-	ld_lane_t *lane;
+	ledger_band_t *b = band_get(j->service, j->deadline_ms / LEDGER_BAND_MS);
+	ledger_lane_t *lane;
 
 	assert(!j->lane);
-	HASH_FIND(hh, b->lane_table, &j->caller, sizeof(ld_caller_t *), lane);
+	HASH_FIND(hh, b->lane_table, &j->caller, sizeof(ledger_caller_t *), lane);
 	if (!lane) {
 		lane = mem_new(sizeof(*lane));
 		lane->caller = j->caller;
 		lane->band = b;
-		HASH_ADD(hh, b->lane_table, caller, sizeof(ld_caller_t *), lane);
+		HASH_ADD(hh, b->lane_table, caller, sizeof(ledger_caller_t *), lane);
 	}
 	lane->jobs++;
 	j->lane = lane;
 }
 
-static void delist(ld_job_t *j)
+static void delist(ledger_job_t *j)
 {
-	ld_lane_t *lane = j->lane;
-	ld_band_t *b;
+	ledger_lane_t *lane = j->lane;
+	ledger_band_t *b;
 
 	if (!lane)
 		return;
-	ld_job_unready(j);
+	ledger_job_dequeue(j);
 	j->lane = NULL;
 	if (--lane->jobs)
 		return;
@@ -114,27 +114,27 @@
 	free(b);
 }
 
-void ld_job_ready(ld_job_t *j)
+void ledger_job_enqueue(ledger_job_t *j)
 {
-	ld_lane_t *lane = j->lane;
-	ld_band_t *b;
+	ledger_lane_t *lane = j->lane;
+	ledger_band_t *b;
 
 	if (!lane || j->ready || j->waiting == 0)
 		return;
 	b = lane->band;
 	if (!lane->ready) {
 		if (!b->ring)
-			ld_heap_push(&b->service->bands, &b->node);
+			ledger_heap_push(&b->service->bands, &b->node);
 		DL_APPEND(b->ring, lane);
 	}
 	DL_APPEND(lane->ready, j);
 	j->ready = true;
 }
 
-void ld_job_unready(ld_job_t *j)
+void ledger_job_dequeue(ledger_job_t *j)
 {
-	ld_lane_t *lane = j->lane;
-	ld_band_t *b;
+	ledger_lane_t *lane = j->lane;
+	ledger_band_t *b;
 
 	if (!j->ready)
 		return;
@@ -147,19 +147,19 @@
 	DL_DELETE(b->ring, lane);
 	if (b->ring)
 		return;
-	ld_heap_remove(b->late ? &b->service->overdue : &b->service->bands, &b->node);
+	ledger_heap_remove(b->late ? &b->service->overdue : &b->service->bands, &b->node);
 	b->late = false;
 }
 
-void ld_band_late(ld_band_t *b)
+void ledger_band_mark_overdue(ledger_band_t *b)
 {
 	assert(!b->late);
-	ld_heap_remove(&b->service->bands, &b->node);
-	ld_heap_push(&b->service->overdue, &b->node);
+	ledger_heap_remove(&b->service->bands, &b->node);
+	ledger_heap_push(&b->service->overdue, &b->node);
 	b->late = true;
 }
 
-static void free_bodies(ld_t *l, ld_job_t *j)
+static void free_bodies(ledger_t *l, ledger_job_t *j)
 {
 	for (uint32_t i = 0; i < j->nblocks; i++) {
 		if (j->blocks[i].data)
@@ -173,10 +173,10 @@
 	j->blocks_cap = 0;
 }
 
-static void free_arena(ld_t *l, ld_job_t *j)
+static void free_arena(ledger_t *l, ledger_job_t *j)
 {
 	while (j->arena) {
-		ld_arena_t *next = j->arena->next;
+		ledger_arena_t *next = j->arena->next;
 
 		l->bytes -= sizeof(*j->arena) + j->arena->cap;
 		free(j->arena);
@@ -184,10 +184,10 @@
 	}
 }
 
-static void free_holds(ld_job_t *j)
+static void free_holds(ledger_job_t *j)
 {
 	for (uint16_t i = 0; i < j->nholds; i++) {
-		ld_hold_t *h = j->holds[i];
+		ledger_job_lease_t *h = j->holds[i];
 
 		if (!h)
 			continue;
@@ -200,9 +200,9 @@
 	free(j->holds);
 }
 
-static void leave_caller(ld_t *l, ld_job_t *j)
+static void leave_caller(ledger_t *l, ledger_job_t *j)
 {
-	ld_caller_t *c = j->caller;
+	ledger_caller_t *c = j->caller;
 
 	DL_DELETE2(c->jobs, j, caller_prev, caller_next);
 	if (c->jobs)
@@ -212,13 +212,13 @@
 	free(c);
 }
 
-void ld_job_free(ld_t *l, ld_job_t *j)
+void ledger_job_free(ledger_t *l, ledger_job_t *j)
 {
 	delist(j);
 	leave_caller(l, j);
 	if (j->end.pos)
-		ld_heap_remove(j->sealed || j->cancelled ? &l->ended_jobs : &l->unsealed_jobs,
-			       &j->end);
+		ledger_heap_remove(j->sealed || j->cancelled ? &l->ended_jobs : &l->unsealed_jobs,
+				   &j->end);
 	HASH_DELETE(hh, l->jobs, j);
 	HASH_DELETE(hh_serial, l->jobs_by_serial, j);
 	l->items -= j->count;
@@ -235,12 +235,12 @@
 	free(j);
 }
 
-static bool job_ended(const ld_job_t *j)
+static bool job_ended(const ledger_job_t *j)
 {
 	return (j->sealed || j->cancelled) && j->waiting == 0 && j->leased == 0;
 }
 
-void ld_job_settle(ld_t *l, ld_job_t *j, int64_t now_ms)
+void ledger_job_check_end(ledger_t *l, ledger_job_t *j, int64_t now_ms)
 {
 	uint64_t sum = (uint64_t)j->waiting + j->leased + j->done + j->failed + j->dropped;
 
@@ -253,10 +253,10 @@
 	delist(j);
 	j->end.key = now_ms;
 	j->end.serial = j->serial;
-	ld_heap_push(&l->ended_jobs, &j->end);
+	ledger_heap_push(&l->ended_jobs, &j->end);
 }
 
-static ld_block_t *add_block(ld_t *l, ld_job_t *j, size_t bytes)
+static ledger_body_block_t *add_block(ledger_t *l, ledger_job_t *j, size_t bytes)
 {
 	if (j->nblocks == j->blocks_cap) {
 		uint32_t cap = j->blocks_cap ? j->blocks_cap * 2 : 1;
@@ -266,18 +266,18 @@
 		j->blocks_cap = cap;
 	}
 	l->bytes += bytes;
-	j->blocks[j->nblocks] = (ld_block_t){.data = mem_new(bytes), .bytes = bytes};
+	j->blocks[j->nblocks] = (ledger_body_block_t){.data = mem_new(bytes), .bytes = bytes};
 	return &j->blocks[j->nblocks++];
 }
 
-void ld_job_take_bodies(ld_t *l, ld_job_t *j, const aw_bytes_t *bodies, uint32_t n)
+void ledger_job_add_bodies(ledger_t *l, ledger_job_t *j, const wire_bytes_t *bodies, uint32_t n)
 {
 	size_t bytes = 0;
-	ld_block_t *b;
+	ledger_body_block_t *b;
 	char *p;
 
 	for (uint32_t i = 0; i < n; i++)
-		bytes += bodies[i].aw_bytes_t_len;
+		bytes += bodies[i].wire_bytes_t_len;
 	if (!j->items) {
 		j->items = mem_new(j->count * sizeof(*j->items));
 		l->bytes += j->count * sizeof(*j->items);
@@ -287,24 +287,25 @@
 	b->live = n;
 	p = b->data;
 	for (uint32_t i = 0; i < n; i++) {
-		ld_item_t *it = &j->items[j->received++];
+		ledger_item_t *it = &j->items[j->received++];
 
 		it->data = p;
-		it->len = bodies[i].aw_bytes_t_len;
+		it->len = bodies[i].wire_bytes_t_len;
 		if (it->len)
-			memcpy(p, bodies[i].aw_bytes_t_val, it->len);
+			memcpy(p, bodies[i].wire_bytes_t_val, it->len);
 		p += it->len;
 	}
 }
 
-ld_item_state_t ld_item_state(const ld_job_t *j, uint32_t index)
+ledger_item_state_t ledger_item_state(const ledger_job_t *j, uint32_t index)
 {
-	ld_item_state_t st = j->items && index < j->received ? j->items[index].state : LD_WAITING;
+	ledger_item_state_t st =
+		j->items && index < j->received ? j->items[index].state : LEDGER_ITEM_WAITING;
 
-	return st == LD_WAITING && j->cancelled ? LD_DROPPED : st;
+	return st == LEDGER_ITEM_WAITING && j->cancelled ? LEDGER_ITEM_DROPPED : st;
 }
 
-static ld_block_t *block_of(ld_job_t *j, uint32_t index)
+static ledger_body_block_t *block_of(ledger_job_t *j, uint32_t index)
 {
 	uint32_t lo = 0;
 	uint32_t hi = j->nblocks;
@@ -323,9 +324,9 @@
 #define ARENA_BYTES_MIN 256
 #define ARENA_BYTES_MAX 65536
 
-static char *arena_copy(ld_t *l, ld_job_t *j, str_t s)
+static char *arena_copy(ledger_t *l, ledger_job_t *j, str_t s)
 {
-	ld_arena_t *a = j->arena;
+	ledger_arena_t *a = j->arena;
 	char *p;
 
 	if (s.n == 0)
@@ -349,12 +350,13 @@
 	return p;
 }
 
-void ld_item_end(ld_t *l, ld_job_t *j, uint32_t index, ld_item_state_t state, str_t data)
+void ledger_item_finalize(ledger_t *l, ledger_job_t *j, uint32_t index, ledger_item_state_t state,
+			  str_t data)
 {
-	ld_item_t *it = &j->items[index];
-	ld_block_t *b = block_of(j, index);
+	ledger_item_t *it = &j->items[index];
+	ledger_body_block_t *b = block_of(j, index);
 
-	assert(it->state < LD_DONE && state >= LD_DONE);
+	assert(it->state < LEDGER_ITEM_DONE && state >= LEDGER_ITEM_DONE);
 	it->state = (uint8_t)state;
 	it->data = arena_copy(l, j, data);
 	it->len = (uint32_t)data.n;
--- /dev/null
+++ b/src/state/ledger_snapshot.c
@@ -0,0 +1,182 @@
+#include "state/ledger_internal.h"
+#include "state/pack.h"
+
+static void put_node(buf_t *out, const ledger_heap_node_t *n)
+{
+	pack_u64(out, n->pos ? 1 : 0);
+	pack_i64(out, n->key);
+}
+
+static void put_request(buf_t *out, const ledger_request_t *r)
+{
+	pack_str(out, ledger_id_caller(&r->id));
+	pack_str(out, ledger_id_name(&r->id));
+	pack_u64(out, r->serial);
+	pack_u64(out, r->digest);
+	pack_u64(out, r->token);
+	pack_u64(out, r->lease_seq);
+	pack_u64(out, r->session ? r->session->id : 0);
+	pack_i64(out, r->deadline_ms);
+	pack_str(out, (str_t){r->service->name, r->service->name_n});
+	pack_u64(out, r->state);
+	pack_u64(out, r->path_n);
+	pack_u64(out, r->body_n);
+	pack_u64(out, r->trace_n);
+	pack_str(out, (str_t){r->input, r->input ? r->path_n + r->body_n + r->trace_n : 0});
+	pack_str(out, (str_t){r->result, r->result_n});
+	pack_i64(out, r->verdict);
+	pack_i64(out, r->http_status);
+	pack_u64(out, r->attempts);
+	pack_u64(out, r->fails);
+	pack_u64(out, r->deaths);
+	pack_u64(out, r->repeatable);
+	put_node(out, &r->wait);
+	put_node(out, &r->end);
+}
+
+static void put_item(buf_t *out, const ledger_job_t *j, uint32_t index)
+{
+	const ledger_item_t *it = &j->items[index];
+	str_t data = {it->data, it->len};
+
+	if (it->state == LEDGER_ITEM_WAITING && j->cancelled)
+		data.n = 0;
+	pack_u64(out, it->state);
+	pack_u64(out, it->attempts);
+	pack_u64(out, it->fails);
+	pack_u64(out, it->deaths);
+	pack_str(out, data);
+}
+
+static void put_queue(buf_t *out, const ledger_job_t *j, const ledger_item_queue_t *q)
+{
+	for (uint32_t i = q->head; i != LEDGER_NO_ITEM; i = j->items[i].next)
+		pack_u64(out, (uint64_t)i + 1);
+	pack_u64(out, 0);
+}
+
+static void put_job(buf_t *out, const ledger_job_t *j)
+{
+	pack_str(out, ledger_id_caller(&j->id));
+	pack_str(out, ledger_id_name(&j->id));
+	pack_u64(out, j->serial);
+	pack_u64(out, j->digest);
+	pack_u64(out, j->running_digest);
+	pack_i64(out, j->deadline_ms);
+	pack_str(out, (str_t){j->service->name, j->service->name_n});
+	pack_str(out, (str_t){j->trace, j->trace_n});
+	pack_u64(out, j->share);
+	pack_u64(out, j->count);
+	pack_u64(out, j->done);
+	pack_u64(out, j->failed);
+	pack_u64(out, j->dropped);
+	pack_u64(out, j->sealed);
+	pack_u64(out, j->cancelled);
+	pack_u64(out, j->cursor);
+	pack_u64(out, j->received);
+	put_node(out, &j->end);
+	for (uint32_t i = 0; i < j->received; i++)
+		put_item(out, j, i);
+	if (j->cancelled)
+		return;
+	put_queue(out, j, &j->back);
+	put_queue(out, j, &j->retry);
+}
+
+static void put_hold(buf_t *out, const ledger_job_lease_t *h)
+{
+	pack_u64(out, h->job->serial);
+	put_queue(out, h->job, &h->items);
+}
+
+static void put_lease(buf_t *out, const ledger_lease_record_t *le)
+{
+	pack_u64(out, 1);
+	pack_str(out, (str_t){le->service->name, le->service->name_n});
+	pack_u64(out, le->seq);
+	pack_u64(out, le->n);
+	for (uint32_t i = 0; i < le->n; i++) {
+		pack_u64(out, le->refs[i].job);
+		pack_u64(out, le->refs[i].index);
+		pack_u64(out, le->refs[i].attempt);
+	}
+}
+
+static void put_session(buf_t *out, const ledger_session_t *s)
+{
+	const ledger_job_lease_t *h;
+	const ledger_lease_record_t *le;
+
+	pack_u64(out, s->id);
+	for (h = s->holds; h; h = h->next)
+		put_hold(out, h);
+	pack_u64(out, 0);
+	for (h = s->cancelled; h; h = h->next)
+		put_hold(out, h);
+	pack_u64(out, 0);
+	for (le = s->leases; le; le = le->next)
+		put_lease(out, le);
+	pack_u64(out, 0);
+}
+
+/** Ready jobs of a heap's bands in the order in which their turns come. */
+static void put_bands(buf_t *out, const ledger_heap_t *bands)
+{
+	const ledger_lane_t *lane;
+	const ledger_job_t *j;
+
+	for (uint32_t i = 0; i < bands->n; i++) {
+		const ledger_band_t *b = LEDGER_CONTAINER_OF(bands->v[i], ledger_band_t, node);
+
+		for (lane = b->ring; lane; lane = lane->next) {
+			for (j = lane->ready; j; j = j->next) {
+				pack_u64(out, j->serial);
+				pack_u64(out, lane->taken);
+			}
+		}
+	}
+	pack_u64(out, 0);
+}
+
+static void put_turns(buf_t *out, const ledger_service_t *s)
+{
+	pack_str(out, (str_t){s->name, s->name_n});
+	pack_u64(out, s->overdue_next);
+	put_bands(out, &s->overdue);
+	put_bands(out, &s->bands);
+}
+
+/** Services and sessions, so that restore makes them in the same order. */
+static void put_names(buf_t *out, const ledger_t *l)
+{
+	pack_u64(out, HASH_COUNT(l->services));
+	for (const ledger_service_t *s = l->services; s; s = s->hh.next)
+		pack_str(out, (str_t){s->name, s->name_n});
+	pack_u64(out, HASH_COUNT(l->sessions));
+	for (const ledger_session_t *s = l->sessions; s; s = s->hh.next)
+		pack_u64(out, s->id);
+}
+
+void ledger_snapshot(const ledger_t *l, buf_t *out)
+{
+	pack_u64(out, LEDGER_SNAPSHOT_MAGIC);
+	pack_u64(out, LEDGER_SNAPSHOT_VERSION);
+	pack_u64(out, l->serial);
+	pack_u64(out, l->late_dropped);
+	pack_u64(out, l->nlost);
+	for (size_t i = 0; i < l->nlost; i++)
+		pack_u64(out, l->lost[i]);
+	put_names(out, l);
+	pack_u64(out, HASH_COUNT(l->requests));
+	for (const ledger_request_t *r = l->requests; r; r = r->hh.next)
+		put_request(out, r);
+	pack_u64(out, HASH_COUNT(l->jobs));
+	for (const ledger_job_t *j = l->jobs; j; j = j->hh.next)
+		put_job(out, j);
+	pack_u64(out, HASH_COUNT(l->sessions));
+	for (const ledger_session_t *s = l->sessions; s; s = s->hh.next)
+		put_session(out, s);
+	pack_u64(out, HASH_COUNT(l->services));
+	for (const ledger_service_t *s = l->services; s; s = s->hh.next)
+		put_turns(out, s);
+}
--- a/src/state/lo.c
+++ b/src/state/lots.c
@@ -1,9 +1,9 @@
-#include "state/lo.h"
+#include "state/lots.h"
 
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
-#include "state/sn.h"
+#include "state/pack.h"
 
 #define SNAPSHOT_MAGIC	 0x4c4fU
 #define SNAPSHOT_VERSION 2U
@@ -37,18 +37,18 @@
 } early_end_t;
 
 struct lo {
-	lo_lot_t *lots;
+	lot_t *lots;
 	route_t *routes;
 	early_end_t *early_ends;
 	uint64_t serial;
 };
 
-lo_t *lo_new(void)
+lots_t *lots_new(void)
 {
-	return mem_new(sizeof(lo_t));
+	return mem_new(sizeof(lots_t));
 }
 
-static void lot_free(lo_t *l, lo_lot_t *t)
+static void lot_free(lots_t *l, lot_t *t)
 {
 	HASH_DEL(l->lots, t);
 	for (uint32_t i = 0; i < t->nitems; i++) {
@@ -56,17 +56,17 @@
 		free(t->items[i].path);
 		free(t->items[i].headers);
 		free(t->items[i].data);
-		free(t->items[i].made);
+		free(t->items[i].partial_text);
 	}
 	free(t->items);
-	free(t->listed);
+	free(t->finished);
 	free(t->id);
 	free(t->route);
 	free(t->host);
 	free(t);
 }
 
-static void early_end_free(lo_t *l, early_end_t *e)
+static void early_end_free(lots_t *l, early_end_t *e)
 {
 	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
 	HASH_DEL(l->early_ends, e);
@@ -74,7 +74,7 @@
 	free(e);
 }
 
-static void clear(lo_t *l)
+static void clear(lots_t *l)
 {
 	route_t *r;
 
@@ -92,7 +92,7 @@
 	}
 }
 
-void lo_free(lo_t *l)
+void lots_free(lots_t *l)
 {
 	if (!l)
 		return;
@@ -100,25 +100,25 @@
 	free(l);
 }
 
-static lo_lot_t *find(const lo_t *l, str_t id)
+static lot_t *find(const lots_t *l, str_t id)
 {
-	lo_lot_t *t;
+	lot_t *t;
 
 	HASH_FIND(hh, l->lots, id.p, id.n, t);
 	return t;
 }
 
-const lo_lot_t *lo_find(const lo_t *l, str_t id)
+const lot_t *lots_find(const lots_t *l, str_t id)
 {
 	return find(l, id);
 }
 
-const lo_lot_t *lo_first(const lo_t *l)
+const lot_t *lots_first(const lots_t *l)
 {
 	return l->lots;
 }
 
-long lo_item(const lo_lot_t *lot, str_t id)
+long lot_find_item(const lot_t *lot, str_t id)
 {
 	for (uint32_t i = 0; i < lot->nitems; i++) {
 		if (str_eq(str_c(lot->items[i].id), id))
@@ -127,7 +127,7 @@
 	return -1;
 }
 
-static route_t *route_of(lo_t *l, str_t name)
+static route_t *route_of(lots_t *l, str_t name)
 {
 	route_t *r;
 
@@ -140,7 +140,7 @@
 	return r;
 }
 
-uint64_t lo_waiting(const lo_t *l, str_t route)
+uint64_t lots_waiting_tokens(const lots_t *l, str_t route)
 {
 	route_t *r;
 
@@ -148,53 +148,53 @@
 	return r ? r->waiting : 0;
 }
 
-static uint64_t open_tokens(const lo_lot_t *t)
+static uint64_t open_tokens(const lot_t *t)
 {
 	uint64_t n = 0;
 
 	for (uint32_t i = 0; i < t->nitems; i++) {
-		if (t->items[i].state == LO_OPEN)
+		if (t->items[i].state == LOT_ITEM_OPEN)
 			n += t->items[i].tokens;
 	}
 	return n;
 }
 
-static void set_data(lo_item_t *it, str_t data)
+static void set_data(lot_item_t *it, str_t data)
 {
 	free(it->data);
 	it->data = data.n ? str_dup(data) : NULL;
 	it->data_n = (uint32_t)data.n;
 }
 
-static void item_init(lo_item_t *it, const aw_lot_item_t *c)
+static void item_init(lot_item_t *it, const wire_lot_item_t *c)
 {
-	it->id = str_dup(px_str(c->id));
-	it->path = str_dup(px_str(c->path));
-	it->headers = str_dup(px_str(c->headers));
-	it->headers_n = c->headers.aw_bytes_t_len;
+	it->id = str_dup(wire_str(c->id));
+	it->path = str_dup(wire_str(c->path));
+	it->headers = str_dup(wire_str(c->headers));
+	it->headers_n = c->headers.wire_bytes_t_len;
 	it->tokens = c->tokens;
-	set_data(it, px_str(c->body));
+	set_data(it, wire_str(c->body));
 }
 
-static void drop_made(lo_item_t *it)
+static void drop_made(lot_item_t *it)
 {
-	free(it->made);
-	it->made = NULL;
-	it->made_n = 0;
-	it->events = 0;
+	free(it->partial_text);
+	it->partial_text = NULL;
+	it->partial_n = 0;
+	it->partial_events = 0;
 }
 
-static void end_items(lo_lot_t *t)
+static void end_items(lot_t *t)
 {
 	t->ended = true;
 	for (uint32_t i = 0; i < t->nitems; i++) {
-		if (t->items[i].state == LO_OPEN)
+		if (t->items[i].state == LOT_ITEM_OPEN)
 			set_data(&t->items[i], (str_t){NULL, 0});
 		drop_made(&t->items[i]);
 	}
 }
 
-static early_end_t *find_early_end(const lo_t *l, str_t id)
+static early_end_t *find_early_end(const lots_t *l, str_t id)
 {
 	early_end_t *e;
 
@@ -202,7 +202,7 @@
 	return e;
 }
 
-static void add_early_end(lo_t *l, str_t id, int64_t forget_wall_ms)
+static void add_early_end(lots_t *l, str_t id, int64_t forget_wall_ms)
 {
 	early_end_t *e = find_early_end(l, id);
 
@@ -217,34 +217,34 @@
 	HASH_ADD_KEYPTR(hh, l->early_ends, e->id, id.n, e);
 }
 
-static status_t open_lot(lo_t *l, const aw_lot_open_t *c)
+static status_t open_lot(lots_t *l, const wire_lot_open_t *c)
 {
-	early_end_t *ended = find_early_end(l, px_str(c->lot));
-	route_t *r = route_of(l, px_str(c->route));
+	early_end_t *ended = find_early_end(l, wire_str(c->lot));
+	route_t *r = route_of(l, wire_str(c->route));
 	uint64_t tokens = 0;
-	lo_lot_t *t;
+	lot_t *t;
 
-	if (find(l, px_str(c->lot)))
-		return ST_OK;
+	if (find(l, wire_str(c->lot)))
+		return STATUS_OK;
 	for (u_int i = 0; i < c->items.items_len; i++)
 		tokens += c->items.items_val[i].tokens;
 	if (!ended && c->quota && r->waiting + tokens > c->quota)
-		return st_fail(ST_LIMIT, "%llu tokens wait on the route",
-			       (unsigned long long)r->waiting);
+		return status_fail(STATUS_LIMIT, "%llu tokens wait on the route",
+				   (unsigned long long)r->waiting);
 	t = mem_new(sizeof(*t));
-	t->id = str_dup(px_str(c->lot));
-	t->route = str_dup(px_str(c->route));
-	t->host = str_dup(px_str(c->host));
+	t->id = str_dup(wire_str(c->lot));
+	t->route = str_dup(wire_str(c->route));
+	t->host = str_dup(wire_str(c->host));
 	t->serial = ++l->serial;
 	t->due_wall_ms = c->due_wall_ms;
 	t->drop_wall_ms = c->drop_wall_ms;
 	t->forget_wall_ms = c->forget_wall_ms;
 	t->nitems = c->items.items_len;
 	t->items = mem_new((t->nitems + 1) * sizeof(*t->items));
-	t->listed = mem_new((t->nitems + 1) * sizeof(*t->listed));
+	t->finished = mem_new((t->nitems + 1) * sizeof(*t->finished));
 	for (uint32_t i = 0; i < t->nitems; i++)
 		item_init(&t->items[i], &c->items.items_val[i]);
-	HASH_ADD_KEYPTR(hh, l->lots, t->id, px_str(c->lot).n, t);
+	HASH_ADD_KEYPTR(hh, l->lots, t->id, wire_str(c->lot).n, t);
 	if (ended) {
 		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
 		early_end_free(l, ended);
@@ -252,36 +252,36 @@
 	} else {
 		r->waiting += tokens;
 	}
-	return ST_OK;
+	return STATUS_OK;
 }
 
-static void set_made(lo_item_t *it, str_t text, uint32_t events)
+static void set_made(lot_item_t *it, str_t text, uint32_t events)
 {
-	it->made = mem_grow(it->made, it->made_n + text.n + 1);
+	it->partial_text = mem_grow(it->partial_text, it->partial_n + text.n + 1);
 	if (text.n)
-		memcpy(it->made + it->made_n, text.p, text.n);
-	it->made_n += (uint32_t)text.n;
-	it->events = events;
+		memcpy(it->partial_text + it->partial_n, text.p, text.n);
+	it->partial_n += (uint32_t)text.n;
+	it->partial_events = events;
 }
 
-static void take_progress(lo_t *l, const aw_lot_progress_t *c)
+static void take_progress(lots_t *l, const wire_lot_progress_t *c)
 {
-	lo_lot_t *t = find(l, px_str(c->lot));
-	lo_item_t *it;
+	lot_t *t = find(l, wire_str(c->lot));
+	lot_item_t *it;
 
 	if (!t || t->ended || c->item >= t->nitems)
 		return;
 	it = &t->items[c->item];
-	if (it->state == LO_OPEN && it->events == c->from && c->events > c->from)
-		set_made(it, px_str(c->text), c->events);
+	if (it->state == LOT_ITEM_OPEN && it->partial_events == c->from && c->events > c->from)
+		set_made(it, wire_str(c->text), c->events);
 }
 
 /* An item of a lot that has ended no longer counts for the quota. */
-static void list_item(lo_t *l, lo_lot_t *t, uint32_t i, lo_state_t state, str_t text)
+static void list_item(lots_t *l, lot_t *t, uint32_t i, lot_item_state_t state, str_t text)
 {
-	lo_item_t *it = &t->items[i];
+	lot_item_t *it = &t->items[i];
 
-	assert(it->state == LO_OPEN && t->nlisted < t->nitems);
+	assert(it->state == LOT_ITEM_OPEN && t->nfinished < t->nitems);
 	if (!t->ended)
 		route_of(l, str_c(t->route))->waiting -= it->tokens;
 	it->state = state;
@@ -290,21 +290,21 @@
 	free(it->headers);
 	it->headers = NULL;
 	it->headers_n = 0;
-	t->listed[t->nlisted++] = i;
+	t->finished[t->nfinished++] = i;
 }
 
-static void take_result(lo_t *l, const aw_lot_result_t *c)
+static void take_result(lots_t *l, const wire_lot_result_t *c)
 {
-	lo_lot_t *t = find(l, px_str(c->lot));
+	lot_t *t = find(l, wire_str(c->lot));
 
-	if (!t || c->item >= t->nitems || t->items[c->item].state != LO_OPEN || t->ended)
+	if (!t || c->item >= t->nitems || t->items[c->item].state != LOT_ITEM_OPEN || t->ended)
 		return;
-	list_item(l, t, c->item, c->dead ? LO_DEAD : LO_DONE, px_str(c->text));
+	list_item(l, t, c->item, c->dead ? LOT_ITEM_DEAD : LOT_ITEM_DONE, wire_str(c->text));
 }
 
-static void end_lot(lo_t *l, str_t id, int64_t now)
+static void end_lot(lots_t *l, str_t id, int64_t now)
 {
-	lo_lot_t *t = find(l, id);
+	lot_t *t = find(l, id);
 
 	if (!t)
 		add_early_end(l, id, now + EARLY_END_MS);
@@ -314,15 +314,15 @@
 	end_items(t);
 }
 
-static void expire(lo_t *l, int64_t now)
+static void expire(lots_t *l, int64_t now)
 {
-	lo_lot_t *t;
-	lo_lot_t *next;
+	lot_t *t;
+	lot_t *next;
 
 	HASH_ITER (hh, l->lots, t, next) {
 		for (uint32_t i = 0; !t->ended && now >= t->drop_wall_ms && i < t->nitems; i++) {
-			if (t->items[i].state == LO_OPEN)
-				list_item(l, t, i, LO_DEAD, (str_t){NULL, 0});
+			if (t->items[i].state == LOT_ITEM_OPEN)
+				list_item(l, t, i, LOT_ITEM_DEAD, (str_t){NULL, 0});
 		}
 		if (now >= t->forget_wall_ms)
 			lot_free(l, t);
@@ -331,7 +331,7 @@
 		early_end_free(l, l->early_ends);
 }
 
-void lo_apply(lo_t *l, const aw_lots_cmd_t *cmd, aw_fleet_res_t *res)
+void lots_apply_cmd(lots_t *l, const wire_lots_cmd_t *cmd, wire_fleet_res_t *res)
 {
 	u_int n = cmd->opens.opens_len;
 
@@ -340,7 +340,7 @@
 	for (u_int i = 0; i < cmd->results.results_len; i++)
 		take_result(l, &cmd->results.results_val[i]);
 	for (u_int i = 0; i < cmd->ends.ends_len; i++)
-		end_lot(l, px_str(cmd->ends.ends_val[i]), cmd->now_wall_ms);
+		end_lot(l, wire_str(cmd->ends.ends_val[i]), cmd->now_wall_ms);
 	expire(l, cmd->now_wall_ms);
 	res->opened.opened_val = n ? mem_new(n * sizeof(int)) : NULL;
 	res->opened.opened_len = n;
@@ -350,17 +350,17 @@
 
 /* ---- snapshots ---- */
 
-static size_t item_bytes(const lo_item_t *it)
+static size_t item_bytes(const lot_item_t *it)
 {
-	return strlen(it->id) + strlen(it->path) + it->headers_n + it->data_n + it->made_n +
+	return strlen(it->id) + strlen(it->path) + it->headers_n + it->data_n + it->partial_n +
 	       ITEM_BYTES;
 }
 
-size_t lo_bytes(const lo_t *l)
+size_t lots_bytes(const lots_t *l)
 {
 	size_t n = LOTS_BYTES;
 
-	for (const lo_lot_t *t = l->lots; t; t = t->hh.next) {
+	for (const lot_t *t = l->lots; t; t = t->hh.next) {
 		n += strlen(t->id) + strlen(t->route) + strlen(t->host) + LOT_BYTES;
 		for (uint32_t i = 0; i < t->nitems; i++)
 			n += item_bytes(&t->items[i]);
@@ -370,132 +370,132 @@
 	return n;
 }
 
-size_t lo_bytes_expected(const lo_t *l)
+size_t lots_bytes_expected(const lots_t *l)
 {
 	size_t done = 0;
 	size_t texts = 0;
 	size_t open = 0;
 
-	for (const lo_lot_t *t = l->lots; t; t = t->hh.next) {
+	for (const lot_t *t = l->lots; t; t = t->hh.next) {
 		for (uint32_t i = 0; i < t->nitems; i++) {
-			open += t->items[i].state == LO_OPEN && !t->ended;
-			done += t->items[i].state == LO_DONE;
-			texts += t->items[i].state == LO_DONE ? t->items[i].data_n : 0;
+			open += t->items[i].state == LOT_ITEM_OPEN && !t->ended;
+			done += t->items[i].state == LOT_ITEM_DONE;
+			texts += t->items[i].state == LOT_ITEM_DONE ? t->items[i].data_n : 0;
 		}
 	}
-	return lo_bytes(l) + (done ? texts / done : 0) * open;
-}
-
-void lo_snapshot(const lo_t *l, buf_t *out)
-{
-	buf_room(out, lo_bytes(l));
-	sn_put(out, SNAPSHOT_MAGIC);
-	sn_put(out, SNAPSHOT_VERSION);
-	sn_put(out, l->serial);
-	sn_put(out, HASH_COUNT(l->lots));
-	for (const lo_lot_t *t = l->lots; t; t = t->hh.next) {
-		sn_put_str(out, str_c(t->id));
-		sn_put_str(out, str_c(t->route));
-		sn_put_str(out, str_c(t->host));
-		sn_put(out, t->serial);
-		sn_put_i64(out, t->due_wall_ms);
-		sn_put_i64(out, t->drop_wall_ms);
-		sn_put_i64(out, t->forget_wall_ms);
-		sn_put(out, t->ended);
-		sn_put(out, t->nitems);
+	return lots_bytes(l) + (done ? texts / done : 0) * open;
+}
+
+void lots_snapshot(const lots_t *l, buf_t *out)
+{
+	buf_reserve_exact(out, lots_bytes(l));
+	pack_u64(out, SNAPSHOT_MAGIC);
+	pack_u64(out, SNAPSHOT_VERSION);
+	pack_u64(out, l->serial);
+	pack_u64(out, HASH_COUNT(l->lots));
+	for (const lot_t *t = l->lots; t; t = t->hh.next) {
+		pack_str(out, str_c(t->id));
+		pack_str(out, str_c(t->route));
+		pack_str(out, str_c(t->host));
+		pack_u64(out, t->serial);
+		pack_i64(out, t->due_wall_ms);
+		pack_i64(out, t->drop_wall_ms);
+		pack_i64(out, t->forget_wall_ms);
+		pack_u64(out, t->ended);
+		pack_u64(out, t->nitems);
 		for (uint32_t i = 0; i < t->nitems; i++) {
-			const lo_item_t *it = &t->items[i];
-
-			sn_put_str(out, str_c(it->id));
-			sn_put_str(out, str_c(it->path));
-			sn_put_str(out, (str_t){it->headers, it->headers_n});
-			sn_put_str(out, (str_t){it->data, it->data_n});
-			sn_put(out, it->tokens);
-			sn_put(out, it->state);
-			sn_put_str(out, (str_t){it->made, it->made_n});
-			sn_put(out, it->events);
+			const lot_item_t *it = &t->items[i];
+
+			pack_str(out, str_c(it->id));
+			pack_str(out, str_c(it->path));
+			pack_str(out, (str_t){it->headers, it->headers_n});
+			pack_str(out, (str_t){it->data, it->data_n});
+			pack_u64(out, it->tokens);
+			pack_u64(out, it->state);
+			pack_str(out, (str_t){it->partial_text, it->partial_n});
+			pack_u64(out, it->partial_events);
 		}
-		sn_put(out, t->nlisted);
-		for (uint32_t i = 0; i < t->nlisted; i++)
-			sn_put(out, t->listed[i]);
+		pack_u64(out, t->nfinished);
+		for (uint32_t i = 0; i < t->nfinished; i++)
+			pack_u64(out, t->finished[i]);
 	}
-	sn_put(out, HASH_COUNT(l->early_ends));
+	pack_u64(out, HASH_COUNT(l->early_ends));
 	for (const early_end_t *e = l->early_ends; e; e = e->hh.next) {
-		sn_put_str(out, str_c(e->id));
-		sn_put_i64(out, e->forget_wall_ms);
+		pack_str(out, str_c(e->id));
+		pack_i64(out, e->forget_wall_ms);
 	}
 }
 
-static void get_item(sn_reader_t *in, lo_item_t *it)
+static void get_item(unpacker_t *in, lot_item_t *it)
 {
 	str_t s;
 
-	it->id = str_dup(sn_get_str(in));
-	it->path = str_dup(sn_get_str(in));
-	s = sn_get_str(in);
+	it->id = str_dup(unpack_str(in));
+	it->path = str_dup(unpack_str(in));
+	s = unpack_str(in);
 	it->headers = str_dup(s);
 	it->headers_n = (uint32_t)s.n;
-	set_data(it, sn_get_str(in));
-	it->tokens = (uint32_t)sn_get_max(in, UINT32_MAX);
-	it->state = (lo_state_t)sn_get_max(in, LO_DEAD);
-	s = sn_get_str(in);
-	set_made(it, s, (uint32_t)sn_get_max(in, UINT32_MAX));
+	set_data(it, unpack_str(in));
+	it->tokens = (uint32_t)unpack_u64_max(in, UINT32_MAX);
+	it->state = (lot_item_state_t)unpack_u64_max(in, LOT_ITEM_DEAD);
+	s = unpack_str(in);
+	set_made(it, s, (uint32_t)unpack_u64_max(in, UINT32_MAX));
 }
 
-static void get_lot(sn_reader_t *in, lo_t *l)
+static void get_lot(unpacker_t *in, lots_t *l)
 {
-	lo_lot_t *t = mem_new(sizeof(*t));
+	lot_t *t = mem_new(sizeof(*t));
 	uint64_t n;
 
-	t->id = str_dup(sn_get_str(in));
-	t->route = str_dup(sn_get_str(in));
-	t->host = str_dup(sn_get_str(in));
-	t->serial = sn_get(in);
-	t->due_wall_ms = sn_get_i64(in);
-	t->drop_wall_ms = sn_get_i64(in);
-	t->forget_wall_ms = sn_get_i64(in);
-	t->ended = sn_get_max(in, 1) == 1;
-	n = sn_get_max(in, in->left.n);
+	t->id = str_dup(unpack_str(in));
+	t->route = str_dup(unpack_str(in));
+	t->host = str_dup(unpack_str(in));
+	t->serial = unpack_u64(in);
+	t->due_wall_ms = unpack_i64(in);
+	t->drop_wall_ms = unpack_i64(in);
+	t->forget_wall_ms = unpack_i64(in);
+	t->ended = unpack_u64_max(in, 1) == 1;
+	n = unpack_u64_max(in, in->left.n);
 	t->items = mem_new((n + 1) * sizeof(*t->items));
-	t->listed = mem_new((n + 1) * sizeof(*t->listed));
+	t->finished = mem_new((n + 1) * sizeof(*t->finished));
 	t->nitems = (uint32_t)n;
 	for (uint32_t i = 0; i < t->nitems; i++)
 		get_item(in, &t->items[i]);
-	n = sn_get_max(in, t->nitems);
+	n = unpack_u64_max(in, t->nitems);
 	for (uint32_t i = 0; i < n && t->nitems; i++)
-		t->listed[t->nlisted++] = (uint32_t)sn_get_max(in, t->nitems - 1);
+		t->finished[t->nfinished++] = (uint32_t)unpack_u64_max(in, t->nitems - 1);
 	HASH_ADD_KEYPTR(hh, l->lots, t->id, strlen(t->id), t);
 	if (!t->ended)
 		route_of(l, str_c(t->route))->waiting += open_tokens(t);
 }
 
-status_t lo_restore(lo_t *l, str_t snap)
+status_t lots_restore(lots_t *l, str_t snap)
 {
-	sn_reader_t in = {snap, false};
-	lo_t *fresh = lo_new();
-	lo_t old = *l;
-	uint64_t magic = sn_get(&in);
-	uint64_t version = sn_get(&in);
+	unpacker_t in = {snap, false};
+	lots_t *fresh = lots_new();
+	lots_t old = *l;
+	uint64_t magic = unpack_u64(&in);
+	uint64_t version = unpack_u64(&in);
 	status_t st;
 
 	if (magic != SNAPSHOT_MAGIC || version < SNAPSHOT_OLDEST || version > SNAPSHOT_VERSION) {
-		lo_free(fresh);
-		return st_fail(ST_CORRUPT, "not a snapshot of lots of version %u to %u",
-			       SNAPSHOT_OLDEST, SNAPSHOT_VERSION);
+		lots_free(fresh);
+		return status_fail(STATUS_CORRUPT, "not a snapshot of lots of version %u to %u",
+				   SNAPSHOT_OLDEST, SNAPSHOT_VERSION);
 	}
-	fresh->serial = sn_get(&in);
-	for (uint64_t n = sn_get(&in); n > 0 && !in.bad; n--)
+	fresh->serial = unpack_u64(&in);
+	for (uint64_t n = unpack_u64(&in); n > 0 && !in.bad; n--)
 		get_lot(&in, fresh);
-	for (uint64_t n = version > SNAPSHOT_OLDEST ? sn_get(&in) : 0; n > 0 && !in.bad; n--) {
-		str_t id = sn_get_str(&in);
+	for (uint64_t n = version > SNAPSHOT_OLDEST ? unpack_u64(&in) : 0; n > 0 && !in.bad; n--) {
+		str_t id = unpack_str(&in);
 
-		add_early_end(fresh, id, sn_get_i64(&in));
+		add_early_end(fresh, id, unpack_i64(&in));
 	}
-	st = sn_end(&in, "lots");
-	if (st == ST_OK) {
+	st = unpack_end(&in, "lots");
+	if (st == STATUS_OK) {
 		*l = *fresh;
 		*fresh = old;
 	}
-	lo_free(fresh);
+	lots_free(fresh);
 	return st;
 }
--- a/src/state/sn.c
+++ b/src/state/pack.c
@@ -1,10 +1,10 @@
-#include "state/sn.h"
+#include "state/pack.h"
 
 #define VARINT_BYTES_MAX 10
 #define VARINT_BITS	 7
 #define VARINT_MORE	 0x80U
 
-void sn_put(buf_t *out, uint64_t v)
+void pack_u64(buf_t *out, uint64_t v)
 {
 	char tmp[VARINT_BYTES_MAX];
 	size_t n = 0;
@@ -17,21 +17,21 @@
 	buf_add(out, (str_t){tmp, n});
 }
 
-void sn_put_i64(buf_t *out, int64_t v)
+void pack_i64(buf_t *out, int64_t v)
 {
 	uint64_t twice = (uint64_t)v << 1;
 
-	sn_put(out, v < 0 ? ~twice : twice);
+	pack_u64(out, v < 0 ? ~twice : twice);
 }
 
-void sn_put_str(buf_t *out, str_t s)
+void pack_str(buf_t *out, str_t s)
 {
-	sn_put(out, s.n);
+	pack_u64(out, s.n);
 	buf_add(out, s);
 }
 
 /* The length gets the most bytes that one takes, as it isn't known yet; zeros fill them up. */
-size_t sn_begin_str(buf_t *out)
+size_t pack_begin_str(buf_t *out)
 {
 	static const char room[VARINT_BYTES_MAX];
 
@@ -39,7 +39,7 @@
 	return out->n;
 }
 
-void sn_end_str(buf_t *out, size_t begun)
+void pack_end_str(buf_t *out, size_t begun)
 {
 	uint64_t n = out->n - begun;
 	char *at = out->p + begun - VARINT_BYTES_MAX;
@@ -49,7 +49,7 @@
 	at[VARINT_BYTES_MAX - 1] = (char)n;
 }
 
-uint64_t sn_get(sn_reader_t *r)
+uint64_t unpack_u64(unpacker_t *r)
 {
 	uint64_t v = 0;
 
@@ -68,16 +68,16 @@
 	return 0;
 }
 
-int64_t sn_get_i64(sn_reader_t *r)
+int64_t unpack_i64(unpacker_t *r)
 {
-	uint64_t v = sn_get(r);
+	uint64_t v = unpack_u64(r);
 
 	return (int64_t)(v >> 1) ^ -(int64_t)(v & 1);
 }
 
-uint64_t sn_get_max(sn_reader_t *r, uint64_t max)
+uint64_t unpack_u64_max(unpacker_t *r, uint64_t max)
 {
-	uint64_t v = sn_get(r);
+	uint64_t v = unpack_u64(r);
 
 	if (v <= max)
 		return v;
@@ -86,9 +86,9 @@
 	return 0;
 }
 
-str_t sn_get_str(sn_reader_t *r)
+str_t unpack_str(unpacker_t *r)
 {
-	uint64_t n = sn_get_max(r, r->left.n);
+	uint64_t n = unpack_u64_max(r, r->left.n);
 	str_t s;
 
 	if (n > r->left.n) {
@@ -101,9 +101,9 @@
 	return s;
 }
 
-status_t sn_end(const sn_reader_t *r, const char *what)
+status_t unpack_end(const unpacker_t *r, const char *what)
 {
 	if (r->bad || r->left.n)
-		return st_fail(ST_CORRUPT, "%s snapshot can't be read", what);
-	return ST_OK;
+		return status_fail(STATUS_CORRUPT, "%s snapshot can't be read", what);
+	return STATUS_OK;
 }
--- a/src/state/ru.c
+++ b/src/state/route_table.c
@@ -1,4 +1,4 @@
-#include "state/ru.h"
+#include "state/route_table.h"
 
 #include <assert.h>
 #include <ctype.h>
@@ -11,18 +11,18 @@
 #define HOST_MAX 255
 
 /** A route in the index. */
-struct ru_slot {
-	const ru_route_t *route;
+struct route_index_node {
+	const route_spec_t *route;
 	char *key; /* host in lower case, then the prefix */
 	UT_hash_handle hh;
 };
 
-ru_t *ru_new(void)
+route_table_t *route_table_new(void)
 {
-	return mem_new(sizeof(ru_t));
+	return mem_new(sizeof(route_table_t));
 }
 
-static void route_free(ru_route_t *r)
+static void route_free(route_spec_t *r)
 {
 	for (size_t i = 0; i < r->nshares; i++)
 		free(r->shares[i].service);
@@ -32,7 +32,7 @@
 	free(r->prefix);
 }
 
-void ru_free(ru_t *r)
+void route_table_free(route_table_t *r)
 {
 	if (!r)
 		return;
@@ -52,12 +52,12 @@
 	free(r);
 }
 
-void ru_cleanup(ru_t **r)
+void route_table_cleanup(route_table_t **r)
 {
-	ru_free(*r);
+	route_table_free(*r);
 }
 
-const ru_service_t *ru_service(const ru_t *r, str_t name)
+const route_service_t *route_table_service(const route_table_t *r, str_t name)
 {
 	for (size_t i = 0; i < r->nservices; i++) {
 		if (str_eq(str_c(r->services[i].name), name))
@@ -66,34 +66,38 @@
 	return NULL;
 }
 
-static status_t check_shares(const ru_t *r, const ru_route_t *t)
+static status_t check_shares(const route_table_t *r, const route_spec_t *t)
 {
 	int64_t sum = 0;
 
 	for (size_t i = 0; i < t->nshares; i++) {
-		if (!ru_service(r, str_c(t->shares[i].service)))
-			return st_fail(ST_INVALID, "route \"%s\": service \"%s\" does not exist",
-				       t->name, t->shares[i].service);
+		if (!route_table_service(r, str_c(t->shares[i].service)))
+			return status_fail(STATUS_INVALID,
+					   "route \"%s\": service \"%s\" does not exist", t->name,
+					   t->shares[i].service);
 		if (t->shares[i].weight < 0)
-			return st_fail(ST_INVALID, "route \"%s\": a weight is negative", t->name);
+			return status_fail(STATUS_INVALID, "route \"%s\": a weight is negative",
+					   t->name);
 		sum += t->shares[i].weight;
 	}
 	if (sum == 0)
-		return st_fail(ST_INVALID, "route \"%s\": its weights add up to 0", t->name);
-	return ST_OK;
+		return status_fail(STATUS_INVALID, "route \"%s\": its weights add up to 0",
+				   t->name);
+	return STATUS_OK;
 }
 
-static status_t check_route(const ru_t *r, const ru_route_t *t)
+static status_t check_route(const route_table_t *r, const route_spec_t *t)
 {
 	size_t n = strlen(t->prefix);
 
 	if (n == 0 || t->prefix[0] != '/' || t->prefix[n - 1] != '/')
-		return st_fail(ST_INVALID,
-			       "route \"%s\": prefix \"%s\" does not begin and end with a slash",
-			       t->name, t->prefix);
+		return status_fail(
+			STATUS_INVALID,
+			"route \"%s\": prefix \"%s\" does not begin and end with a slash", t->name,
+			t->prefix);
 	if (t->timeout_ms <= 0)
-		return st_fail(ST_INVALID, "route \"%s\": a timeout of %lld ms", t->name,
-			       (long long)t->timeout_ms);
+		return status_fail(STATUS_INVALID, "route \"%s\": a timeout of %lld ms", t->name,
+				   (long long)t->timeout_ms);
 	return check_shares(r, t);
 }
 
@@ -105,60 +109,60 @@
 	buf_add(b, prefix);
 }
 
-static struct ru_slot *find_slot(const ru_t *r, const char *key, size_t n)
+static struct route_index_node *find_slot(const route_table_t *r, const char *key, size_t n)
 {
-	struct ru_slot *slot;
+	struct route_index_node *slot;
 
 	HASH_FIND(hh, r->index, key, n, slot);
 	return slot;
 }
 
-static status_t add_slot(ru_t *r, size_t i)
+static status_t add_slot(route_table_t *r, size_t i)
 {
-	const ru_route_t *t = &r->routes[i];
-	struct ru_slot *slot = &r->slots[i];
-	const struct ru_slot *other;
+	const route_spec_t *t = &r->routes[i];
+	struct route_index_node *slot = &r->slots[i];
+	const struct route_index_node *other;
 	AUTO_BUF key = {0};
 
 	add_key(&key, str_c(t->host), str_c(t->prefix));
 	other = find_slot(r, key.p, key.n);
 	if (other)
-		return st_fail(ST_INVALID, "routes \"%s\" and \"%s\" share host and prefix",
-			       other->route->name, t->name);
+		return status_fail(STATUS_INVALID, "routes \"%s\" and \"%s\" share host and prefix",
+				   other->route->name, t->name);
 	slot->route = t;
 	slot->key = str_dup(str_buf(&key));
 	HASH_ADD_KEYPTR(hh, r->index, slot->key, key.n, slot);
 	if (strlen(t->prefix) > r->prefix_max)
 		r->prefix_max = strlen(t->prefix);
-	return ST_OK;
+	return STATUS_OK;
 }
 
-status_t ru_seal(ru_t *r)
+status_t route_table_build(route_table_t *r)
 {
 	assert(!r->slots);
 	r->slots = mem_new((r->nroutes + 1) * sizeof(*r->slots));
 	for (size_t i = 0; i < r->nroutes; i++) {
 		status_t st = check_route(r, &r->routes[i]);
 
-		if (st == ST_OK)
+		if (st == STATUS_OK)
 			st = add_slot(r, i);
-		if (st != ST_OK)
+		if (st != STATUS_OK)
 			return st;
 	}
-	return ST_OK;
+	return STATUS_OK;
 }
 
-const ru_route_t *ru_find(const ru_t *r, str_t host, str_t prefix)
+const route_spec_t *route_table_find(const route_table_t *r, str_t host, str_t prefix)
 {
 	AUTO_BUF key = {0};
-	const struct ru_slot *slot;
+	const struct route_index_node *slot;
 
 	add_key(&key, host, prefix);
 	slot = find_slot(r, key.p, key.n);
 	return slot ? slot->route : NULL;
 }
 
-static bool same_shares(const ru_route_t *a, const ru_route_t *b)
+static bool same_shares(const route_spec_t *a, const route_spec_t *b)
 {
 	if (a->nshares != b->nshares)
 		return false;
@@ -170,19 +174,19 @@
 	return true;
 }
 
-bool ru_route_eq(const ru_route_t *a, const ru_route_t *b)
+bool route_spec_eq(const route_spec_t *a, const route_spec_t *b)
 {
 	return strcmp(a->name, b->name) == 0 && strcmp(a->host, b->host) == 0 &&
 	       strcmp(a->prefix, b->prefix) == 0 && a->kind == b->kind && same_shares(a, b) &&
 	       a->timeout_ms == b->timeout_ms && a->objective_ms == b->objective_ms &&
-	       a->pause_ms == b->pause_ms && a->patience_ms == b->patience_ms &&
+	       a->pause_ms == b->pause_ms && a->give_up_ms == b->give_up_ms &&
 	       a->due_ms == b->due_ms && a->retention_ms == b->retention_ms &&
 	       a->attempts == b->attempts && a->priority == b->priority &&
 	       a->waiting_tokens_max == b->waiting_tokens_max && a->resumable == b->resumable;
 }
 
 /* Every prefix ends with a slash, so only those of the path that do are looked up. */
-const ru_route_t *ru_match(const ru_t *r, str_t host, str_t path)
+const route_spec_t *route_table_match(const route_table_t *r, str_t host, str_t path)
 {
 	const char *colon = memchr(host.p, ':', host.n);
 	AUTO_BUF key = {0};
@@ -195,7 +199,7 @@
 		path.n = r->prefix_max;
 	add_key(&key, host, path);
 	for (size_t n = key.n; n > host.n; n--) {
-		const struct ru_slot *slot;
+		const struct route_index_node *slot;
 
 		if (key.p[n - 1] != '/')
 			continue;
@@ -206,7 +210,7 @@
 	return NULL;
 }
 
-const char *ru_pick(const ru_route_t *r, uint64_t dice)
+const char *route_pick_service(const route_spec_t *r, uint64_t dice)
 {
 	uint64_t sum = 0;
 
--- a/tests/unit/dispatch_kit.h
+++ b/tests/unit/dispatch_kit.h
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "policy/ds.h"
+#include "policy/dispatch.h"
 #include "suite_kit.h"
 
 #define LOG_MAX 64
@@ -18,7 +18,7 @@
 	uint64_t request;
 	char replica[32];
 	int64_t retry_ms;
-	ds_refusal_t why;
+	dispatch_refusal_t why;
 	void *data;
 } effect_t;
 
@@ -43,7 +43,7 @@
 }
 
 static inline void on_refuse(void *ctx, uint64_t entry, uint64_t request, int64_t retry_ms,
-			     ds_refusal_t why)
+			     dispatch_refusal_t why)
 {
 	effect_t *e = effect('r');
 
@@ -70,41 +70,41 @@
 	e->data = data;
 }
 
-static const ds_callbacks_t callbacks = {NULL, on_grant, on_refuse, on_run, on_stop};
+static const dispatch_callbacks_t callbacks = {NULL, on_grant, on_refuse, on_run, on_stop};
 
-static inline ds_t *fresh(unsigned replicas, unsigned slots)
+static inline dispatch_t *fresh(unsigned replicas, unsigned slots)
 {
-	ds_t *d = ds_new(&callbacks, 7);
-	ds_replica_t v[16];
+	dispatch_t *d = dispatch_new(&callbacks, 7);
+	dispatch_replica_t v[16];
 	static char ids[16][16];
 
 	neffects = 0;
 	for (unsigned i = 0; i < replicas; i++) {
 		snprintf(ids[i], sizeof(ids[i]), "r%u", i);
-		v[i] = (ds_replica_t){
+		v[i] = (dispatch_replica_t){
 			str_c(ids[i]), i % 2 ? STR("b") : STR("a"), STR("s"), slots, false, 0};
 	}
-	ds_entry_add(d, 1, STR("a"), true);
-	ds_entry_add(d, 2, STR("b"), true);
-	ds_replicas(d, v, replicas, 0);
+	dispatch_entry_add(d, 1, STR("a"), true);
+	dispatch_entry_add(d, 2, STR("b"), true);
+	dispatch_set_replicas(d, v, replicas, 0);
 	return d;
 }
 
-static inline ds_ask_t ask_of(uint64_t request, deadline_t now)
+static inline dispatch_request_t ask_of(uint64_t request, deadline_t now)
 {
-	return (ds_ask_t){.entry = 1,
-			  .request = request,
-			  .service = STR("s"),
-			  .objective = now + 300,
-			  .deadline = now + 5000,
-			  .leaves = now + PATIENCE_MS};
+	return (dispatch_request_t){.entry = 1,
+				    .request = request,
+				    .service = STR("s"),
+				    .objective = now + 300,
+				    .deadline = now + 5000,
+				    .give_up_at = now + PATIENCE_MS};
 }
 
-static inline void ask(ds_t *d, uint64_t request, deadline_t now)
+static inline void ask(dispatch_t *d, uint64_t request, deadline_t now)
 {
-	ds_ask_t a = ask_of(request, now);
+	dispatch_request_t a = ask_of(request, now);
 
-	ds_ask(d, &a, now);
+	dispatch_request_add(d, &a, now);
 }
 
 #endif
--- a/tests/unit/fuzz_kit.h
+++ b/tests/unit/fuzz_kit.h
@@ -3,7 +3,7 @@
 #define AUBURN_FUZZ_KIT_H
 
 #include <string.h>
-#include "base/rd.h"
+#include "base/prng.h"
 #include "base/str.h"
 
 #define MAX_MUTATIONS 6
@@ -12,7 +12,7 @@
 
 static inline uint32_t rng(uint32_t below)
 {
-	return (uint32_t)(rd_next(&rng_state) >> 16) % below;
+	return (uint32_t)(prng_next(&rng_state) >> 16) % below;
 }
 
 static inline void fuzz_insert(buf_t *b, size_t at, str_t s)
--- a/tests/unit/ledger_model.h
+++ b/tests/unit/ledger_model.h
@@ -16,7 +16,7 @@
 	uint64_t holder; /* 0: waits, or final */
 	uint64_t token;
 	int64_t deadline_ms, end_ms;
-	aw_state_t state;
+	wire_state_t state;
 	unsigned attempt;
 	unsigned fails, deaths;
 	bool exists, repeatable;
@@ -52,13 +52,13 @@
 typedef struct {
 	uint64_t session;
 	uint64_t seq;
-	given_t last[LD_LEASE_CHUNK_MAX];
+	given_t last[LEDGER_LEASE_ITEMS_MAX];
 	unsigned nlast;
 } slot_t;
 
 /* The ledger, and a twin that applies the same commands but is never restored. */
-static ld_t *l;
-static ld_t *twin;
+static ledger_t *l;
+static ledger_t *twin;
 static mreq_t reqs[KEYS];
 static mjob_t jobs[JOBS];
 static slot_t slots[SLOTS];
@@ -80,13 +80,13 @@
 	({                                                                                         \
 		AUTO_BUF one_ = {0};                                                               \
 		AUTO_BUF two_ = {0};                                                               \
-		ld_t *real_ = l;                                                                   \
+		ledger_t *real_ = l;                                                               \
 		l = twin;                                                                          \
 		AUTO_RES other_ = call;                                                            \
 		l = real_;                                                                         \
-		aw_ledger_res_t res_ = call;                                                       \
-		px_encode(&one_, PX(aw_ledger_res_t), &other_);                                    \
-		px_encode(&two_, PX(aw_ledger_res_t), &res_);                                      \
+		wire_ledger_res_t res_ = call;                                                     \
+		wire_encode(&one_, XDR_PROC(wire_ledger_res_t), &other_);                          \
+		wire_encode(&two_, XDR_PROC(wire_ledger_res_t), &res_);                            \
 		ck_assert(str_eq(str_buf(&one_), str_buf(&two_)));                                 \
 		res_;                                                                              \
 	})
@@ -114,9 +114,9 @@
 	return names[j % CALLERS];
 }
 
-static unsigned number_of(aw_bytes_t name)
+static unsigned number_of(wire_bytes_t name)
 {
-	return (unsigned)strtoul(name.aw_bytes_t_val + 1, NULL, 10);
+	return (unsigned)strtoul(name.wire_bytes_t_val + 1, NULL, 10);
 }
 
 static bool is_live(uint64_t session)
@@ -140,7 +140,7 @@
 	*s = (slot_t){.session = ++last_session};
 }
 
-static void end_req(mreq_t *r, aw_state_t state, const char *result)
+static void end_req(mreq_t *r, wire_state_t state, const char *result)
 {
 	r->state = state;
 	r->holder = 0;
@@ -148,13 +148,13 @@
 	snprintf(r->result, sizeof(r->result), "%s", result);
 }
 
-static void check_record(const mreq_t *r, const aw_record_t *rec)
+static void check_record(const mreq_t *r, const wire_record_t *rec)
 {
 	ck_assert_int_eq(rec->state, r->state);
 	ck_assert(rec->session == r->holder);
-	if (r->state == AW_DONE)
+	if (r->state == WIRE_DONE)
 		ck_assert(kit_is(rec->result, r->result));
-	if (r->state == AW_FAILED && r->token)
+	if (r->state == WIRE_FAILED && r->token)
 		ck_assert_int_eq(rec->verdict, VERDICT_MAY_HAVE_RUN);
 }
 
@@ -167,7 +167,7 @@
 	return n;
 }
 
-static void check_job(const mjob_t *j, const aw_job_t *got)
+static void check_job(const mjob_t *j, const wire_job_t *got)
 {
 	ck_assert_uint_eq(got->count, j->count);
 	ck_assert_uint_eq(got->received, j->received);
@@ -196,8 +196,8 @@
 	int64_t best = INT64_MAX;
 
 	for (unsigned n = 0; n < JOBS; n++) {
-		int64_t band = jobs[n].deadline_ms / LD_BAND_MS;
-		bool over = (band + 1) * LD_BAND_MS <= kit_now_ms;
+		int64_t band = jobs[n].deadline_ms / LEDGER_BAND_MS;
+		bool over = (band + 1) * LEDGER_BAND_MS <= kit_now_ms;
 
 		if (jobs[n].exists && jobs[n].sealed && tally(&jobs[n], M_WAITING) &&
 		    over == overdue && band < best)
@@ -219,7 +219,7 @@
 	       m->attempt == g->attempt;
 }
 
-static void check_cancelled(uint64_t session, const aw_ledger_res_t *res)
+static void check_cancelled(uint64_t session, const wire_ledger_res_t *res)
 {
 	unsigned n = 0;
 
@@ -234,26 +234,26 @@
 	ck_assert_uint_eq(res->cancelled.cancelled_len, n);
 }
 
-static bool used_up(unsigned *fails, unsigned *deaths, aw_blame_t blame)
+static bool used_up(unsigned *fails, unsigned *deaths, wire_blame_t blame)
 {
-	*fails += blame == AW_BLAME_ITEM;
-	*deaths += blame == AW_BLAME_REPLICA;
-	return *fails >= LD_ITEM_ATTEMPTS || *deaths >= LD_DEATHS_MAX;
+	*fails += blame == WIRE_BLAME_ITEM;
+	*deaths += blame == WIRE_BLAME_REPLICA;
+	return *fails >= LEDGER_ITEM_FAILS_MAX || *deaths >= LEDGER_DEATHS_MAX;
 }
 
-static void model_req_result(mreq_t *r, const aw_item_result_t *v, const char *body)
+static void model_req_result(mreq_t *r, const wire_item_result_t *v, const char *body)
 {
 	if (v->done)
-		end_req(r, AW_DONE, body);
-	else if (r->state == AW_ATTEMPTED || used_up(&r->fails, &r->deaths, v->blame))
-		end_req(r, AW_FAILED, body);
+		end_req(r, WIRE_DONE, body);
+	else if (r->state == WIRE_ATTEMPTED || used_up(&r->fails, &r->deaths, v->blame))
+		end_req(r, WIRE_FAILED, body);
 	else
 		r->holder = 0;
-	if (r->state == AW_DONE)
+	if (r->state == WIRE_DONE)
 		r->token = 0;
 }
 
-static void model_item_result(mjob_t *j, mitem_t *m, const aw_item_result_t *v, const char *body)
+static void model_item_result(mjob_t *j, mitem_t *m, const wire_item_result_t *v, const char *body)
 {
 	if (j->cancelled)
 		m->state = M_DROPPED;
@@ -272,8 +272,8 @@
 static void model_all_lost(void)
 {
 	for (unsigned k = 0; k < KEYS; k++) {
-		if (reqs[k].exists && reqs[k].state == AW_ATTEMPTED)
-			end_req(&reqs[k], AW_FAILED, "");
+		if (reqs[k].exists && reqs[k].state == WIRE_ATTEMPTED)
+			end_req(&reqs[k], WIRE_FAILED, "");
 		reqs[k].holder = 0;
 	}
 	for (unsigned j = 0; j < JOBS; j++) {
@@ -286,15 +286,15 @@
 
 static void check_all(void)
 {
-	ld_stats_t st;
+	ledger_stats_t st;
 
-	ld_stats(l, &st);
+	ledger_get_stats(l, &st);
 	ck_assert_uint_eq(st.late_dropped, dropped);
 	for (unsigned n = 0; n < JOBS; n++) {
 		AUTO_QRES q = kit_query_job(l, job_caller(n), job_name(n));
 		AUTO_QRES r = kit_query_results(l, job_caller(n), job_name(n), 0, ITEMS);
 
-		ck_assert_int_eq(q.status, jobs[n].exists ? ST_OK : ST_NOT_FOUND);
+		ck_assert_int_eq(q.status, jobs[n].exists ? STATUS_OK : STATUS_NOT_FOUND);
 		if (jobs[n].exists)
 			check_job(&jobs[n], &q.jobs.jobs_val[0]);
 		for (unsigned i = 0; i < r.items.items_len; i++) {
@@ -312,15 +312,15 @@
 	AUTO_BUF a = {0};
 	AUTO_BUF b = {0};
 
-	ld_snapshot(l, &a);
-	ld_snapshot(twin, &b);
+	ledger_snapshot(l, &a);
+	ledger_snapshot(twin, &b);
 	ck_assert(str_eq(str_buf(&a), str_buf(&b)));
 }
 
 static void check_drained(void)
 {
 	for (unsigned k = 0; k < KEYS; k++)
-		ck_assert(!reqs[k].exists || reqs[k].state >= AW_DONE);
+		ck_assert(!reqs[k].exists || reqs[k].state >= WIRE_DONE);
 	for (unsigned j = 0; j < JOBS; j++)
 		ck_assert(!jobs[j].sealed || jobs[j].ended);
 	check_all();
--- a/tests/unit/net_kit.h
+++ b/tests/unit/net_kit.h
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <sys/socket.h>
 #include <unistd.h>
-#include "net/hl.h"
-#include "net/hu.h"
+#include "net/http_server.h"
+#include "net/http_client.h"
 #include "suite_kit.h"
 
 /** Most bytes of an answer to a call. */
@@ -15,21 +15,21 @@
 
 typedef struct {
 	struct ev_loop *loop;
-	hl_t *server;
-	hu_t *client;
+	http_server_t *server;
+	http_client_t *client;
 	char addr[32];
 	int requests;
 	int gone;
-	hl_conn_t *open;
+	http_conn_t *open;
 	int ended;
-	hu_end_t how;
+	http_call_end_t how;
 	int status;
 	buf_t body;
 	bool skip_first;
 	enum { WHOLE, STREAM, ABORT, HOLD } manner;
 } pair_t;
 
-static inline void serve(void *ctx, hl_conn_t *c, const hl_request_t *r)
+static inline void serve(void *ctx, http_conn_t *c, const http_request_t *r)
 {
 	pair_t *p = ctx;
 
@@ -37,30 +37,30 @@
 	p->open = c;
 	switch (p->manner) {
 	case WHOLE:
-		hl_reply(c, 200, STR("X: y\r\n"), r->body);
+		http_reply(c, 200, STR("X: y\r\n"), r->body);
 		break;
 	case STREAM:
-		hl_begin(c, 200, STR(""));
-		hl_piece(c, STR("one"));
-		hl_piece(c, STR("two"));
-		hl_end(c);
+		http_reply_begin(c, 200, STR(""));
+		http_reply_chunk(c, STR("one"));
+		http_reply_chunk(c, STR("two"));
+		http_reply_end(c);
 		break;
 	case ABORT:
-		hl_begin(c, 200, STR(""));
-		hl_piece(c, STR("one"));
-		hl_abort(c);
+		http_reply_begin(c, 200, STR(""));
+		http_reply_chunk(c, STR("one"));
+		http_reply_abort(c);
 		break;
 	default:
 		break;
 	}
 }
 
-static inline void on_gone(void *ctx, hl_conn_t *c)
+static inline void on_gone(void *ctx, http_conn_t *c)
 {
 	((pair_t *)ctx)->gone++;
 }
 
-static inline bool call_head(void *ctx, const hp_head_t *h)
+static inline bool call_head(void *ctx, const http_head_t *h)
 {
 	((pair_t *)ctx)->status = h->status;
 	return true;
@@ -71,7 +71,7 @@
 	buf_add(&((pair_t *)ctx)->body, piece);
 }
 
-static inline void call_end(void *ctx, hu_end_t how)
+static inline void call_end(void *ctx, http_call_end_t how)
 {
 	pair_t *p = ctx;
 
@@ -111,35 +111,36 @@
 {
 	*p = (pair_t){.loop = ev_loop_new(EVFLAG_AUTO)};
 	snprintf(p->addr, sizeof(p->addr), "127.0.0.1:%u", free_port());
-	p->server = hl_new(&(hl_options_t){.loop = p->loop,
-					   .addr = p->addr,
-					   .limits = {1024, 1024, 200, 400},
-					   .ctx = p,
-					   .request = serve,
-					   .gone = on_gone});
+	p->server = http_server_new(&(http_server_options_t){.loop = p->loop,
+							     .addr = p->addr,
+							     .limits = {1024, 1024, 200, 400},
+							     .ctx = p,
+							     .request = serve,
+							     .client_gone = on_gone});
 	ck_assert_ptr_nonnull(p->server);
-	p->client = hu_new(p->loop);
+	p->client = http_client_new(p->loop);
 }
 
 static inline void pair_close(pair_t *p)
 {
-	hl_close(p->server);
-	hu_close(p->client);
+	http_server_close(p->server);
+	http_client_close(p->client);
 	turn(p, 0.01);
 	ev_loop_destroy(p->loop);
 	buf_free(&p->body);
 }
 
-static inline hu_call_t *call(pair_t *p, str_t request)
+static inline http_call_t *call(pair_t *p, str_t request)
 {
-	return hu_start(p->client, &(hu_options_t){.request = request,
-						   .addr = p->addr,
-						   .connect_by = clk_now_ms() + 500,
-						   .max_bytes = ANSWER_BYTES,
-						   .ctx = p,
-						   .head = call_head,
-						   .body = call_body,
-						   .end = call_end});
+	return http_call_start(p->client,
+			       &(http_call_options_t){.request = request,
+						      .addr = p->addr,
+						      .connect_deadline = clock_now_ms() + 500,
+						      .max_bytes = ANSWER_BYTES,
+						      .ctx = p,
+						      .head = call_head,
+						      .body = call_body,
+						      .end = call_end});
 }
 
 static const str_t post = STR("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello");
--- a/tests/unit/sim.c
+++ b/tests/unit/sim.c
@@ -26,7 +26,7 @@
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
 		sim_node_t *n = &s->nodes[(start + i) % SIM_SLOTS];
 
-		if (n->rf && !n->frozen && rf_role(n->rf) == RF_LEADER)
+		if (n->rf && !n->frozen && raft_role(n->rf) == RAFT_LEADER)
 			return n;
 	}
 	return NULL;
@@ -35,7 +35,7 @@
 static void flush(sim_t *s, sim_node_t *n)
 {
 	if (n->rf && !n->frozen && chance(s, 700))
-		rf_flush(n->rf);
+		raft_flush(n->rf);
 }
 
 static uint64_t new_id(sim_t *s, unsigned slot)
@@ -61,12 +61,12 @@
 /* The first voters, as a fresh folder holds them. */
 static void bootstrap(sim_t *s, unsigned n)
 {
-	rf_conf_t conf = {.n = n};
+	raft_members_t conf = {.n = n};
 	AUTO_BUF b = {0};
 
 	for (unsigned i = 0; i < n; i++)
-		conf.peers[i] = (gr_peer_t){.id = new_id(s, i), .voter = true};
-	rf_conf_encode(&conf, &b);
+		conf.peers[i] = (group_peer_t){.id = new_id(s, i), .voter = true};
+	raft_members_encode(&conf, &b);
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
 		sim_node_t *node = &s->nodes[i];
 
@@ -74,8 +74,8 @@
 		node->slot = i;
 		node->id = i < n ? s->ids[i].id : new_id(s, i);
 		if (i < n) {
-			node->disk.entries = mem_new(sizeof(rf_entry_t));
-			node->disk.entries[0].kind = RF_CONF;
+			node->disk.entries = mem_new(sizeof(raft_entry_t));
+			node->disk.entries[0].kind = RAFT_ENTRY_MEMBERS;
 			node->disk.entries[0].data.data_len = (u_int)b.n;
 			node->disk.entries[0].data.data_val = str_dup(str_buf(&b));
 			node->disk.n = 1;
@@ -92,7 +92,7 @@
 
 	if (!n)
 		return;
-	index = rf_propose(n->rf, (str_t){(const char *)&cmd, sizeof(cmd)});
+	index = raft_propose(n->rf, (str_t){(const char *)&cmd, sizeof(cmd)});
 	if (index)
 		sim_call_begin(s, n, false, cmd.op, index, cmd.key);
 	flush(s, n);
@@ -106,7 +106,7 @@
 	if (!n)
 		return;
 	sim_call_begin(s, n, true, token, 0, (uint32_t)sim_random(s, SIM_KEYS));
-	if (!rf_read(n->rf, token))
+	if (!raft_read_index(n->rf, token))
 		sim_call_read_done(n, token, false);
 	flush(s, n);
 }
@@ -117,7 +117,7 @@
 		sim_node_t *n = &s->nodes[i];
 
 		if (n->rf && !n->frozen && chance(s, 900))
-			rf_tick(n->rf);
+			raft_tick(n->rf);
 		flush(s, n);
 	}
 }
@@ -141,25 +141,25 @@
 }
 
 /* Members as the most advanced replica has them. */
-static void newest_conf(const sim_t *s, rf_conf_t *out)
+static void newest_conf(const sim_t *s, raft_members_t *out)
 {
 	uint64_t best = 0;
-	rf_view_t v;
+	raft_status_t v;
 
-	*out = (rf_conf_t){0};
+	*out = (raft_members_t){0};
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
 		if (!s->nodes[i].rf)
 			continue;
-		rf_view(s->nodes[i].rf, &v);
+		raft_get_status(s->nodes[i].rf, &v);
 		if (v.commit >= best) {
 			best = v.commit;
-			*out = v.conf;
+			*out = v.members;
 		}
 	}
 }
 
 /* True when a majority of these voters has lost its disk, counting `also` as one of them. */
-static bool majority_is_lost(const sim_t *s, const rf_conf_t *c, uint64_t also)
+static bool majority_is_lost(const sim_t *s, const raft_members_t *c, uint64_t also)
 {
 	unsigned voters = 0;
 	unsigned lost = 0;
@@ -176,13 +176,13 @@
 /* True when some replica's log names voters whose majority would be lost. */
 static bool is_stuck(const sim_t *s, uint64_t also)
 {
-	rf_view_t v;
+	raft_status_t v;
 
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
 		if (!s->nodes[i].rf)
 			return true;
-		rf_view(s->nodes[i].rf, &v);
-		if (majority_is_lost(s, &v.conf, also))
+		raft_get_status(s->nodes[i].rf, &v);
+		if (majority_is_lost(s, &v.members, also))
 			return true;
 	}
 	return false;
@@ -211,26 +211,26 @@
 static void change_members(sim_t *s)
 {
 	sim_node_t *leader = any_leader(s);
-	gr_peer_t peer = {.id = any_node(s)->id};
+	group_peer_t peer = {.id = any_node(s)->id};
 	uint64_t index = 0;
 	bool spare;
-	rf_view_t v;
+	raft_status_t v;
 	int at;
 
 	if (!leader)
 		return;
-	rf_view(leader->rf, &v);
-	spare = v.conf.n > 4;
-	for (unsigned i = 0; i < v.conf.n; i++)
-		spare &= !is_lost(s, v.conf.peers[i].id);
-	at = rf_conf_find(&v.conf, peer.id);
+	raft_get_status(leader->rf, &v);
+	spare = v.members.n > 4;
+	for (unsigned i = 0; i < v.members.n; i++)
+		spare &= !is_lost(s, v.members.peers[i].id);
+	at = raft_members_find(&v.members, peer.id);
 	if (at < 0)
-		rf_add_learner(leader->rf, &peer, &index);
-	else if (!v.conf.peers[at].voter)
-		rf_promote(leader->rf, peer.id, &index);
-	for (unsigned i = 0; i < v.conf.n && !index; i++) {
-		if (is_lost(s, v.conf.peers[i].id) || (spare && chance(s, 50)))
-			rf_remove(leader->rf, v.conf.peers[i].id, &index);
+		raft_add_learner(leader->rf, &peer, &index);
+	else if (!v.members.peers[at].voter)
+		raft_promote(leader->rf, peer.id, &index);
+	for (unsigned i = 0; i < v.members.n && !index; i++) {
+		if (is_lost(s, v.members.peers[i].id) || (spare && chance(s, 50)))
+			raft_remove(leader->rf, v.members.peers[i].id, &index);
 	}
 	s->res->changes += index != 0;
 	flush(s, leader);
@@ -268,7 +268,7 @@
 	if (chance(s, 3)) {
 		n = any_leader(s);
 		if (n)
-			rf_transfer(n->rf);
+			raft_transfer_leadership(n->rf);
 	}
 }
 
@@ -301,7 +301,7 @@
 
 static bool all_equal(const sim_t *s)
 {
-	rf_conf_t conf;
+	raft_members_t conf;
 
 	newest_conf(s, &conf);
 	for (unsigned i = 0; i < conf.n; i++) {
@@ -310,7 +310,7 @@
 
 		if (n->id != conf.peers[i].id)
 			continue;
-		if (!n->rf || rf_applied(n->rf) != s->ref_last)
+		if (!n->rf || raft_applied_index(n->rf) != s->ref_last)
 			return false;
 	}
 	return conf.n > 0;
@@ -337,7 +337,7 @@
 			tick_all(s);
 		for (unsigned k = 0; k < SIM_SLOTS; k++) {
 			sim_node_sync(&s->nodes[k], SIZE_MAX);
-			rf_flush(s->nodes[k].rf);
+			raft_flush(s->nodes[k].rf);
 		}
 		if (!quiet && chance(s, 100))
 			write_some(s);
@@ -354,7 +354,7 @@
 /* The state that the reference gives is the one that each replica has. */
 static void check_final(sim_t *s)
 {
-	rf_conf_t conf;
+	raft_members_t conf;
 
 	newest_conf(s, &conf);
 	for (unsigned i = 0; i < conf.n; i++) {
@@ -403,7 +403,7 @@
 
 			if (!n->rf)
 				continue;
-			rf_flush(n->rf);
+			raft_flush(n->rf);
 			busy |= n->disk.nwrites > 0;
 			sim_node_sync(n, SIZE_MAX);
 		}
--- a/tests/unit/sim.h
+++ b/tests/unit/sim.h
@@ -3,7 +3,7 @@
 #ifndef AUBURN_SIM_H
 #define AUBURN_SIM_H
 
-#include "raft/rf.h"
+#include "raft/raft.h"
 
 #define SIM_SLOTS	 6 /* addresses at which a replica may run */
 #define SIM_KEYS	 3
@@ -28,7 +28,7 @@
 typedef struct {
 	uint64_t index;
 	uint64_t term;
-	rf_conf_t conf;
+	raft_members_t conf;
 	sim_state_t state;
 } sim_snap_t;
 
@@ -38,7 +38,7 @@
 	uint64_t seq;
 	uint64_t term;
 	uint64_t index; /* vote, first index, or base */
-	rf_entry_t *entries;
+	raft_entry_t *entries;
 	size_t n;
 } sim_write_t;
 
@@ -47,7 +47,7 @@
 	uint64_t vote;
 	uint64_t base;
 	uint64_t base_term;
-	rf_entry_t *entries; /* from base + 1 */
+	raft_entry_t *entries; /* from base + 1 */
 	size_t n;
 	sim_snap_t snaps[2]; /* [0] is the newest */
 	unsigned nsnaps;
@@ -61,7 +61,7 @@
 	sim_t *sim;
 	unsigned slot;
 	uint64_t id;
-	rf_t *rf; /* NULL: stopped */
+	raft_t *rf; /* NULL: stopped */
 	sim_disk_t disk;
 	sim_state_t state;
 	unsigned frozen; /* steps left */
@@ -159,7 +159,7 @@
 void sim_node_free(sim_node_t *n);
 
 /* sim_check.c */
-void sim_check_apply(sim_node_t *n, uint64_t index, const rf_entry_t *e);
+void sim_check_apply(sim_node_t *n, uint64_t index, const raft_entry_t *e);
 void sim_check_leader(sim_node_t *n, uint64_t term);
 void sim_call_begin(sim_t *s, sim_node_t *n, bool read, uint64_t token, uint64_t index,
 		    uint32_t key);
@@ -167,7 +167,7 @@
 void sim_call_forget(sim_t *s, unsigned slot);
 
 /* sim_net.c */
-void sim_send(sim_node_t *from, const rf_msg_t *m);
+void sim_send(sim_node_t *from, const raft_msg_t *m);
 void sim_deliver(sim_t *s);
 int sim_id_slot(const sim_t *s, uint64_t id);
 
--- a/tests/unit/sim_check.c
+++ b/tests/unit/sim_check.c
@@ -68,18 +68,18 @@
 	}
 }
 
-void sim_check_apply(sim_node_t *n, uint64_t index, const rf_entry_t *e)
+void sim_check_apply(sim_node_t *n, uint64_t index, const raft_entry_t *e)
 {
 	sim_cmd_t cmd = {0};
 
-	if (e->kind == RF_COMMAND)
+	if (e->kind == RAFT_ENTRY_COMMAND)
 		memcpy(&cmd, e->data.data_val, sizeof(cmd));
 	check_reference(n->sim, index, e->term, cmd.op);
 	if (index <= n->state.applied)
 		sim_violate(n->sim, "entry %lu is applied after %lu", (unsigned long)index,
 			    (unsigned long)n->state.applied);
 	n->state.applied = index;
-	if (e->kind != RF_COMMAND)
+	if (e->kind != RAFT_ENTRY_COMMAND)
 		return;
 	n->state.op[cmd.key] = cmd.op;
 	n->state.version[cmd.key]++;
@@ -110,7 +110,7 @@
 			.floor = s->seen[key]};
 
 	if (!read)
-		c.term = rf_term_at(n->rf, index);
+		c.term = raft_term_at(n->rf, index);
 	s->calls = mem_grow(s->calls, (s->ncalls + 1) * sizeof(*s->calls));
 	s->calls[s->ncalls++] = c;
 }
--- a/tests/unit/sim_net.c
+++ b/tests/unit/sim_net.c
@@ -2,7 +2,7 @@
 #include "sim.h"
 
 #include <string.h>
-#include "proto/px.h"
+#include "proto/wire.h"
 
 int sim_id_slot(const sim_t *s, uint64_t id)
 {
@@ -19,7 +19,7 @@
 	s->packets[i] = s->packets[--s->npackets];
 }
 
-void sim_send(sim_node_t *from, const rf_msg_t *m)
+void sim_send(sim_node_t *from, const raft_msg_t *m)
 {
 	sim_t *s = from->sim;
 	int slot = sim_id_slot(s, m->to);
@@ -31,7 +31,7 @@
 		remove_packet(s, (unsigned)sim_random(s, s->npackets));
 	p = &s->packets[s->npackets++];
 	*p = (sim_packet_t){.from = from->slot, .to = (unsigned)slot};
-	px_encode(&p->bytes, PX(rf_msg_t), m);
+	wire_encode(&p->bytes, XDR_PROC(raft_msg_t), m);
 }
 
 /* Hands one message, any, to whatever runs at its address. */
@@ -40,7 +40,7 @@
 	unsigned i;
 	sim_node_t *to;
 	AUTO_BUF bytes = {0};
-	rf_msg_t m;
+	raft_msg_t m;
 
 	if (s->npackets == 0)
 		return;
@@ -57,7 +57,7 @@
 	buf_add(&bytes, str_buf(&s->packets[i].bytes));
 	if (sim_random(s, 20) > 0)
 		remove_packet(s, i);
-	if (px_decode(str_buf(&bytes), PX(rf_msg_t), &m, sizeof(m)) == ST_OK)
-		rf_receive(to->rf, &m);
-	px_free(PX(rf_msg_t), &m);
+	if (wire_decode(str_buf(&bytes), XDR_PROC(raft_msg_t), &m, sizeof(m)) == STATUS_OK)
+		raft_receive(to->rf, &m);
+	wire_free(XDR_PROC(raft_msg_t), &m);
 }
--- a/tests/unit/sim_node.c
+++ b/tests/unit/sim_node.c
@@ -1,6 +1,6 @@
 /* A replica of the randomised run: its disk, its state and the core's callbacks. */
 #include "sim.h"
-#include "base/rd.h"
+#include "base/prng.h"
 
 #include <stdarg.h>
 #include <stdio.h>
@@ -11,7 +11,7 @@
 
 uint64_t sim_random(sim_t *s, uint64_t n)
 {
-	return (rd_next(&s->random) >> 11) % n;
+	return (prng_next(&s->random) >> 11) % n;
 }
 
 void sim_violate(sim_t *s, const char *fmt, ...)
@@ -26,9 +26,9 @@
 	va_end(ap);
 }
 
-static rf_entry_t copy_entry(const rf_entry_t *e)
+static raft_entry_t copy_entry(const raft_entry_t *e)
 {
-	rf_entry_t c = *e;
+	raft_entry_t c = *e;
 
 	c.data.data_val = str_dup((str_t){e->data.data_val, e->data.data_len});
 	return c;
@@ -96,7 +96,7 @@
 		return;
 	seq = n->disk.writes[writes - 1].seq;
 	sync_disk(&n->disk, writes);
-	rf_synced(n->rf, seq);
+	raft_on_synced(n->rf, seq);
 }
 
 static void queue_write(sim_node_t *n, sim_write_t w)
@@ -107,7 +107,7 @@
 	d->writes[d->nwrites++] = w;
 }
 
-static void on_send(void *ctx, const rf_msg_t *m)
+static void on_send(void *ctx, const raft_msg_t *m)
 {
 	sim_send(ctx, m);
 }
@@ -117,7 +117,7 @@
 	queue_write(ctx, (sim_write_t){SIM_HARD, seq, term, vote, NULL, 0});
 }
 
-static void on_entries(void *ctx, uint64_t seq, uint64_t from, const rf_entry_t *e, size_t n)
+static void on_entries(void *ctx, uint64_t seq, uint64_t from, const raft_entry_t *e, size_t n)
 {
 	sim_write_t w = {SIM_ENTRIES, seq, 0, from, mem_new(n * sizeof(*e)), n};
 
@@ -131,7 +131,7 @@
 	queue_write(ctx, (sim_write_t){SIM_RESET, seq, term, index, NULL, 0});
 }
 
-static void on_apply(void *ctx, uint64_t index, const rf_entry_t *e)
+static void on_apply(void *ctx, uint64_t index, const raft_entry_t *e)
 {
 	sim_check_apply(ctx, index, e);
 }
@@ -146,18 +146,18 @@
 
 void sim_node_snapshot(sim_node_t *n)
 {
-	sim_snap_t sn = {.index = rf_applied(n->rf), .state = n->state};
+	sim_snap_t sn = {.index = raft_applied_index(n->rf), .state = n->state};
 
 	if (sn.index == 0 || (n->disk.nsnaps && n->disk.snaps[0].index >= sn.index))
 		return;
-	sn.term = rf_term_at(n->rf, sn.index);
-	rf_conf_at(n->rf, sn.index, &sn.conf);
+	sn.term = raft_term_at(n->rf, sn.index);
+	raft_members_at(n->rf, sn.index, &sn.conf);
 	keep_snap(&n->disk, &sn);
 	if (n->disk.nsnaps > 1)
-		rf_compact(n->rf, n->disk.snaps[1].index);
+		raft_compact(n->rf, n->disk.snaps[1].index);
 }
 
-static bool on_snap_read(void *ctx, rf_chunk_t *c)
+static bool on_snap_read(void *ctx, raft_snap_chunk_t *c)
 {
 	sim_node_t *n = ctx;
 	const sim_snap_t *sn = NULL;
@@ -170,11 +170,11 @@
 		return false;
 	n->outgoing.n = n->out_conf.n = 0;
 	buf_add(&n->outgoing, (str_t){(const char *)&sn->state, sizeof(sn->state)});
-	buf_drop(&n->outgoing, c->offset);
-	rf_conf_encode(&sn->conf, &n->out_conf);
+	buf_drop_front(&n->outgoing, c->offset);
+	raft_members_encode(&sn->conf, &n->out_conf);
 	c->index = sn->index;
 	c->term = sn->term;
-	c->conf = str_buf(&n->out_conf);
+	c->members = str_buf(&n->out_conf);
 	c->data = str_buf(&n->outgoing);
 	if (c->data.n > CHUNK_BYTES)
 		c->data.n = CHUNK_BYTES;
@@ -182,7 +182,7 @@
 	return true;
 }
 
-static bool on_snap_write(void *ctx, const rf_chunk_t *c)
+static bool on_snap_write(void *ctx, const raft_snap_chunk_t *c)
 {
 	sim_node_t *n = ctx;
 	sim_snap_t sn = {.index = c->index, .term = c->term};
@@ -194,7 +194,8 @@
 	buf_add(&n->incoming, c->data);
 	if (!c->last)
 		return true;
-	if (n->incoming.n != sizeof(sn.state) || rf_conf_decode(c->conf, &sn.conf) != ST_OK) {
+	if (n->incoming.n != sizeof(sn.state) ||
+	    raft_members_decode(c->members, &sn.conf) != STATUS_OK) {
 		sim_violate(n->sim, "a snapshot arrived with %zu bytes", n->incoming.n);
 		return false;
 	}
@@ -212,9 +213,9 @@
 	sim_call_read_done(ctx, token, ok);
 }
 
-static void on_role(void *ctx, rf_role_t role, uint64_t term)
+static void on_role(void *ctx, raft_role_t role, uint64_t term)
 {
-	if (role == RF_LEADER)
+	if (role == RAFT_LEADER)
 		sim_check_leader(ctx, term);
 }
 
@@ -242,34 +243,34 @@
 void sim_node_start(sim_node_t *n)
 {
 	sim_disk_t *d = &n->disk;
-	rf_options_t o = {.self = n->id,
-			  .election_ticks = 6,
-			  .heartbeat_ticks = 2,
-			  .random_seed = sim_random(n->sim, 1u << 30) + 1,
-			  .term = d->term,
-			  .vote = d->vote,
-			  .cb = {.ctx = n,
-				 .send = on_send,
-				 .persist_hard = on_hard,
-				 .persist_entries = on_entries,
-				 .persist_reset = on_reset,
-				 .apply = on_apply,
-				 .snap_read = on_snap_read,
-				 .snap_write = on_snap_write,
-				 .read_done = on_read_done,
-				 .role = on_role}};
+	raft_options_t o = {.self = n->id,
+			    .election_ticks = 6,
+			    .heartbeat_ticks = 2,
+			    .random_seed = sim_random(n->sim, 1u << 30) + 1,
+			    .term = d->term,
+			    .vote = d->vote,
+			    .cb = {.ctx = n,
+				   .send = on_send,
+				   .persist_hard_state = on_hard,
+				   .persist_entries = on_entries,
+				   .persist_reset = on_reset,
+				   .apply = on_apply,
+				   .snap_read = on_snap_read,
+				   .snap_write = on_snap_write,
+				   .read_done = on_read_done,
+				   .role = on_role}};
 
 	join_snapshot(d);
 	n->state = (sim_state_t){0};
 	if (d->nsnaps) {
 		n->state = d->snaps[0].state;
-		o.base_conf = d->snaps[0].conf;
+		o.base_members = d->snaps[0].conf;
 	}
 	o.base = d->base;
 	o.base_term = d->base_term;
 	o.entries = d->entries;
 	o.nentries = d->n;
-	n->rf = rf_new(&o);
+	n->rf = raft_new(&o);
 }
 
 void sim_node_stop(sim_node_t *n)
@@ -280,7 +281,7 @@
 	for (size_t i = 0; i < n->disk.nwrites; i++)
 		free_write(&n->disk.writes[i]);
 	n->disk.nwrites = 0;
-	rf_free(n->rf);
+	raft_free(n->rf);
 	n->rf = NULL;
 	n->frozen = 0;
 	n->incoming.n = 0;
@@ -289,7 +290,7 @@
 
 void sim_node_free(sim_node_t *n)
 {
-	rf_free(n->rf);
+	raft_free(n->rf);
 	sim_disk_clear(&n->disk);
 	buf_free(&n->incoming);
 	buf_free(&n->outgoing);
--- a/tests/unit/test_base.c
+++ b/tests/unit/test_base.c
@@ -11,7 +11,7 @@
 	buf_add(&b, STR("lot "));
 	buf_addf(&b, "%d", 42);
 	ck_assert(str_eq(str_buf(&b), STR("lot 42")));
-	buf_drop(&b, 4);
+	buf_drop_front(&b, 4);
 	ck_assert_str_eq(b.p, "42");
 }
 END_TEST
@@ -27,9 +27,9 @@
 
 START_TEST(status_keeps_last_message)
 {
-	ck_assert_int_eq(st_fail(ST_LIMIT, "over %d", 3), ST_LIMIT);
-	ck_assert_str_eq(st_message(), "over 3");
-	ck_assert_str_eq(st_name(ST_LIMIT), "limit");
+	ck_assert_int_eq(status_fail(STATUS_LIMIT, "over %d", 3), STATUS_LIMIT);
+	ck_assert_str_eq(status_message(), "over 3");
+	ck_assert_str_eq(status_name(STATUS_LIMIT), "limit");
 	ck_assert_str_eq(verdict_name(VERDICT_MAY_HAVE_RUN), "may_have_run");
 }
 END_TEST
--- a/tests/unit/test_bench.c
+++ b/tests/unit/test_bench.c
@@ -112,8 +112,8 @@
 	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
 	double at = 0;
 
-	ck_assert_int_eq(bn_window_parse("x5:every 10:for 1", true, &r.burst), ST_OK);
-	ck_assert_int_eq(bn_window_parse("every 5:for 2", false, &r.gap), ST_OK);
+	ck_assert_int_eq(bn_window_parse("x5:every 10:for 1", true, &r.burst), STATUS_OK);
+	ck_assert_int_eq(bn_window_parse("every 5:for 2", false, &r.gap), STATUS_OK);
 	r.gap.every_s = 7; /* so that pauses and bursts don't always fall together */
 	gsl_rng_set(rng, 3);
 	while ((at = bn_rate_next(&r, at, rng)) < 7000)
@@ -124,8 +124,8 @@
 	ck_assert_uint_lt(count[BN_STEADY], 5000 * 0.9 * 20 * 1.05);
 	ck_assert_uint_gt(count[BN_BURST], 5000 * 0.1 * 100 * 0.95);
 	ck_assert_uint_lt(count[BN_BURST], 5000 * 0.1 * 100 * 1.05);
-	ck_assert_int_eq(bn_window_parse("x5:every 1:for 2", true, &r.burst), ST_INVALID);
-	ck_assert_int_eq(bn_window_parse("x5", true, &r.burst), ST_INVALID);
+	ck_assert_int_eq(bn_window_parse("x5:every 1:for 2", true, &r.burst), STATUS_INVALID);
+	ck_assert_int_eq(bn_window_parse("x5", true, &r.burst), STATUS_INVALID);
 	gsl_rng_free(rng);
 }
 END_TEST
--- a/tests/unit/test_dispatch_load.c
+++ b/tests/unit/test_dispatch_load.c
@@ -25,7 +25,7 @@
 } request_t;
 
 typedef struct {
-	ds_item_t *it;
+	dispatch_item_t *it;
 	deadline_t due;
 	int64_t left;
 	deadline_t since;
@@ -35,7 +35,7 @@
 } item_t;
 
 typedef struct {
-	ds_t *d;
+	dispatch_t *d;
 	deadline_t now;
 	request_t *r;
 	uint64_t n;
@@ -44,7 +44,7 @@
 	unsigned in_time, late, lost;
 	unsigned too_late; /* granted after its caller had left */
 	unsigned items_in_time, items_late;
-	ds_stats_t stats; /* at the end */
+	dispatch_stats_t stats; /* at the end */
 	unsigned at[PLAY_REPLICAS];
 } play_t;
 
@@ -64,7 +64,7 @@
 }
 
 static void play_refuse(void *ctx, uint64_t entry, uint64_t request, int64_t retry_ms,
-			ds_refusal_t why)
+			dispatch_refusal_t why)
 {
 	play_t *p = ctx;
 	request_t *r = &p->r[request];
@@ -94,7 +94,7 @@
 
 static void play_ask(play_t *p, bool back)
 {
-	ds_ask_t a = ask_of(p->n, p->now);
+	dispatch_request_t a = ask_of(p->n, p->now);
 
 	p->r[p->n] = (request_t){.asked = p->now, .back = back};
 	a.entry = 1 + p->n % 2;
@@ -102,7 +102,7 @@
 	if (back)
 		a.deadline -= 300;
 	p->n++;
-	ds_ask(p->d, &a, p->now);
+	dispatch_request_add(p->d, &a, p->now);
 }
 
 static void play_requests(play_t *p)
@@ -112,7 +112,7 @@
 
 		if (r->running && p->now >= r->ends) {
 			r->running = false;
-			ds_ended(p->d, 1 + i % 2, i, DS_OK, p->now);
+			dispatch_request_ended(p->d, 1 + i % 2, i, DISPATCH_OK, p->now);
 		} else if (r->again && p->now >= r->again) {
 			r->again = 0;
 			play_ask(p, true);
@@ -127,7 +127,7 @@
 
 		if (it->stopping) {
 			it->stopping = false;
-			ds_item_back(p->d, it->it, DS_LEFT, p->now);
+			dispatch_item_requeue(p->d, it->it, DISPATCH_CANCELLED, p->now);
 		} else if (it->running && p->now - it->since >= it->left) {
 			it->running = false;
 			it->done = true;
@@ -135,7 +135,7 @@
 				p->items_in_time++;
 			else
 				p->items_late++;
-			ds_item_remove(p->d, it->it, true, p->now);
+			dispatch_item_remove(p->d, it->it, true, p->now);
 		}
 	}
 }
@@ -149,27 +149,27 @@
 /* Steps of the users' sheets, times x, on 96 places. */
 static play_t *play_lengths(double x, double items, bool differ)
 {
-	static ds_callbacks_t cb;
+	static dispatch_callbacks_t cb;
 	play_t *p = calloc(1, sizeof(*p));
 	double owed = 0;
 	double owed_items = 0;
 
-	cb = (ds_callbacks_t){p, play_grant, play_refuse, play_run, play_stop};
+	cb = (dispatch_callbacks_t){p, play_grant, play_refuse, play_run, play_stop};
 	p->r = calloc(PLAY_REQUESTS, sizeof(*p->r));
 	p->n = 1;
-	p->d = ds_new(&cb, 11);
-	ds_entry_add(p->d, 1, STR("a"), true);
-	ds_entry_add(p->d, 2, STR("b"), true);
+	p->d = dispatch_new(&cb, 11);
+	dispatch_entry_add(p->d, 1, STR("a"), true);
+	dispatch_entry_add(p->d, 2, STR("b"), true);
 	{
-		ds_replica_t v[PLAY_REPLICAS];
+		dispatch_replica_t v[PLAY_REPLICAS];
 		static char ids[PLAY_REPLICAS][16];
 
 		for (unsigned j = 0; j < PLAY_REPLICAS; j++) {
 			snprintf(ids[j], sizeof(ids[j]), "r%u", j);
-			v[j] = (ds_replica_t){str_c(ids[j]), STR("a"), STR("s"),
-					      PLAY_SLOTS,    false,    0};
+			v[j] = (dispatch_replica_t){str_c(ids[j]), STR("a"), STR("s"),
+						    PLAY_SLOTS,	   false,    0};
 		}
-		ds_replicas(p->d, v, PLAY_REPLICAS, 0);
+		dispatch_set_replicas(p->d, v, PLAY_REPLICAS, 0);
 	}
 	for (p->now = 0; p->now < PLAY_MS; p->now++) {
 		bool high = p->now % PLAY_PERIOD_MS < PLAY_HIGH_MS;
@@ -187,12 +187,12 @@
 
 			it->due = p->now + PLAY_DUE_MS;
 			it->left = item_ms(p->nitems, differ);
-			it->it = ds_item_add(p->d, STR("s"), it->due, it);
+			it->it = dispatch_item_add(p->d, STR("s"), it->due, it);
 			owed_items -= 1;
 		}
-		ds_tick(p->d, p->now);
+		dispatch_tick(p->d, p->now);
 	}
-	ds_stats(p->d, &p->stats);
+	dispatch_stats(p->d, &p->stats);
 	printf("load x%.1f: online in time %u late %u lost %u of %llu; items in time %u late %u of "
 	       "%u, stopped %llu times\n",
 	       x, p->in_time, p->late, p->lost, (unsigned long long)p->n - 1, p->items_in_time,
@@ -207,7 +207,7 @@
 
 static void play_free(play_t *p)
 {
-	ds_free(p->d);
+	dispatch_free(p->d);
 	free(p->r);
 	free(p);
 }
--- a/tests/unit/test_fanout.c
+++ b/tests/unit/test_fanout.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/str.h"
-#include "policy/sh.h"
-#include "policy/tf.h"
+#include "policy/ring.h"
+#include "policy/fanout.h"
 #include "suite_kit.h"
 
 #define ENTRIES	     250
@@ -20,9 +20,9 @@
 #define APPLY_MS 3000
 
 typedef struct {
-	tf_text_t holds;
-	tf_text_t coming;
-	tf_text_t base;
+	fanout_config_id_t holds;
+	fanout_config_id_t coming;
+	fanout_config_id_t base;
 	deadline_t taken_at; /* 0: nothing is coming */
 	bool frozen;
 	unsigned wholes;
@@ -30,10 +30,10 @@
 } entry_t;
 
 typedef struct {
-	tf_t *f;
+	fanout_t *f;
 	deadline_t now;
 	int64_t link_free_us; /* when the leader's link has sent what was given to it */
-	tf_text_t text;
+	fanout_config_id_t text;
 	entry_t e[ENTRIES];
 	size_t sent;
 	size_t most_on_the_way;
@@ -43,11 +43,11 @@
 
 static fleet_t fl;
 
-static size_t on_send(void *ctx, uint64_t peer, tf_text_t base)
+static size_t on_send(void *ctx, uint64_t peer, fanout_config_id_t base)
 {
 	entry_t *e = &fl.e[peer];
 	size_t bytes = base.number ? CHANGE_BYTES : WHOLE_BYTES;
-	tf_stats_t st;
+	fanout_stats_t st;
 
 	/* At most one text is on its way to an entry. */
 	ck_assert_int_eq(e->taken_at, 0);
@@ -61,46 +61,46 @@
 	e->wholes += base.number == 0;
 	e->changes += base.number != 0;
 	fl.sent += bytes;
-	tf_stats(fl.f, &st);
-	if (st.flight_bytes + bytes > fl.most_on_the_way)
-		fl.most_on_the_way = st.flight_bytes + bytes;
+	fanout_stats(fl.f, &st);
+	if (st.in_flight_bytes + bytes > fl.most_on_the_way)
+		fl.most_on_the_way = st.in_flight_bytes + bytes;
 	return bytes;
 }
 
-static void on_held(void *ctx, tf_text_t text, size_t peers, int64_t ms)
+static void on_held(void *ctx, fanout_config_id_t text, size_t peers, int64_t ms)
 {
-	ck_assert(tf_text_eq(text, fl.text));
+	ck_assert(fanout_config_id_eq(text, fl.text));
 	fl.held_ms = ms;
 }
 
 static void lead_without_text(void)
 {
-	tf_callbacks_t cb = {NULL, on_send, on_held};
+	fanout_callbacks_t cb = {NULL, on_send, on_held};
 
-	tf_free(fl.f);
-	fl.f = tf_new(&cb);
+	fanout_free(fl.f);
+	fl.f = fanout_new(&cb);
 	fl.held_ms = -1;
 }
 
 static void lead(void)
 {
 	lead_without_text();
-	tf_text(fl.f, fl.text, fl.now);
+	fanout_set_config(fl.f, fl.text, fl.now);
 }
 
 static void link_all(void)
 {
 	for (uint64_t i = 0; i < ENTRIES; i++) {
 		fl.e[i].taken_at = 0; /* what was on its way went with the old link */
-		tf_add(fl.f, i, fl.e[i].holds, fl.now);
+		fanout_peer_add(fl.f, i, fl.e[i].holds, fl.now);
 	}
 }
 
 static void submit(void)
 {
-	fl.text = (tf_text_t){fl.text.number + 1, fl.text.digest * 31 + 7};
+	fl.text = (fanout_config_id_t){fl.text.number + 1, fl.text.digest * 31 + 7};
 	fl.held_ms = -1;
-	tf_text(fl.f, fl.text, fl.now);
+	fanout_set_config(fl.f, fl.text, fl.now);
 }
 
 static void play(int64_t ms)
@@ -112,12 +112,12 @@
 			if (!e->taken_at || fl.now < e->taken_at || e->frozen)
 				continue;
 			e->taken_at = 0;
-			if (e->base.number == 0 || tf_text_eq(e->base, e->holds))
+			if (e->base.number == 0 || fanout_config_id_eq(e->base, e->holds))
 				e->holds = e->coming;
-			tf_holds(fl.f, i, e->holds, fl.now);
+			fanout_peer_acked(fl.f, i, e->holds, fl.now);
 		}
 		if (fl.now % TICK_MS == 0)
-			tf_tick(fl.f, fl.now);
+			fanout_tick(fl.f, fl.now);
 	}
 }
 
@@ -134,14 +134,14 @@
 
 static void teardown(void)
 {
-	tf_free(fl.f);
+	fanout_free(fl.f);
 	fl.f = NULL;
 }
 
 START_TEST(all_entries_get_a_first_text_in_time_with_bounded_bytes_on_the_way)
 {
 	ck_assert_int_le(fl.held_ms, APPLY_MS / 2);
-	ck_assert_uint_le(fl.most_on_the_way, TF_FLIGHT_BYTES + WHOLE_BYTES);
+	ck_assert_uint_le(fl.most_on_the_way, FANOUT_IN_FLIGHT_BYTES + WHOLE_BYTES);
 }
 END_TEST
 
@@ -186,13 +186,13 @@
 {
 	for (unsigned i = 0; i < ENTRIES; i++) {
 		fl.e[i].frozen = i % 3 == 0;
-		fl.e[i].holds = (tf_text_t){0, 0};
+		fl.e[i].holds = (fanout_config_id_t){0, 0};
 	}
 	lead();
 	link_all();
 	play(APPLY_MS);
 	for (unsigned i = 0; i < ENTRIES; i++)
-		ck_assert(fl.e[i].frozen || tf_text_eq(fl.e[i].holds, fl.text));
+		ck_assert(fl.e[i].frozen || fanout_config_id_eq(fl.e[i].holds, fl.text));
 	ck_assert_int_eq(fl.held_ms, -1);
 	for (unsigned i = 0; i < ENTRIES; i++)
 		fl.e[i].frozen = false;
@@ -220,10 +220,10 @@
 
 START_TEST(entries_without_a_text_come_first)
 {
-	unsigned first = ENTRIES - TF_FLIGHT_BYTES / WHOLE_BYTES;
+	unsigned first = ENTRIES - FANOUT_IN_FLIGHT_BYTES / WHOLE_BYTES;
 
 	for (unsigned i = first; i < ENTRIES; i++)
-		fl.e[i].holds = (tf_text_t){0, 0};
+		fl.e[i].holds = (fanout_config_id_t){0, 0};
 	lead_without_text();
 	link_all();
 	submit();
@@ -237,19 +237,19 @@
 /* An entry that starts again is another peer, which holds nothing. */
 START_TEST(entries_that_restart_are_forgotten)
 {
-	tf_stats_t st;
+	fanout_stats_t st;
 
 	submit();
 	for (uint64_t i = 0; i < ENTRIES; i += 5) {
-		tf_remove(fl.f, i);
+		fanout_peer_remove(fl.f, i);
 		fl.e[i].taken_at = 0;
-		fl.e[i].holds = (tf_text_t){0, 0};
-		tf_add(fl.f, i, fl.e[i].holds, fl.now);
+		fl.e[i].holds = (fanout_config_id_t){0, 0};
+		fanout_peer_add(fl.f, i, fl.e[i].holds, fl.now);
 	}
 	play(APPLY_MS);
-	tf_stats(fl.f, &st);
+	fanout_stats(fl.f, &st);
 	ck_assert_uint_eq(st.behind, 0);
-	ck_assert_uint_eq(st.flight_bytes, 0);
+	ck_assert_uint_eq(st.in_flight_bytes, 0);
 	ck_assert_uint_eq(st.peers, ENTRIES);
 }
 END_TEST
@@ -258,7 +258,7 @@
 
 #define SHARE 64
 
-static size_t ring_of(sh_point_t *ring, size_t n, size_t without)
+static size_t ring_of(ring_point_t *ring, size_t n, size_t without)
 {
 	size_t k = 0;
 
@@ -267,9 +267,9 @@
 
 		snprintf(addr, sizeof(addr), "10.1.0.%zu:8161", i);
 		if (i != without)
-			ring[k++] = (sh_point_t){str_hash(str_c(addr)), i};
+			ring[k++] = (ring_point_t){str_hash(str_c(addr)), i};
 	}
-	sh_sort(ring, k);
+	ring_sort(ring, k);
 	return k;
 }
 
@@ -283,13 +283,13 @@
 
 START_TEST(each_entry_is_in_as_many_shares_as_any_other)
 {
-	static sh_point_t ring[ENTRIES];
+	static ring_point_t ring[ENTRIES];
 	unsigned in[ENTRIES] = {0};
 	size_t out[SHARE];
 	size_t n = ring_of(ring, ENTRIES, ENTRIES);
 
 	for (size_t i = 0; i < ENTRIES; i++) {
-		ck_assert_uint_eq(sh_share(ring, n, hash_of(i), out, SHARE), SHARE);
+		ck_assert_uint_eq(ring_successors(ring, n, hash_of(i), out, SHARE), SHARE);
 		ck_assert_uint_eq(out[0], i);
 		for (size_t k = 0; k < SHARE; k++)
 			in[out[k]]++;
@@ -301,8 +301,8 @@
 
 START_TEST(an_entry_that_goes_changes_the_shares_of_those_that_had_it_only)
 {
-	static sh_point_t ring[ENTRIES];
-	static sh_point_t less[ENTRIES];
+	static ring_point_t ring[ENTRIES];
+	static ring_point_t less[ENTRIES];
 	size_t a[SHARE];
 	size_t b[SHARE];
 	size_t n = ring_of(ring, ENTRIES, ENTRIES);
@@ -311,8 +311,8 @@
 
 	ck_assert_uint_eq(m, n - 1);
 	for (size_t i = 0; i < ENTRIES; i++) {
-		sh_share(ring, n, hash_of(i), a, SHARE);
-		sh_share(less, m, hash_of(i), b, SHARE);
+		ring_successors(ring, n, hash_of(i), a, SHARE);
+		ring_successors(less, m, hash_of(i), b, SHARE);
 		changed += memcmp(a, b, sizeof(a)) != 0;
 	}
 	ck_assert_uint_eq(changed, SHARE);
@@ -321,16 +321,16 @@
 
 START_TEST(a_short_list_is_told_whole)
 {
-	sh_point_t ring[5];
+	ring_point_t ring[5];
 	size_t out[SHARE];
 	size_t n = ring_of(ring, 5, 5);
 	unsigned sum = 0;
 
-	ck_assert_uint_eq(sh_share(ring, n, UINT64_MAX, out, SHARE), 5);
+	ck_assert_uint_eq(ring_successors(ring, n, UINT64_MAX, out, SHARE), 5);
 	for (size_t k = 0; k < 5; k++)
 		sum += 1U << out[k];
 	ck_assert_uint_eq(sum, 31);
-	ck_assert_uint_eq(sh_share(ring, 0, 7, out, SHARE), 0);
+	ck_assert_uint_eq(ring_successors(ring, 0, 7, out, SHARE), 0);
 }
 END_TEST
 
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -1,23 +1,23 @@
 /* Unit tests of the fleet group: numbered texts, sessions, upstreams and who may own them. */
 #include "fleet_kit.h"
-#include "state/tx.h"
+#include "state/config.h"
 #include "suite_kit.h"
 
-static aw_fleet_res_t submit(uint64_t number, const char *text)
+static wire_fleet_res_t submit(uint64_t number, const char *text)
 {
-	aw_fleet_cmd_t cmd = {.kind = AW_FLEET_CONF_SUBMIT};
+	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_CONFIG_SUBMIT};
 
-	cmd.aw_fleet_cmd_t_u.submit = (aw_conf_submit_t){number, b(text), b("op")};
+	cmd.wire_fleet_cmd_t_u.submit = (wire_config_submit_t){number, b(text), b("op")};
 	return apply(&cmd);
 }
 
-static aw_query_res_t conf(uint64_t number)
+static wire_query_res_t conf(uint64_t number)
 {
-	aw_query_t q = {.kind = AW_QUERY_CONF};
-	aw_query_res_t res;
+	wire_query_t q = {.kind = WIRE_QUERY_CONFIG};
+	wire_query_res_t res;
 
-	q.aw_query_t_u.number = number;
-	fl_query(f, &q, &res);
+	q.wire_query_t_u.number = number;
+	fleet_query(f, &q, &res);
 	return res;
 }
 
@@ -29,12 +29,12 @@
 	AUTO_RES lose = submit(1, "b");
 	AUTO_RES again = submit(1, "a");
 
-	ck_assert_int_eq(gap.status, ST_INVALID);
-	ck_assert_int_eq(zero.status, ST_INVALID);
-	ck_assert(win.status == ST_OK && win.number == 1);
-	ck_assert_int_eq(lose.status, ST_CONFLICT);
-	ck_assert(lose.number == 1 && lose.winner_digest == tx_digest(STR("a")));
-	ck_assert(again.status == ST_OK && again.number == 1);
+	ck_assert_int_eq(gap.status, STATUS_INVALID);
+	ck_assert_int_eq(zero.status, STATUS_INVALID);
+	ck_assert(win.status == STATUS_OK && win.number == 1);
+	ck_assert_int_eq(lose.status, STATUS_CONFLICT);
+	ck_assert(lose.number == 1 && lose.winner_digest == config_digest(STR("a")));
+	ck_assert(again.status == STATUS_OK && again.number == 1);
 	ck_assert(again.winner_digest == win.winner_digest);
 }
 END_TEST
@@ -47,7 +47,7 @@
 		snprintf(text, sizeof(text), "retention_s = %u", n);
 		AUTO_RES res = submit(n, text);
 
-		ck_assert_int_eq(res.status, ST_OK);
+		ck_assert_int_eq(res.status, STATUS_OK);
 		if (n % 100 == 0)
 			reload();
 	}
@@ -58,15 +58,15 @@
 	AUTO_QRES kept = conf(458);
 	AUTO_QRES gone = conf(457);
 
-	ck_assert(mine.status == ST_OK && mine.number == 7);
-	ck_assert(other.status == ST_CONFLICT && other.number == 507);
-	ck_assert(other.winner_digest == tx_digest(STR("retention_s = 7")));
+	ck_assert(mine.status == STATUS_OK && mine.number == 7);
+	ck_assert(other.status == STATUS_CONFLICT && other.number == 507);
+	ck_assert(other.winner_digest == config_digest(STR("retention_s = 7")));
 	ck_assert_int_eq(now.conf.number, 507);
-	ck_assert(str_eq(px_str(now.conf.text), STR("retention_s = 507")));
-	ck_assert(str_eq(px_str(kept.conf.text), STR("retention_s = 458")));
-	ck_assert_int_eq(gone.status, ST_NOT_FOUND);
-	ck_assert(gone.conf.digest == tx_digest(STR("retention_s = 457")));
-	ck_assert_int_eq(fl_conf_number(f), 507);
+	ck_assert(str_eq(wire_str(now.conf.text), STR("retention_s = 507")));
+	ck_assert(str_eq(wire_str(kept.conf.text), STR("retention_s = 458")));
+	ck_assert_int_eq(gone.status, STATUS_NOT_FOUND);
+	ck_assert(gone.conf.digest == config_digest(STR("retention_s = 457")));
+	ck_assert_int_eq(fleet_config_number(f), 507);
 }
 END_TEST
 
@@ -78,16 +78,16 @@
 	uint64_t out[4];
 
 	ck_assert(a == same && newer > a);
-	ck_assert(!fl_session_open(f, a) && fl_session_open(f, newer));
-	ck_assert(fl_session_of(f, STR("e1"), 12) == newer);
-	ck_assert_int_eq(fl_session_of(f, STR("e1"), 11), 0);
-	ck_assert_int_eq(fl_sessions(f, out, 4), 1);
-	ck_assert_int_eq(fl_closed(f, out, 4), 1);
+	ck_assert(!fleet_session_is_open(f, a) && fleet_session_is_open(f, newer));
+	ck_assert(fleet_find_session(f, STR("e1"), 12) == newer);
+	ck_assert_int_eq(fleet_find_session(f, STR("e1"), 11), 0);
+	ck_assert_int_eq(fleet_open_sessions(f, out, 4), 1);
+	ck_assert_int_eq(fleet_closed_sessions(f, out, 4), 1);
 	ck_assert(out[0] == a);
-	ck_assert_int_eq(close_session(newer), ST_OK);
-	ck_assert_int_eq(close_session(newer), ST_OK);
-	ck_assert_int_eq(close_session(newer + 1), ST_NOT_FOUND);
-	ck_assert_int_eq(drain(newer), ST_CANCELLED);
+	ck_assert_int_eq(close_session(newer), STATUS_OK);
+	ck_assert_int_eq(close_session(newer), STATUS_OK);
+	ck_assert_int_eq(close_session(newer + 1), STATUS_NOT_FOUND);
+	ck_assert_int_eq(drain(newer), STATUS_CANCELLED);
 	reload();
 	ck_assert(open_session("e1", 12, "z1") > newer);
 }
@@ -97,19 +97,19 @@
 {
 	uint64_t a = open_session("e1", 1, "z1");
 	uint64_t c = open_session("e2", 1, "z1");
-	aw_fleet_cmd_t cmd = {.kind = AW_FLEET_FORGET};
+	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_FORGET};
 	uint64_t out[4];
 	u_quad_t done[] = {a};
 
 	close_session(a);
 	close_session(c);
 	reload();
-	cmd.aw_fleet_cmd_t_u.forget.forget_len = 1;
-	cmd.aw_fleet_cmd_t_u.forget.forget_val = done;
+	cmd.wire_fleet_cmd_t_u.forget.forget_len = 1;
+	cmd.wire_fleet_cmd_t_u.forget.forget_val = done;
 	AUTO_RES res = apply(&cmd);
 
-	ck_assert_int_eq(res.status, ST_OK);
-	ck_assert_int_eq(fl_closed(f, out, 4), 1);
+	ck_assert_int_eq(res.status, STATUS_OK);
+	ck_assert_int_eq(fleet_closed_sessions(f, out, 4), 1);
 	ck_assert(out[0] == c);
 }
 END_TEST
@@ -119,7 +119,7 @@
 	uint64_t a = open_session("e1", 1, "z1");
 	uint64_t c = open_session("e2", 1, "z1");
 	uint64_t d = open_session("e3", 1, "z1");
-	aw_upstream_t one = up("u1", "z1", "llm");
+	wire_upstream_t one = up("u1", "z1", "llm");
 	uint64_t fence;
 
 	list(&one, 1);
@@ -145,20 +145,20 @@
 START_TEST(vanished_upstream_stays_until_released)
 {
 	uint64_t a = open_session("e1", 1, "z1");
-	aw_upstream_t both[] = {up("u1", "z1", "llm"), up("u2", "z1", "llm")};
+	wire_upstream_t both[] = {up("u1", "z1", "llm"), up("u2", "z1", "llm")};
 	uint64_t version;
 
 	list(both, 2);
 	own("u1", 0, a);
-	version = fl_view_version(f);
+	version = fleet_view_version(f);
 	list(both, 2);
-	ck_assert(fl_view_version(f) == version);
+	ck_assert(fleet_view_version(f) == version);
 	list(NULL, 0);
 	AUTO_QRES v = view();
 
-	ck_assert(fl_view_version(f) > version);
+	ck_assert(fleet_view_version(f) > version);
 	ck_assert_ptr_null(find(&v, "u2"));
-	ck_assert_int_eq(find(&v, "u1")->state, AW_UP_GONE);
+	ck_assert_int_eq(find(&v, "u1")->state, WIRE_UPSTREAM_GONE);
 	ck_assert(find(&v, "u1")->owner == a);
 	ck_assert_int_eq(own("u1", find(&v, "u1")->fence, 0), 1);
 	AUTO_QRES w = view();
@@ -170,15 +170,15 @@
 START_TEST(listed_again_keeps_its_owner)
 {
 	uint64_t a = open_session("e1", 1, "z1");
-	aw_upstream_t one = up("u1", "z1", "llm");
+	wire_upstream_t one = up("u1", "z1", "llm");
 
 	list(&one, 1);
 	own("u1", 0, a);
-	one.state = AW_UP_LEAVING;
+	one.state = WIRE_UPSTREAM_LEAVING;
 	list(&one, 1);
 	AUTO_QRES v = view();
 
-	ck_assert(find(&v, "u1")->owner == a && find(&v, "u1")->state == AW_UP_LEAVING);
+	ck_assert(find(&v, "u1")->owner == a && find(&v, "u1")->state == WIRE_UPSTREAM_LEAVING);
 }
 END_TEST
 
--- a/tests/unit/test_fleet_plan.c
+++ b/tests/unit/test_fleet_plan.c
@@ -10,28 +10,28 @@
 START_TEST(released_upstream_waits_for_its_old_owner)
 {
 	uint64_t a = open_session("e1", 1, "z1");
-	aw_upstream_t one = up("u1", "z1", "llm");
+	wire_upstream_t one = up("u1", "z1", "llm");
 	uint64_t known;
-	fl_plan_t plan = {10, seen_from, &known};
-	aw_fleet_cmd_t cmd;
+	fleet_plan_options_t plan = {10, seen_from, &known};
+	wire_fleet_cmd_t cmd;
 
 	list(&one, 1);
 	own("u1", 0, a);
 	open_session("e2", 1, "z1");
-	known = fl_view_version(f);
+	known = fleet_view_version(f);
 	drain(a);
-	ck_assert_int_eq(fl_plan_owners_seen(f, &plan, &cmd), 1);
-	ck_assert_int_eq(cmd.aw_fleet_cmd_t_u.own.own_val[0].session, 0);
+	ck_assert_int_eq(fleet_plan_owners_with(f, &plan, &cmd), 1);
+	ck_assert_int_eq(cmd.wire_fleet_cmd_t_u.own.own_val[0].session, 0);
 	AUTO_RES release = apply(&cmd);
 
-	px_free(PX(aw_fleet_cmd_t), &cmd);
+	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
 	ck_assert_int_eq(release.number, 1);
 	reload();
-	ck_assert_int_eq(fl_plan_owners_seen(f, &plan, &cmd), 0);
-	px_free(PX(aw_fleet_cmd_t), &cmd);
-	known = fl_view_version(f);
-	ck_assert_int_eq(fl_plan_owners_seen(f, &plan, &cmd), 1);
-	px_free(PX(aw_fleet_cmd_t), &cmd);
+	ck_assert_int_eq(fleet_plan_owners_with(f, &plan, &cmd), 0);
+	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
+	known = fleet_view_version(f);
+	ck_assert_int_eq(fleet_plan_owners_with(f, &plan, &cmd), 1);
+	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
 }
 END_TEST
 
@@ -53,7 +53,7 @@
 {
 	static const char *const services[] = {"llm", "scribe"};
 	static const char *const zones[] = {"z0", "z1", "z2"};
-	aw_upstream_t v[RANDOM_UPS];
+	wire_upstream_t v[RANDOM_UPS];
 	char ids[RANDOM_UPS][8];
 	unsigned n = 0;
 
@@ -62,7 +62,7 @@
 			continue;
 		snprintf(ids[n], sizeof(ids[n]), "u%u", i);
 		v[n] = up(ids[n], zones[i % 3], services[i % 7 == 0]);
-		v[n].state = rnd(6) == 0 ? AW_UP_LEAVING : AW_UP_LIVE;
+		v[n].state = rnd(6) == 0 ? WIRE_UPSTREAM_LEAVING : WIRE_UPSTREAM_LIVE;
 		n++;
 	}
 	list(v, n);
@@ -87,40 +87,40 @@
 static size_t plan_step(void)
 {
 	AUTO_QRES v = view();
-	aw_fleet_cmd_t cmd;
-	size_t n = fl_plan_owners(f, 1000, &cmd);
+	wire_fleet_cmd_t cmd;
+	size_t n = fleet_plan_owners(f, 1000, &cmd);
 	AUTO_RES res;
 
 	for (size_t i = 0; i < n; i++) {
-		const aw_own_change_t *c = &cmd.aw_fleet_cmd_t_u.own.own_val[i];
+		const wire_owner_change_t *c = &cmd.wire_fleet_cmd_t_u.own.own_val[i];
 
 		for (unsigned k = 0; k < v.view.upstreams.upstreams_len; k++) {
-			const aw_upstream_t *u = &v.view.upstreams.upstreams_val[k];
+			const wire_upstream_t *u = &v.view.upstreams.upstreams_val[k];
 
-			if (!str_eq(px_str(u->id), px_str(c->id)))
+			if (!str_eq(wire_str(u->id), wire_str(c->id)))
 				continue;
-			ck_assert(!c->session || !fl_session_open(f, u->owner));
+			ck_assert(!c->session || !fleet_session_is_open(f, u->owner));
 		}
 	}
 	res = apply(&cmd);
 	ck_assert_int_eq(res.number, n);
-	px_free(PX(aw_fleet_cmd_t), &cmd);
+	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
 	return n;
 }
 
 /* Checks that each service is spread within one over the members that may own. */
-static void check_spread(const aw_query_res_t *v, const char *service)
+static void check_spread(const wire_query_res_t *v, const char *service)
 {
 	unsigned least = 1000;
 	unsigned most = 0;
 
 	for (unsigned m = 0; m < v->view.members.members_len; m++) {
-		const aw_member_t *member = &v->view.members.members_val[m];
+		const wire_member_t *member = &v->view.members.members_val[m];
 		unsigned n = 0;
 
 		for (unsigned i = 0; i < v->view.upstreams.upstreams_len; i++)
 			n += v->view.upstreams.upstreams_val[i].owner == member->session &&
-			     str_eq(px_str(v->view.upstreams.upstreams_val[i].service),
+			     str_eq(wire_str(v->view.upstreams.upstreams_val[i].service),
 				    str_c(service));
 		if (member->draining) {
 			ck_assert_int_eq(n, 0);
@@ -132,7 +132,7 @@
 	ck_assert(most <= least + 1 || least == 1000);
 }
 
-static unsigned eligible(const aw_query_res_t *v)
+static unsigned eligible(const wire_query_res_t *v)
 {
 	unsigned n = 0;
 
@@ -150,22 +150,22 @@
 	check_spread(&v, "llm");
 	check_spread(&v, "scribe");
 	for (unsigned i = 0; i < v.view.upstreams.upstreams_len; i++) {
-		ck_assert_int_ne(v.view.upstreams.upstreams_val[i].state, AW_UP_GONE);
+		ck_assert_int_ne(v.view.upstreams.upstreams_val[i].state, WIRE_UPSTREAM_GONE);
 		ck_assert(v.view.upstreams.upstreams_val[i].owner != 0);
 	}
 }
 
 /* Fences only grow, and change whenever the owner does. */
-static void check_fences(const aw_query_res_t *before)
+static void check_fences(const wire_query_res_t *before)
 {
 	AUTO_QRES v = view();
 
 	for (unsigned i = 0; i < v.view.upstreams.upstreams_len; i++) {
-		const aw_upstream_t *u = &v.view.upstreams.upstreams_val[i];
+		const wire_upstream_t *u = &v.view.upstreams.upstreams_val[i];
 		char id[16];
 
-		snprintf(id, sizeof(id), "%.*s", STR_ARG(px_str(u->id)));
-		const aw_upstream_t *was = find(before, id);
+		snprintf(id, sizeof(id), "%.*s", STR_ARG(wire_str(u->id)));
+		const wire_upstream_t *was = find(before, id);
 
 		if (was)
 			ck_assert(u->fence >= was->fence &&
@@ -201,7 +201,7 @@
 
 START_TEST(lost_member_moves_only_its_own)
 {
-	aw_upstream_t v[12];
+	wire_upstream_t v[12];
 	char ids[12][8];
 	uint64_t s[4];
 	unsigned moved = 0;
--- a/tests/unit/test_fuzz.c
+++ b/tests/unit/test_fuzz.c
@@ -2,13 +2,13 @@
 #include <arpa/inet.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/rd.h"
-#include "base/cf.h"
-#include "proto/px.h"
-#include "proto/rf_xdr.h"
-#include "state/fl.h"
-#include "state/ld.h"
-#include "state/tx.h"
+#include "base/prng.h"
+#include "base/toml.h"
+#include "proto/wire.h"
+#include "proto/raft_xdr.h"
+#include "state/fleet.h"
+#include "state/ledger.h"
+#include "state/config.h"
 #include "fuzz_kit.h"
 #include "suite_kit.h"
 
@@ -84,19 +84,20 @@
 	}
 }
 
-static void use_document(const cf_t *c)
+static void use_document(const toml_doc_t *c)
 {
 	static const char *const names[] = {"service", "limit", "a", ""};
-	const cf_key_t keys[] = {{0}};
+	const toml_key_t keys[] = {{0}};
 
 	for (size_t i = 0; i < sizeof(names) / sizeof(names[0]); i++) {
-		size_t n = cf_count(cf_root(c), names[i]);
+		size_t n = toml_table_count(toml_root(c), names[i]);
 
-		cf_line(cf_root(c), names[i]);
+		toml_line(toml_root(c), names[i]);
 		for (size_t k = 0; k < n; k++)
-			cf_read(c, cf_at(cf_root(c), names[i], k), keys, NULL);
+			toml_read(c, toml_table_at(toml_root(c), names[i], k), keys, NULL);
 	}
-	ck_assert(!cf_at(cf_root(c), "service", cf_count(cf_root(c), "service")));
+	ck_assert(
+		!toml_table_at(toml_root(c), "service", toml_table_count(toml_root(c), "service")));
 }
 
 START_TEST(texts)
@@ -106,20 +107,22 @@
 	rng_state = 0x9e3779b97f4a7c15;
 	for (int i = 0; i < TEXT_ROUNDS; i++) {
 		AUTO_BUF b = {0};
-		AUTO_CF *c = NULL;
-		tx_text_t *t = NULL;
+		AUTO_TOML *c = NULL;
+		config_t *t = NULL;
 		status_t st;
 
 		buf_add(&b, STR(text));
 		mutate(&b);
-		st = cf_parse(str_buf(&b), "text", &c);
-		ck_assert(st == ST_OK ? c != NULL : (st == ST_INVALID && *st_message()));
+		st = toml_parse(str_buf(&b), "text", &c);
+		ck_assert(st == STATUS_OK ? c != NULL
+					  : (st == STATUS_INVALID && *status_message()));
 		if (c)
 			use_document(c);
-		st = tx_parse(str_buf(&b), &t);
-		ck_assert(st == ST_OK ? t != NULL : (st == ST_INVALID && *st_message()));
-		good += st == ST_OK;
-		tx_free(t);
+		st = config_parse(str_buf(&b), &t);
+		ck_assert(st == STATUS_OK ? t != NULL
+					  : (st == STATUS_INVALID && *status_message()));
+		good += st == STATUS_OK;
+		config_free(t);
 	}
 	ck_assert_uint_gt(good, 0);
 	ck_assert_uint_lt(good, TEXT_ROUNDS);
@@ -134,15 +137,16 @@
 
 #define TYPE(t)                                                                                    \
 	{                                                                                          \
-#t, PX(t), sizeof(t)                                                               \
+#t, XDR_PROC(t), sizeof(t)                                                         \
 	}
 
 static const type_t types[] = {
-	TYPE(aw_fleet_cmd_t),  TYPE(aw_fleet_res_t),  TYPE(aw_view_t),	     TYPE(aw_conf_t),
-	TYPE(aw_ledger_cmd_t), TYPE(aw_ledger_res_t), TYPE(aw_query_t),	     TYPE(aw_query_res_t),
-	TYPE(aw_exec_arg_t),   TYPE(aw_exec_res_t),   TYPE(aw_beat_arg_t),   TYPE(aw_beat_res_t),
-	TYPE(aw_raft_arg_t),   TYPE(aw_text_t),	      TYPE(aw_events_arg_t), TYPE(aw_load_arg_t),
-	TYPE(rf_msg_t),	       TYPE(rf_wire_conf_t),
+	TYPE(wire_fleet_cmd_t), TYPE(wire_fleet_res_t),	    TYPE(wire_view_t),
+	TYPE(wire_config_t),	TYPE(wire_ledger_cmd_t),    TYPE(wire_ledger_res_t),
+	TYPE(wire_query_t),	TYPE(wire_query_res_t),	    TYPE(wire_exec_arg_t),
+	TYPE(wire_exec_res_t),	TYPE(wire_heartbeat_arg_t), TYPE(wire_heartbeat_res_t),
+	TYPE(wire_raft_arg_t),	TYPE(wire_text_t),	    TYPE(wire_events_arg_t),
+	TYPE(wire_load_arg_t),	TYPE(raft_msg_t),	    TYPE(raft_wire_members_t),
 };
 
 /* Decodes b and puts the message's own encoding in its place. */
@@ -150,14 +154,14 @@
 {
 	AUTO_FREE void *msg = mem_new(t->size);
 	buf_t again = {0};
-	bool ok = px_decode(str_buf(b), t->proc, msg, t->size) == ST_OK;
+	bool ok = wire_decode(str_buf(b), t->proc, msg, t->size) == STATUS_OK;
 
 	if (ok) {
-		px_encode(&again, t->proc, msg);
+		wire_encode(&again, t->proc, msg);
 		buf_free(b);
 		*b = again;
 	}
-	px_free(t->proc, msg);
+	wire_free(t->proc, msg);
 	return ok;
 }
 
@@ -214,8 +218,8 @@
 	} else {
 		random_words(&b);
 	}
-	if (px_decode(str_buf(&b), t->proc, cmd, t->size) != ST_OK) {
-		px_free(t->proc, cmd);
+	if (wire_decode(str_buf(&b), t->proc, cmd, t->size) != STATUS_OK) {
+		wire_free(t->proc, cmd);
 		return false;
 	}
 	buf_free(seed);
@@ -226,98 +230,98 @@
 
 START_TEST(ledger_takes_any_command)
 {
-	const type_t t = TYPE(aw_ledger_cmd_t);
+	const type_t t = TYPE(wire_ledger_cmd_t);
 	AUTO_BUF seed = {0};
 	AUTO_BUF snap = {0};
 	AUTO_BUF again = {0};
-	ld_t *l = ld_new();
-	ld_t *copy = ld_new();
-	aw_ledger_cmd_t cmd;
+	ledger_t *l = ledger_new();
+	ledger_t *copy = ledger_new();
+	wire_ledger_cmd_t cmd;
 	unsigned taken = 0;
 
 	rng_state = 0x853c49e6748fea9b;
 	for (int i = 0; i < COMMAND_ROUNDS; i++) {
-		aw_ledger_res_t res = {0};
+		wire_ledger_res_t res = {0};
 
 		if (!next_command(&t, &seed, &cmd))
 			continue;
-		ld_apply(l, &cmd, &res);
-		taken += res.status == ST_OK;
-		px_free(PX(aw_ledger_res_t), &res);
-		px_free(t.proc, &cmd);
+		ledger_apply_cmd(l, &cmd, &res);
+		taken += res.status == STATUS_OK;
+		wire_free(XDR_PROC(wire_ledger_res_t), &res);
+		wire_free(t.proc, &cmd);
 	}
 	ck_assert_uint_gt(taken, 0);
-	ld_snapshot(l, &snap);
-	ck_assert_int_eq(ld_restore(copy, str_buf(&snap)), ST_OK);
-	ld_snapshot(copy, &again);
+	ledger_snapshot(l, &snap);
+	ck_assert_int_eq(ledger_restore(copy, str_buf(&snap)), STATUS_OK);
+	ledger_snapshot(copy, &again);
 	ck_assert(str_eq(str_buf(&snap), str_buf(&again)));
-	ld_free(copy);
-	ld_free(l);
+	ledger_free(copy);
+	ledger_free(l);
 }
 END_TEST
 
 START_TEST(fleet_takes_any_command)
 {
-	const type_t t = TYPE(aw_fleet_cmd_t);
+	const type_t t = TYPE(wire_fleet_cmd_t);
 	AUTO_BUF seed = {0};
 	AUTO_BUF snap = {0};
 	AUTO_BUF again = {0};
-	fl_t *f = fl_new(2);
-	fl_t *copy = fl_new(2);
-	aw_fleet_cmd_t cmd;
+	fleet_state_t *f = fleet_new(2);
+	fleet_state_t *copy = fleet_new(2);
+	wire_fleet_cmd_t cmd;
 	unsigned taken = 0;
 
 	rng_state = 0xda3e39cb94b95bdb;
 	for (int i = 0; i < COMMAND_ROUNDS; i++) {
-		aw_fleet_res_t res = {0};
+		wire_fleet_res_t res = {0};
 
 		if (!next_command(&t, &seed, &cmd))
 			continue;
-		fl_apply(f, &cmd, &res);
-		taken += res.status == ST_OK;
-		px_free(PX(aw_fleet_res_t), &res);
-		px_free(t.proc, &cmd);
+		fleet_apply_cmd(f, &cmd, &res);
+		taken += res.status == STATUS_OK;
+		wire_free(XDR_PROC(wire_fleet_res_t), &res);
+		wire_free(t.proc, &cmd);
 	}
 	ck_assert_uint_gt(taken, 0);
-	fl_snapshot(f, &snap);
-	ck_assert_int_eq(fl_restore(copy, str_buf(&snap)), ST_OK);
-	fl_snapshot(copy, &again);
+	fleet_snapshot(f, &snap);
+	ck_assert_int_eq(fleet_restore(copy, str_buf(&snap)), STATUS_OK);
+	fleet_snapshot(copy, &again);
 	ck_assert(str_eq(str_buf(&snap), str_buf(&again)));
-	fl_free(copy);
-	fl_free(f);
+	fleet_free(copy);
+	fleet_free(f);
 }
 END_TEST
 
 /* A ledger and a fleet with something of each kind, as snapshots. */
 static void fill_snapshots(buf_t *ledger, buf_t *fleet)
 {
-	const type_t lt = TYPE(aw_ledger_cmd_t);
-	const type_t ft = TYPE(aw_fleet_cmd_t);
+	const type_t lt = TYPE(wire_ledger_cmd_t);
+	const type_t ft = TYPE(wire_fleet_cmd_t);
 	buf_t seeds[2] = {{0}, {0}};
-	ld_t *l = ld_new();
-	fl_t *f = fl_new(2);
+	ledger_t *l = ledger_new();
+	fleet_state_t *f = fleet_new(2);
 
 	for (int i = 0; i < COMMAND_ROUNDS; i++) {
-		aw_ledger_cmd_t lc;
-		aw_fleet_cmd_t fc;
-		aw_ledger_res_t lr = {0};
-		aw_fleet_res_t fr = {0};
+		wire_ledger_cmd_t lc;
+		wire_fleet_cmd_t fc;
+		wire_ledger_res_t lr = {0};
+		wire_fleet_res_t fr = {0};
 
 		if (next_command(&lt, &seeds[0], &lc)) {
-			ld_apply(l, &lc, &lr);
-			px_free(PX(aw_ledger_res_t), &lr);
-			px_free(lt.proc, &lc);
+			ledger_apply_cmd(l, &lc, &lr);
+			wire_free(XDR_PROC(wire_ledger_res_t), &lr);
+			wire_free(lt.proc, &lc);
 		}
 		if (next_command(&ft, &seeds[1], &fc)) {
-			fl_apply(f, &fc, &fr);
-			px_free(PX(aw_fleet_res_t), &fr);
-			px_free(ft.proc, &fc);
+			fleet_apply_cmd(f, &fc, &fr);
+			wire_free(XDR_PROC(wire_fleet_res_t), &fr);
+			wire_free(ft.proc, &fc);
 		}
 	}
-	ld_snapshot(l, ledger);
-	fl_snapshot(f, fleet);
-	ld_free(l);
-	fl_free(f);
+	ledger_snapshot(l, ledger);
+	fleet_snapshot(f, fleet);
+	ledger_free(l);
+	fleet_free(f);
 	buf_free(&seeds[0]);
 	buf_free(&seeds[1]);
 }
@@ -333,17 +337,17 @@
 	for (int i = 0; i < SNAPSHOT_ROUNDS; i++) {
 		AUTO_BUF a = {0};
 		AUTO_BUF b = {0};
-		ld_t *l = ld_new();
-		fl_t *f = fl_new(2);
+		ledger_t *l = ledger_new();
+		fleet_state_t *f = fleet_new(2);
 
 		buf_add(&a, str_buf(&ledger));
 		buf_add(&b, str_buf(&fleet));
 		mutate(&a);
 		mutate(&b);
-		refused += ld_restore(l, str_buf(&a)) != ST_OK;
-		refused += fl_restore(f, str_buf(&b)) != ST_OK;
-		ld_free(l);
-		fl_free(f);
+		refused += ledger_restore(l, str_buf(&a)) != STATUS_OK;
+		refused += fleet_restore(f, str_buf(&b)) != STATUS_OK;
+		ledger_free(l);
+		fleet_free(f);
 	}
 	ck_assert_uint_gt(refused, 0);
 }
--- a/tests/unit/test_fuzz_outside.c
+++ b/tests/unit/test_fuzz_outside.c
@@ -4,11 +4,11 @@
  * AUBURN_FUZZ_MS: how long each decoder is fed, in ms. AUBURN_FUZZ_SEED: another seed. */
 #include <stdio.h>
 #include <stdlib.h>
-#include "base/clk.h"
-#include "client/rc.h"
+#include "base/clock.h"
+#include "client/routes_decode.h"
 #include "fuzz_kit.h"
-#include "net/ss.h"
-#include "platform/pf.h"
+#include "net/sse.h"
+#include "platform/platform.h"
 #include "suite_kit.h"
 
 #define FEED_MS	   1500
@@ -125,22 +125,22 @@
 {
 }
 
-static void on_reply_head(void *ctx, const hp_head_t *h)
+static void on_reply_head(void *ctx, const http_head_t *h)
 {
 	AUTO_BUF out = {0};
-	pf_reply_t r;
+	platform_reply_t r;
 
-	pf_reply_decode(h, &r);
-	pf_reply_headers(&out, h);
+	platform_reply_decode(h, &r);
+	platform_reply_headers(&out, h);
 }
 
-static void on_request_head(void *ctx, const hp_head_t *h)
+static void on_request_head(void *ctx, const http_head_t *h)
 {
-	pf_call_t call;
-	pf_op_t op;
+	platform_call_t call;
+	platform_op_t op;
 
-	pf_call_decode(h, &call);
-	pf_op_decode(h, &op);
+	platform_call_decode(h, &call);
+	platform_op_decode(h, &op);
 }
 
 static void on_end(void *ctx)
@@ -150,28 +150,29 @@
 /* In pieces of any size, as bytes come from a socket. */
 static void feed_http(str_t in, bool responses)
 {
-	hp_t p;
+	http_reader_t p;
 	size_t used = 0;
-	status_t st = ST_OK;
-
-	hp_init(&p, &(hp_options_t){.responses = responses,
-				    .pause = true,
-				    .max_header_bytes = HEAD_BYTES,
-				    .cb = {NULL, responses ? on_reply_head : on_request_head,
-					   nothing, on_end}});
-	while (in.n > 0 && st == ST_OK) {
+	status_t st = STATUS_OK;
+
+	http_reader_init(&p, &(http_reader_options_t){
+				     .responses = responses,
+				     .pause_after_message = true,
+				     .max_header_bytes = HEAD_BYTES,
+				     .cb = {NULL, responses ? on_reply_head : on_request_head,
+					    nothing, on_end}});
+	while (in.n > 0 && st == STATUS_OK) {
 		size_t n = 1 + rng((uint32_t)in.n);
 
-		st = hp_feed(&p, (str_t){in.p, n}, &used);
+		st = http_reader_feed(&p, (str_t){in.p, n}, &used);
 		ck_assert_uint_le(used, n);
 		used = used ? used : 1;
 		in = (str_t){in.p + used, in.n - used};
-		if (st == ST_OK)
-			hp_next(&p);
+		if (st == STATUS_OK)
+			http_reader_resume(&p);
 	}
-	if (st == ST_OK)
-		hp_feed(&p, (str_t){"", 0}, &used);
-	hp_free(&p);
+	if (st == STATUS_OK)
+		http_reader_feed(&p, (str_t){"", 0}, &used);
+	http_reader_free(&p);
 }
 
 static void feed_reply(str_t in)
@@ -184,7 +185,7 @@
 	feed_http(in, false);
 }
 
-static bool on_event(void *ctx, const ss_event_t *e)
+static bool on_event(void *ctx, const sse_event_t *e)
 {
 	ck_assert_uint_ge(e->raw.n, 2);
 	*(size_t *)ctx += e->raw.n;
@@ -193,52 +194,52 @@
 
 static void feed_events(str_t in)
 {
-	ss_t s = {0};
+	sse_parser_t s = {0};
 	size_t given = 0;
 	size_t whole = in.n;
 
 	while (in.n > 0) {
 		size_t n = 1 + rng((uint32_t)in.n);
 
-		ck_assert(ss_feed(&s, (str_t){in.p, n}, on_event, &given));
+		ck_assert(sse_feed(&s, (str_t){in.p, n}, on_event, &given));
 		in = (str_t){in.p + n, in.n - n};
 	}
 	ck_assert_uint_eq(given + s.pending.n, whole);
-	ss_free(&s);
+	sse_free(&s);
 }
 
 static void feed_list(str_t in)
 {
-	lw_view_t v = {0};
+	link_view_t v = {0};
 	AUTO_BUF cursor = {0};
 
-	pf_list_decode(in, &v, &cursor);
-	px_free(PX(lw_view_t), &v);
+	platform_list_decode(in, &v, &cursor);
+	wire_free(XDR_PROC(link_view_t), &v);
 }
 
 static void feed_lot(str_t in)
 {
-	aw_lot_open_t o = {0};
+	wire_lot_open_t o = {0};
 
-	pf_lot_decode(in, &o);
-	px_free(PX(aw_lot_open_t), &o);
+	platform_lot_decode(in, &o);
+	wire_free(XDR_PROC(wire_lot_open_t), &o);
 }
 
 static void feed_text(str_t in)
 {
-	ru_t *r = NULL;
+	route_table_t *r = NULL;
 
-	if (rc_decode(in, 1, &r) == ST_OK)
-		ru_match(r, STR("a.example"), STR("/x/y/z"));
-	ru_free(r);
+	if (routes_decode(in, 1, &r) == STATUS_OK)
+		route_table_match(r, STR("a.example"), STR("/x/y/z"));
+	route_table_free(r);
 }
 
 static void feed_link(str_t in)
 {
-	lw_msg_t m;
+	link_msg_t m;
 
-	px_decode(in, PX(lw_msg_t), &m, sizeof(m));
-	px_free(PX(lw_msg_t), &m);
+	wire_decode(in, XDR_PROC(link_msg_t), &m, sizeof(m));
+	wire_free(XDR_PROC(link_msg_t), &m);
 }
 
 /* ---- link messages are made, not written ---- */
@@ -246,18 +247,18 @@
 static const char *make_link(void)
 {
 	static buf_t b;
-	lw_msg_t m = {.kind = LW_HELLO};
-	lw_run_t run = {7, px_bytes(STR("i-1")), px_bytes(STR("lot")), 3};
-	lw_leaver_t leaver = {px_bytes(STR("i-2")), 1000};
+	link_msg_t m = {.kind = LINK_HELLO};
+	link_run_t run = {7, wire_bytes(STR("i-1")), wire_bytes(STR("lot")), 3};
+	link_leaving_t leaving_replica = {wire_bytes(STR("i-2")), 1000};
 
-	m.lw_msg_t_u.hello = (lw_hello_t){
-		.name = px_bytes(STR("front-1")),
-		.addr = px_bytes(STR("10.1.0.1:80")),
+	m.link_msg_t_u.hello = (link_hello_t){
+		.name = wire_bytes(STR("front-1")),
+		.addr = wire_bytes(STR("10.1.0.1:80")),
 		.runs = {1, &run},
-		.leavers = {1, &leaver},
+		.leaving_replicas = {1, &leaving_replica},
 	};
 	b.n = 0;
-	px_encode(&b, PX(lw_msg_t), &m);
+	wire_encode(&b, XDR_PROC(link_msg_t), &m);
 	return b.p;
 }
 
@@ -289,13 +290,13 @@
 
 START_TEST(decoders_take_damaged_bytes)
 {
-	deadline_t end = clk_now_ms() + setting("AUBURN_FUZZ_MS", FEED_MS);
+	deadline_t end = clock_now_ms() + setting("AUBURN_FUZZ_MS", FEED_MS);
 	unsigned long rounds = 0;
 
 	rng_state = (uint64_t)setting("AUBURN_FUZZ_SEED", 20261204) + (uint64_t)_i;
-	while (clk_now_ms() < end) {
+	while (clock_now_ms() < end) {
 		AUTO_BUF b = {0};
-		deadline_t begun = clk_now_ms();
+		deadline_t begun = clock_now_ms();
 
 		if (decoders[_i].ncorpus)
 			buf_add(&b,
@@ -304,7 +305,7 @@
 			buf_add(&b, (str_t){make_link(), 96});
 		mutate_with(&b, decoders[_i].tokens, decoders[_i].ntokens);
 		decoders[_i].feed(str_buf(&b));
-		ck_assert_int_le(clk_now_ms() - begun, INPUT_MS);
+		ck_assert_int_le(clock_now_ms() - begun, INPUT_MS);
 		rounds++;
 	}
 	printf("%s: %lu inputs\n", decoders[_i].name, rounds);
--- a/tests/unit/test_gr.c
+++ b/tests/unit/test_gr.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 #include <ftw.h>
-#include "raft/gr.h"
+#include "raft/group.h"
 #include "suite_kit.h"
 
 #define REPLICAS_MAX 5
@@ -15,7 +15,7 @@
 /* A state machine that counts and remembers the sum of the commands' numbers. */
 typedef struct {
 	char addr[32];
-	gr_t *g;
+	group_t *g;
 	pthread_rwlock_t lock; /* guards g against senders */
 	_Atomic bool cut; /* neither sends nor receives */
 	uint64_t applied;
@@ -63,7 +63,7 @@
 	n->applied = strtoul(text, &end, 10);
 	__atomic_store_n(&n->sum, strtoul(end, NULL, 10), __ATOMIC_RELAXED);
 	n->restores++;
-	return ST_OK;
+	return STATUS_OK;
 }
 
 static void on_send(void *ctx, const char *addr, unsigned group, str_t msg)
@@ -77,14 +77,14 @@
 			continue;
 		pthread_rwlock_rdlock(&n->lock);
 		if (n->g && !n->cut)
-			gr_receive(n->g, msg);
+			group_receive(n->g, msg);
 		pthread_rwlock_unlock(&n->lock);
 	}
 }
 
 static deadline_t soon(void)
 {
-	return clk_now_ms() + WAIT_MS;
+	return clock_now_ms() + WAIT_MS;
 }
 
 static status_t start_with(unsigned i, unsigned nseeds, uint64_t snapshot_entries)
@@ -92,29 +92,29 @@
 	static const char *const seeds[] = {"127.0.20.1:1", "127.0.20.2:1", "127.0.20.3:1"};
 	node_t *n = &nodes[i];
 	char dir[128];
-	gr_t *g = NULL;
+	group_t *g = NULL;
 	status_t st;
-	gr_options_t o = {.dir = dir,
-			  .addr = n->addr,
-			  .zone = "z",
-			  .seeds = seeds,
-			  .nseeds = nseeds,
-			  .bootstrap = nseeds > 0,
-			  .tick_ms = 10,
-			  .election_ms = 300,
-			  .snapshot_entries = snapshot_entries,
-			  .snapshot_bytes = 1 << 30,
-			  .ctx = n,
-			  .apply = on_apply,
-			  .snapshot = on_snapshot,
-			  .restore = on_restore,
-			  .send = on_send};
+	group_options_t o = {.dir = dir,
+			     .addr = n->addr,
+			     .zone = "z",
+			     .seeds = seeds,
+			     .nseeds = nseeds,
+			     .bootstrap = nseeds > 0,
+			     .tick_ms = 10,
+			     .election_ms = 300,
+			     .snapshot_entries = snapshot_entries,
+			     .snapshot_bytes = 1 << 30,
+			     .ctx = n,
+			     .apply = on_apply,
+			     .snapshot = on_snapshot,
+			     .restore = on_restore,
+			     .send = on_send};
 
 	snprintf(dir, sizeof(dir), "%s/%u", root, i);
 	n->applied = 0;
 	__atomic_store_n(&n->sum, 0, __ATOMIC_RELAXED);
 	n->cut = false;
-	st = gr_open(&o, &g);
+	st = group_open(&o, &g);
 	pthread_rwlock_wrlock(&n->lock);
 	n->g = g;
 	pthread_rwlock_unlock(&n->lock);
@@ -123,18 +123,18 @@
 
 static void start(unsigned i, unsigned nseeds)
 {
-	ck_assert_int_eq(start_with(i, nseeds, 1000000), ST_OK);
+	ck_assert_int_eq(start_with(i, nseeds, 1000000), STATUS_OK);
 }
 
 static void stop(unsigned i)
 {
 	node_t *n = &nodes[i];
-	gr_t *g = n->g;
+	group_t *g = n->g;
 
 	pthread_rwlock_wrlock(&n->lock);
 	n->g = NULL;
 	pthread_rwlock_unlock(&n->lock);
-	gr_close(g);
+	group_close(g);
 }
 
 /* Waits until some replica but `not` leads and can commit. */
@@ -144,22 +144,23 @@
 
 	for (;;) {
 		for (unsigned i = 0; i < REPLICAS_MAX; i++) {
-			gr_status_t s;
+			group_status_t s;
 
 			if (!nodes[i].g || (int)i == not )
 				continue;
-			gr_status(nodes[i].g, &s);
-			if (s.leader && gr_barrier(nodes[i].g, clk_now_ms() + 500) == ST_OK)
+			group_get_status(nodes[i].g, &s);
+			if (s.leader &&
+			    group_read_barrier(nodes[i].g, clock_now_ms() + 500) == STATUS_OK)
 				return i;
 		}
-		ck_assert(clk_left_ms(d) > 0);
-		clk_sleep_ms(5);
+		ck_assert(clock_left_ms(d) > 0);
+		clock_sleep_ms(5);
 	}
 }
 
 static status_t add(unsigned i, const char *number)
 {
-	return gr_propose(nodes[i].g, str_c(number), soon(), NULL);
+	return group_propose(nodes[i].g, str_c(number), soon(), NULL);
 }
 
 /* Adds the number once, by whichever replica but `not` leads. */
@@ -170,9 +171,9 @@
 
 	do {
 		st = add(wait_leader(not ), number);
-		ck_assert(clk_left_ms(d) > 0);
-	} while (st == ST_NOT_LEADER); /* surely not done */
-	ck_assert_int_eq(st, ST_OK);
+		ck_assert(clock_left_ms(d) > 0);
+	} while (st == STATUS_NOT_LEADER); /* surely not done */
+	ck_assert_int_eq(st, STATUS_OK);
 }
 
 static void wait_sum(unsigned i, uint64_t sum)
@@ -180,8 +181,8 @@
 	deadline_t d = soon();
 
 	while (__atomic_load_n(&nodes[i].sum, __ATOMIC_RELAXED) != sum) {
-		ck_assert(clk_left_ms(d) > 0);
-		clk_sleep_ms(5);
+		ck_assert(clock_left_ms(d) > 0);
+		clock_sleep_ms(5);
 	}
 }
 
@@ -219,11 +220,11 @@
 	start(0, 1);
 	ck_assert_uint_eq(wait_leader(-1), 0);
 	for (int i = 0; i < 100; i++)
-		ck_assert_int_eq(add(0, "2"), ST_OK);
+		ck_assert_int_eq(add(0, "2"), STATUS_OK);
 	stop(0);
 	start(0, 1);
 	wait_leader(-1);
-	ck_assert_int_eq(gr_propose(nodes[0].g, STR("1"), soon(), &r), ST_OK);
+	ck_assert_int_eq(group_propose(nodes[0].g, STR("1"), soon(), &r), STATUS_OK);
 	ck_assert_str_eq(r.p, "201");
 }
 END_TEST
@@ -252,8 +253,9 @@
 		start(i, 3);
 	first = wait_leader(-1);
 	nodes[first].cut = true;
-	ck_assert_int_ne(gr_propose(nodes[first].g, STR("7"), clk_now_ms() + 1000, NULL), ST_OK);
-	ck_assert_int_ne(gr_barrier(nodes[first].g, clk_now_ms() + 1000), ST_OK);
+	ck_assert_int_ne(group_propose(nodes[first].g, STR("7"), clock_now_ms() + 1000, NULL),
+			 STATUS_OK);
+	ck_assert_int_ne(group_read_barrier(nodes[first].g, clock_now_ms() + 1000), STATUS_OK);
 	must_add((int)first, "1");
 	nodes[first].cut = false;
 	wait_sum(first, 1);
@@ -265,12 +267,12 @@
 static void freeze(void *ctx, void *arg)
 {
 	while (!thaw)
-		clk_sleep_ms(5);
+		clock_sleep_ms(5);
 }
 
 static void *freeze_group(void *arg)
 {
-	gr_with_state(arg, freeze, NULL);
+	group_with_state(arg, freeze, NULL);
 	return NULL;
 }
 
@@ -283,7 +285,7 @@
 {
 	read_t *r = arg;
 
-	r->st = gr_barrier(nodes[r->node].g, soon());
+	r->st = group_read_barrier(nodes[r->node].g, soon());
 	return NULL;
 }
 
@@ -298,14 +300,14 @@
 		start(i, 3);
 	read.node = wait_leader(-1);
 	pthread_create(&frozen, NULL, freeze_group, nodes[read.node].g);
-	clk_sleep_ms(50);
+	clock_sleep_ms(50);
 	pthread_create(&reader, NULL, read_frozen, &read);
 	nodes[read.node].cut = true; /* nobody tells it */
 	must_add((int)read.node, "3");
 	thaw = true;
 	pthread_join(frozen, NULL);
 	pthread_join(reader, NULL);
-	ck_assert_int_eq(read.st, ST_NOT_LEADER);
+	ck_assert_int_eq(read.st, STATUS_NOT_LEADER);
 	nodes[read.node].cut = false;
 	wait_sum(read.node, 3);
 }
@@ -318,47 +320,47 @@
 	for (unsigned i = 0; i < 3; i++)
 		start(i, 3);
 	first = wait_leader(-1);
-	ck_assert_int_eq(gr_step_down(nodes[first].g, soon()), ST_OK);
+	ck_assert_int_eq(group_step_down(nodes[first].g, soon()), STATUS_OK);
 	must_add((int)first, "1");
 }
 END_TEST
 
 /* Repeats a change of members until it is done, by whoever leads. */
-static void change(status_t (*fn)(gr_t *g, const gr_peer_t *p), const gr_peer_t *p)
+static void change(status_t (*fn)(group_t *g, const group_peer_t *p), const group_peer_t *p)
 {
 	deadline_t d = soon();
 	status_t st;
 
 	do {
 		st = fn(nodes[wait_leader(-1)].g, p);
-		ck_assert(st == ST_OK || st == ST_LIMIT || st == ST_NOT_LEADER);
-		ck_assert(clk_left_ms(d) > 0);
-		clk_sleep_ms(5);
-	} while (st != ST_OK);
+		ck_assert(st == STATUS_OK || st == STATUS_LIMIT || st == STATUS_NOT_LEADER);
+		ck_assert(clock_left_ms(d) > 0);
+		clock_sleep_ms(5);
+	} while (st != STATUS_OK);
 }
 
-static status_t do_add(gr_t *g, const gr_peer_t *p)
+static status_t do_add(group_t *g, const group_peer_t *p)
 {
-	return gr_add_learner(g, p, soon());
+	return group_add_learner(g, p, soon());
 }
 
-static status_t do_promote(gr_t *g, const gr_peer_t *p)
+static status_t do_promote(group_t *g, const group_peer_t *p)
 {
-	return gr_promote(g, p->id, soon());
+	return group_promote(g, p->id, soon());
 }
 
-static status_t do_remove(gr_t *g, const gr_peer_t *p)
+static status_t do_remove(group_t *g, const group_peer_t *p)
 {
-	return gr_remove(g, p->id, soon());
+	return group_remove(g, p->id, soon());
 }
 
 /* Adds the replica at i as a learner and waits until it may vote. */
 static void join(unsigned i)
 {
-	gr_status_t s;
-	gr_peer_t p = {0};
+	group_status_t s;
+	group_peer_t p = {0};
 
-	gr_status(nodes[i].g, &s);
+	group_get_status(nodes[i].g, &s);
 	p.id = s.self;
 	snprintf(p.addr, sizeof(p.addr), "%s", nodes[i].addr);
 	change(do_add, &p);
@@ -367,17 +369,17 @@
 
 START_TEST(lost_disk_is_replaced_from_snapshot)
 {
-	gr_peer_t old = {0};
-	gr_status_t s;
+	group_peer_t old = {0};
+	group_status_t s;
 	unsigned leader;
 	unsigned lost;
 
 	for (unsigned i = 0; i < 3; i++)
-		ck_assert_int_eq(start_with(i, 3, 50), ST_OK);
+		ck_assert_int_eq(start_with(i, 3, 50), STATUS_OK);
 	for (int i = 0; i < 300; i++)
 		must_add(-1, "1");
 	lost = (wait_leader(-1) + 1) % 3;
-	old.id = gr_seed_id(0, nodes[lost].addr);
+	old.id = group_seed_id(0, nodes[lost].addr);
 	stop(lost);
 	start(3, 0); /* an empty disk elsewhere */
 	join(3);
@@ -388,7 +390,7 @@
 	leader = wait_leader(-1);
 	stop(leader);
 	must_add(-1, "1");
-	gr_status(nodes[wait_leader(-1)].g, &s);
+	group_get_status(nodes[wait_leader(-1)].g, &s);
 	ck_assert_uint_eq(s.npeers, 3);
 	stop(3);
 	start(3, 0);
@@ -414,8 +416,8 @@
 
 START_TEST(damaged_folder_joins_again_under_a_new_id)
 {
-	gr_peer_t old = {.id = gr_seed_id(0, nodes[1].addr)};
-	gr_status_t s;
+	group_peer_t old = {.id = group_seed_id(0, nodes[1].addr)};
+	group_status_t s;
 	char dir[128];
 	char aside[160];
 
@@ -428,13 +430,13 @@
 	snprintf(dir, sizeof(dir), "%s/1", root);
 	snprintf(aside, sizeof(aside), "%s.damaged", dir);
 	flip_middle_of_log(dir);
-	ck_assert(gr_exists(dir));
-	ck_assert_int_eq(start_with(1, 3, 1000), ST_CORRUPT);
-	ck_assert(strstr(st_message(), "log-0000000000000001: offset ") != NULL);
+	ck_assert(group_exists(dir));
+	ck_assert_int_eq(start_with(1, 3, 1000), STATUS_CORRUPT);
+	ck_assert(strstr(status_message(), "log-0000000000000001: offset ") != NULL);
 	ck_assert_int_eq(rename(dir, aside), 0);
-	ck_assert(!gr_exists(dir));
+	ck_assert(!group_exists(dir));
 	start(1, 0);
-	gr_status(nodes[1].g, &s);
+	group_get_status(nodes[1].g, &s);
 	ck_assert_uint_ne(s.self, old.id);
 	join(1);
 	change(do_remove, &old);
@@ -455,13 +457,13 @@
 	/* Replica 0 may lead as well until its disk fails. */
 	do {
 		add(wait_leader(-1), "1");
-		st = gr_propose(nodes[0].g, STR("1"), soon(), NULL);
-		ck_assert(clk_left_ms(d) > 0);
-	} while (st != ST_IO);
+		st = group_propose(nodes[0].g, STR("1"), soon(), NULL);
+		ck_assert(clock_left_ms(d) > 0);
+	} while (st != STATUS_IO);
 	/* The others go on without it, and it goes on saying what is wrong with it. */
 	for (int i = 0; i < 10; i++)
 		must_add(0, "1");
-	ck_assert_int_eq(gr_propose(nodes[0].g, STR("1"), soon(), NULL), ST_IO);
+	ck_assert_int_eq(group_propose(nodes[0].g, STR("1"), soon(), NULL), STATUS_IO);
 }
 END_TEST
 
@@ -471,11 +473,11 @@
 	unsigned *done = arg;
 	deadline_t d = soon();
 
-	for (unsigned i = 0; *done < 50 && clk_left_ms(d) > 0; i++) {
+	for (unsigned i = 0; *done < 50 && clock_left_ms(d) > 0; i++) {
 		status_t st = add(i % 3, "1");
 
-		*done += st == ST_OK;
-		if (st == ST_TIMEOUT)
+		*done += st == STATUS_OK;
+		if (st == STATUS_TIMEOUT)
 			break;
 	}
 	return NULL;
@@ -485,7 +487,7 @@
 {
 	unsigned done[16] = {0};
 	pthread_t t[16];
-	gr_status_t s;
+	group_status_t s;
 	unsigned leader;
 
 	for (unsigned i = 0; i < 3; i++)
@@ -498,7 +500,7 @@
 		ck_assert_uint_eq(done[i], 50);
 	}
 	leader = wait_leader(-1);
-	gr_status(nodes[leader].g, &s);
+	group_get_status(nodes[leader].g, &s);
 	wait_sum(leader, 800);
 	ck_assert_uint_lt(s.syncs, 800);
 }
--- a/tests/unit/test_ledger.c
+++ b/tests/unit/test_ledger.c
@@ -2,16 +2,16 @@
 #include "ledger_kit.h"
 #include "suite_kit.h"
 
-static ld_t *l;
+static ledger_t *l;
 
 static void setup(void)
 {
-	l = ld_new();
+	l = ledger_new();
 }
 
 static void teardown(void)
 {
-	ld_free(l);
+	ledger_free(l);
 }
 
 START_TEST(job_steps_are_idempotent)
@@ -22,23 +22,23 @@
 		AUTO_RES open = kit_open(l, "paper", "lot", 10, digest, KIT_NOW_MS);
 		AUTO_RES gap = kit_items(l, "paper", "lot", 8, 2);
 		AUTO_RES head = kit_items(l, "paper", "lot", 0, 4);
-		AUTO_RES early = kit_ref(l, AW_LEDGER_JOB_SEAL, "paper", "lot");
+		AUTO_RES early = kit_ref(l, WIRE_LEDGER_JOB_SEAL, "paper", "lot");
 		AUTO_RES tail = kit_items(l, "paper", "lot", 3, 7);
-		AUTO_RES seal = kit_ref(l, AW_LEDGER_JOB_SEAL, "paper", "lot");
+		AUTO_RES seal = kit_ref(l, WIRE_LEDGER_JOB_SEAL, "paper", "lot");
 
-		ck_assert_int_eq(open.status, ST_OK);
+		ck_assert_int_eq(open.status, STATUS_OK);
 		ck_assert_int_eq(open.job.fresh, i == 0);
-		ck_assert_int_eq(gap.status, i ? ST_OK : ST_INVALID);
-		ck_assert_int_eq(head.status, ST_OK);
-		ck_assert_int_eq(early.status, i ? ST_OK : ST_INVALID);
+		ck_assert_int_eq(gap.status, i ? STATUS_OK : STATUS_INVALID);
+		ck_assert_int_eq(head.status, STATUS_OK);
+		ck_assert_int_eq(early.status, i ? STATUS_OK : STATUS_INVALID);
 		ck_assert_int_eq(tail.job.received, 10);
-		ck_assert_int_eq(seal.status, ST_OK);
+		ck_assert_int_eq(seal.status, STATUS_OK);
 		ck_assert_int_eq(seal.job.fresh, i == 0);
 		ck_assert(seal.job.sealed && seal.job.waiting == 10);
 	}
 	AUTO_RES other = kit_open(l, "paper", "lot", 10, digest + 1, KIT_NOW_MS);
 
-	ck_assert_int_eq(other.status, ST_CONFLICT);
+	ck_assert_int_eq(other.status, STATUS_CONFLICT);
 }
 END_TEST
 
@@ -47,12 +47,12 @@
 	AUTO_RES open = kit_open(l, "paper", "lot", 3, 77, KIT_NOW_MS);
 	AUTO_RES items = kit_items(l, "paper", "lot", 0, 3);
 	AUTO_RES unsealed = kit_lease(l, 1, 1, 10);
-	AUTO_RES seal = kit_ref(l, AW_LEDGER_JOB_SEAL, "paper", "lot");
+	AUTO_RES seal = kit_ref(l, WIRE_LEDGER_JOB_SEAL, "paper", "lot");
 	AUTO_QRES q = kit_query_job(l, "paper", "lot");
 
 	ck_assert_int_eq(unsealed.items.items_len, 0);
-	ck_assert_int_eq(seal.status, ST_INVALID);
-	ck_assert_int_eq(q.status, ST_NOT_FOUND);
+	ck_assert_int_eq(seal.status, STATUS_INVALID);
+	ck_assert_int_eq(q.status, STATUS_NOT_FOUND);
 }
 END_TEST
 
@@ -73,7 +73,7 @@
 		ck_assert_int_eq(a.items.items_val[i].attempt, b.items.items_val[i].attempt);
 	}
 	ck_assert_int_eq(c.items.items_val[0].index, 4);
-	ck_assert_int_eq(old.status, ST_CONFLICT);
+	ck_assert_int_eq(old.status, STATUS_CONFLICT);
 }
 END_TEST
 
@@ -81,11 +81,11 @@
 {
 	static const char *const want[] = {"soon", "a1", "b1", "a2", "b1", "a1", "b1", "late"};
 
-	kit_job(l, "a", "late", 1, KIT_NOW_MS + 10LL * LD_BAND_MS);
-	kit_job(l, "a", "a1", 2, KIT_NOW_MS + 3LL * LD_BAND_MS);
-	kit_job(l, "a", "a2", 1, KIT_NOW_MS + 3LL * LD_BAND_MS);
-	kit_job(l, "b", "b1", 3, KIT_NOW_MS + 3LL * LD_BAND_MS);
-	kit_job(l, "a", "soon", 1, KIT_NOW_MS + LD_BAND_MS);
+	kit_job(l, "a", "late", 1, KIT_NOW_MS + 10LL * LEDGER_BAND_MS);
+	kit_job(l, "a", "a1", 2, KIT_NOW_MS + 3LL * LEDGER_BAND_MS);
+	kit_job(l, "a", "a2", 1, KIT_NOW_MS + 3LL * LEDGER_BAND_MS);
+	kit_job(l, "b", "b1", 3, KIT_NOW_MS + 3LL * LEDGER_BAND_MS);
+	kit_job(l, "a", "soon", 1, KIT_NOW_MS + LEDGER_BAND_MS);
 	for (unsigned i = 0; i < 8; i++) {
 		AUTO_RES r = kit_lease(l, 1, i + 1, 1);
 
@@ -102,9 +102,9 @@
 					   "big", "small", "small", "small", "small"};
 
 	kit_share = 3;
-	kit_job(l, "a", "big", 5, KIT_NOW_MS + LD_BAND_MS);
+	kit_job(l, "a", "big", 5, KIT_NOW_MS + LEDGER_BAND_MS);
 	kit_share = 1;
-	kit_job(l, "b", "small", 5, KIT_NOW_MS + LD_BAND_MS);
+	kit_job(l, "b", "small", 5, KIT_NOW_MS + LEDGER_BAND_MS);
 	for (unsigned i = 0; i < 10; i++) {
 		AUTO_RES r = kit_lease(l, 1, i + 1, 1);
 
@@ -118,8 +118,8 @@
 {
 	static const char *const want[] = {"due", "late", "due", "late", "late"};
 
-	kit_job(l, "a", "late", 3, KIT_NOW_MS - 2LL * LD_BAND_MS);
-	kit_job(l, "b", "due", 2, KIT_NOW_MS + LD_BAND_MS);
+	kit_job(l, "a", "late", 3, KIT_NOW_MS - 2LL * LEDGER_BAND_MS);
+	kit_job(l, "b", "due", 2, KIT_NOW_MS + LEDGER_BAND_MS);
 	for (unsigned i = 0; i < 5; i++) {
 		AUTO_RES r = kit_lease(l, 1, i + 1, 1);
 
@@ -133,13 +133,13 @@
 {
 	kit_job(l, "paper", "lot", 1, KIT_NOW_MS);
 	AUTO_RES a = kit_lease(l, 1, 1, 1);
-	unsigned stranger = kit_done_one(l, 2, a.items.items_val, true, AW_BLAME_NONE, "x");
-	unsigned first = kit_done_one(l, 1, a.items.items_val, true, AW_BLAME_NONE, "one");
-	unsigned second = kit_done_one(l, 1, a.items.items_val, true, AW_BLAME_NONE, "two");
+	unsigned stranger = kit_done_one(l, 2, a.items.items_val, true, WIRE_BLAME_NONE, "x");
+	unsigned first = kit_done_one(l, 1, a.items.items_val, true, WIRE_BLAME_NONE, "one");
+	unsigned second = kit_done_one(l, 1, a.items.items_val, true, WIRE_BLAME_NONE, "two");
 	AUTO_QRES q = kit_query_results(l, "paper", "lot", 0, 10);
-	ld_stats_t st;
+	ledger_stats_t st;
 
-	ld_stats(l, &st);
+	ledger_get_stats(l, &st);
 	ck_assert_int_eq(stranger, 0);
 	ck_assert_int_eq(first, 1);
 	ck_assert_int_eq(second, 0);
@@ -155,9 +155,9 @@
 	AUTO_RES a = kit_lease(l, 1, 1, 1);
 	AUTO_RES lost = kit_lost(l, 1);
 	AUTO_RES b = kit_lease(l, 2, 1, 1);
-	unsigned late = kit_done_one(l, 1, a.items.items_val, true, AW_BLAME_NONE, "old");
-	unsigned forged = kit_done_one(l, 2, a.items.items_val, true, AW_BLAME_NONE, "old");
-	unsigned good = kit_done_one(l, 2, b.items.items_val, true, AW_BLAME_NONE, "new");
+	unsigned late = kit_done_one(l, 1, a.items.items_val, true, WIRE_BLAME_NONE, "old");
+	unsigned forged = kit_done_one(l, 2, a.items.items_val, true, WIRE_BLAME_NONE, "old");
+	unsigned good = kit_done_one(l, 2, b.items.items_val, true, WIRE_BLAME_NONE, "new");
 
 	ck_assert_int_eq(b.items.items_len, 1);
 	ck_assert_int_eq(b.items.items_val[0].attempt, 2);
@@ -168,7 +168,7 @@
 END_TEST
 
 /* Leases the only item and fails it; returns the number of runs until it is final. */
-static unsigned runs_until_failed(aw_blame_t blame, unsigned alone_from)
+static unsigned runs_until_failed(wire_blame_t blame, unsigned alone_from)
 {
 	for (unsigned run = 1; run < 100; run++) {
 		AUTO_RES a = kit_lease(l, 1, run, 1);
@@ -184,19 +184,20 @@
 START_TEST(blame_is_charged_apart)
 {
 	kit_job(l, "paper", "bad", 1, KIT_NOW_MS);
-	ck_assert_int_eq(runs_until_failed(AW_BLAME_ITEM, 100), LD_ITEM_ATTEMPTS);
+	ck_assert_int_eq(runs_until_failed(WIRE_BLAME_ITEM, 100), LEDGER_ITEM_FAILS_MAX);
 	AUTO_QRES q = kit_query_results(l, "paper", "bad", 0, 1);
 
-	ck_assert_int_eq(q.items.items_val[0].state, AW_FAILED);
+	ck_assert_int_eq(q.items.items_val[0].state, WIRE_FAILED);
 	ck_assert(kit_is(q.items.items_val[0].body, "why"));
 	teardown();
 	setup();
 	kit_job(l, "paper", "killer", 1, KIT_NOW_MS);
-	ck_assert_int_eq(runs_until_failed(AW_BLAME_REPLICA, LD_DEATHS_ALONE), LD_DEATHS_MAX);
+	ck_assert_int_eq(runs_until_failed(WIRE_BLAME_REPLICA, LEDGER_DEATHS_ALONE_MIN),
+			 LEDGER_DEATHS_MAX);
 	teardown();
 	setup();
 	kit_job(l, "paper", "fine", 1, KIT_NOW_MS);
-	ck_assert_int_eq(runs_until_failed(AW_BLAME_NONE, 100), 100);
+	ck_assert_int_eq(runs_until_failed(WIRE_BLAME_NONE, 100), 100);
 }
 END_TEST
 
@@ -204,21 +205,21 @@
 {
 	kit_job(l, "paper", "lot", 10, KIT_NOW_MS);
 	AUTO_RES a = kit_lease(l, 1, 1, 4);
-	AUTO_RES cancel = kit_ref(l, AW_LEDGER_JOB_CANCEL, "paper", "lot");
-	AUTO_RES again = kit_ref(l, AW_LEDGER_JOB_CANCEL, "paper", "lot");
+	AUTO_RES cancel = kit_ref(l, WIRE_LEDGER_JOB_CANCEL, "paper", "lot");
+	AUTO_RES again = kit_ref(l, WIRE_LEDGER_JOB_CANCEL, "paper", "lot");
 	AUTO_RES next = kit_lease(l, 1, 2, 4);
 	AUTO_RES stranger = kit_lease(l, 2, 1, 4);
 	unsigned late;
 
 	ck_assert_int_eq(cancel.job.dropped, 6);
 	ck_assert_int_eq(cancel.job.leased, 4);
-	ck_assert_int_eq(again.status, ST_OK);
+	ck_assert_int_eq(again.status, STATUS_OK);
 	ck_assert_int_eq(next.items.items_len, 0);
 	ck_assert_int_eq(next.cancelled.cancelled_len, 1);
 	ck_assert_int_eq(stranger.cancelled.cancelled_len, 0);
 	kit_reload(&l);
 	for (int i = 0; i < 4; i++) {
-		late = kit_done_one(l, 1, &a.items.items_val[i], true, AW_BLAME_NONE, "x");
+		late = kit_done_one(l, 1, &a.items.items_val[i], true, WIRE_BLAME_NONE, "x");
 		ck_assert_int_eq(late, 0);
 	}
 	AUTO_RES after = kit_lease(l, 1, 3, 4);
@@ -227,8 +228,8 @@
 
 	ck_assert_int_eq(after.cancelled.cancelled_len, 0);
 	ck_assert_int_eq(q.jobs.jobs_val[0].dropped, 10);
-	ck_assert_int_eq(items.items.items_val[0].state, AW_CANCELLED);
-	ck_assert_int_eq(items.items.items_val[9].state, AW_CANCELLED);
+	ck_assert_int_eq(items.items.items_val[0].state, WIRE_CANCELLED);
+	ck_assert_int_eq(items.items.items_val[9].state, WIRE_CANCELLED);
 }
 END_TEST
 
@@ -236,7 +237,7 @@
 {
 	kit_job(l, "paper", "lot", 4, KIT_NOW_MS);
 	AUTO_RES a = kit_lease(l, 1, 1, 4);
-	AUTO_RES cancel = kit_ref(l, AW_LEDGER_JOB_CANCEL, "paper", "lot");
+	AUTO_RES cancel = kit_ref(l, WIRE_LEDGER_JOB_CANCEL, "paper", "lot");
 	AUTO_RES again = kit_lease(l, 1, 1, 4);
 	AUTO_QRES q = kit_query_job(l, "paper", "lot");
 
@@ -251,13 +252,13 @@
 {
 	AUTO_RES open = kit_open(l, "paper", "lot", 4, kit_digest(4), KIT_NOW_MS);
 	AUTO_RES head = kit_items(l, "paper", "lot", 0, 2);
-	AUTO_RES cancel = kit_ref(l, AW_LEDGER_JOB_CANCEL, "paper", "lot");
+	AUTO_RES cancel = kit_ref(l, WIRE_LEDGER_JOB_CANCEL, "paper", "lot");
 	AUTO_RES tail = kit_items(l, "paper", "lot", 2, 2);
-	AUTO_RES seal = kit_ref(l, AW_LEDGER_JOB_SEAL, "paper", "lot");
+	AUTO_RES seal = kit_ref(l, WIRE_LEDGER_JOB_SEAL, "paper", "lot");
 
 	ck_assert_int_eq(cancel.job.dropped, 4);
-	ck_assert_int_eq(tail.status, ST_CANCELLED);
-	ck_assert_int_eq(seal.status, ST_CANCELLED);
+	ck_assert_int_eq(tail.status, STATUS_CANCELLED);
+	ck_assert_int_eq(seal.status, STATUS_CANCELLED);
 	kit_reload(&l);
 }
 END_TEST
@@ -266,19 +267,19 @@
 {
 	AUTO_RES a = kit_accept(l, "done", 1, true, 1);
 	AUTO_RES b = kit_accept(l, "open", 1, true, 1);
-	AUTO_RES end = kit_finish(l, "done", AW_DONE, "x");
+	AUTO_RES end = kit_finish(l, "done", WIRE_DONE, "x");
 	AUTO_RES unsealed = kit_open(l, "paper", "never", 4, 1, KIT_NOW_MS);
 	AUTO_RES lease;
-	ld_stats_t st;
+	ledger_stats_t st;
 
 	kit_job(l, "paper", "lot", 1, KIT_NOW_MS);
-	kit_job(l, "paper", "open", 1, KIT_NOW_MS + LD_BAND_MS);
+	kit_job(l, "paper", "open", 1, KIT_NOW_MS + LEDGER_BAND_MS);
 	lease = kit_lease(l, 1, 1, 1);
-	kit_done_one(l, 1, lease.items.items_val, true, AW_BLAME_NONE, "x");
+	kit_done_one(l, 1, lease.items.items_val, true, WIRE_BLAME_NONE, "x");
 	ck_assert_int_eq(kit_expire(l, KIT_NOW_MS + 99, 100), 0);
 	ck_assert_int_eq(kit_expire(l, KIT_NOW_MS + 100, 100), 2);
-	ck_assert_int_eq(kit_expire(l, KIT_NOW_MS + LD_UNSEALED_MAX_MS, 100), 1);
-	ld_stats(l, &st);
+	ck_assert_int_eq(kit_expire(l, KIT_NOW_MS + LEDGER_UNSEALED_MAX_MS, 100), 1);
+	ledger_get_stats(l, &st);
 	ck_assert_int_eq(st.requests, 1);
 	ck_assert_int_eq(st.jobs, 1);
 }
@@ -286,7 +287,7 @@
 
 START_TEST(jobs_are_paged)
 {
-	aw_query_t q = {.kind = AW_QUERY_JOBS};
+	wire_query_t q = {.kind = WIRE_QUERY_JOBS};
 	AUTO_QRES page;
 	AUTO_QRES rest;
 
@@ -294,10 +295,10 @@
 	kit_job(l, "other", "x", 1, KIT_NOW_MS);
 	kit_job(l, "paper", "two", 1, KIT_NOW_MS);
 	kit_job(l, "paper", "three", 1, KIT_NOW_MS);
-	q.aw_query_t_u.jobs = (aw_jobs_ref_t){kit_b("paper"), {0}, 2};
-	ld_query(l, &q, &page);
-	q.aw_query_t_u.jobs = (aw_jobs_ref_t){kit_b("paper"), kit_b("two"), 2};
-	ld_query(l, &q, &rest);
+	q.wire_query_t_u.jobs = (wire_jobs_ref_t){kit_b("paper"), {0}, 2};
+	ledger_query(l, &q, &page);
+	q.wire_query_t_u.jobs = (wire_jobs_ref_t){kit_b("paper"), kit_b("two"), 2};
+	ledger_query(l, &q, &rest);
 	ck_assert_int_eq(page.jobs.jobs_len, 2);
 	ck_assert(kit_is(page.jobs.jobs_val[1].job, "two"));
 	ck_assert_int_eq(rest.jobs.jobs_len, 1);
@@ -308,19 +309,19 @@
 START_TEST(cut_snapshot_is_refused)
 {
 	AUTO_BUF snap = {0};
-	ld_t *other = ld_new();
-	ld_stats_t st;
+	ledger_t *other = ledger_new();
+	ledger_stats_t st;
 
 	kit_job(l, "paper", "lot", 5, KIT_NOW_MS);
 	AUTO_RES a = kit_accept(l, "k", 1, true, 1);
 	AUTO_RES b = kit_lease(l, 1, 1, 2);
 
-	ld_snapshot(l, &snap);
+	ledger_snapshot(l, &snap);
 	for (size_t n = 0; n < snap.n; n++)
-		ck_assert_int_eq(ld_restore(other, (str_t){snap.p, n}), ST_CORRUPT);
-	ld_stats(other, &st);
+		ck_assert_int_eq(ledger_restore(other, (str_t){snap.p, n}), STATUS_CORRUPT);
+	ledger_get_stats(other, &st);
 	ck_assert_int_eq(st.jobs, 0);
-	ld_free(other);
+	ledger_free(other);
 }
 END_TEST
 
@@ -329,53 +330,53 @@
 
 START_TEST(big_job_fits)
 {
-	static aw_bytes_t bodies[BIG_CHUNK];
-	aw_ledger_cmd_t cmd = {.kind = AW_LEDGER_JOB_ITEMS};
+	static wire_bytes_t bodies[BIG_CHUNK];
+	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_JOB_ITEMS};
 	uint64_t digest = 0;
-	ld_stats_t st;
+	ledger_stats_t st;
 
-	for (unsigned i = 0; i < LD_JOB_ITEMS_MAX; i++)
-		digest = ld_digest_step(digest, STR("0123456789"));
-	AUTO_RES open = kit_open(l, "paper", "big", LD_JOB_ITEMS_MAX, digest, KIT_NOW_MS);
+	for (unsigned i = 0; i < LEDGER_JOB_ITEMS_MAX; i++)
+		digest = ledger_digest_step(digest, STR("0123456789"));
+	AUTO_RES open = kit_open(l, "paper", "big", LEDGER_JOB_ITEMS_MAX, digest, KIT_NOW_MS);
 
 	for (unsigned i = 0; i < BIG_CHUNK; i++)
 		bodies[i] = kit_b("0123456789");
-	for (unsigned first = 0; first < LD_JOB_ITEMS_MAX; first += BIG_CHUNK) {
-		cmd.aw_ledger_cmd_t_u.items =
-			(aw_job_items_t){kit_b("paper"), kit_b("big"), first, {BIG_CHUNK, bodies}};
+	for (unsigned first = 0; first < LEDGER_JOB_ITEMS_MAX; first += BIG_CHUNK) {
+		cmd.wire_ledger_cmd_t_u.items = (wire_job_items_t){
+			kit_b("paper"), kit_b("big"), first, {BIG_CHUNK, bodies}};
 		AUTO_RES res;
 
-		ld_apply(l, &cmd, &res);
-		ck_assert_int_eq(res.status, ST_OK);
+		ledger_apply_cmd(l, &cmd, &res);
+		ck_assert_int_eq(res.status, STATUS_OK);
 	}
-	AUTO_RES seal = kit_ref(l, AW_LEDGER_JOB_SEAL, "paper", "big");
+	AUTO_RES seal = kit_ref(l, WIRE_LEDGER_JOB_SEAL, "paper", "big");
 
-	ck_assert_int_eq(seal.status, ST_OK);
-	ld_stats(l, &st);
-	ck_assert_uint_le(st.bytes, (LD_ITEM_BYTES + 10) * (LD_JOB_ITEMS_MAX + 1000ULL));
+	ck_assert_int_eq(seal.status, STATUS_OK);
+	ledger_get_stats(l, &st);
+	ck_assert_uint_le(st.bytes, (LEDGER_ITEM_BYTES + 10) * (LEDGER_JOB_ITEMS_MAX + 1000ULL));
 	kit_reload(&l);
-	AUTO_RES a = kit_lease(l, 1, 1, LD_LEASE_CHUNK_MAX);
+	AUTO_RES a = kit_lease(l, 1, 1, LEDGER_LEASE_ITEMS_MAX);
 
-	ck_assert_int_eq(a.items.items_len, LD_LEASE_CHUNK_MAX);
+	ck_assert_int_eq(a.items.items_len, LEDGER_LEASE_ITEMS_MAX);
 }
 END_TEST
 
 START_TEST(unknown_things_are_named)
 {
-	aw_ledger_cmd_t cmd = {.kind = (aw_ledger_kind_t)99};
+	wire_ledger_cmd_t cmd = {.kind = (wire_ledger_kind_t)99};
 	AUTO_RES bad;
 	AUTO_RES attempt = kit_attempt(l, "none", 1, 1);
-	AUTO_RES finish = kit_finish(l, "none", AW_DONE, "");
-	AUTO_RES cancel = kit_ref(l, AW_LEDGER_JOB_CANCEL, "paper", "none");
+	AUTO_RES finish = kit_finish(l, "none", WIRE_DONE, "");
+	AUTO_RES cancel = kit_ref(l, WIRE_LEDGER_JOB_CANCEL, "paper", "none");
 	AUTO_RES empty = kit_open(l, "paper", "none", 0, 1, 1);
 
-	ld_apply(l, &cmd, &bad);
-	ck_assert_int_eq(bad.status, ST_INVALID);
-	ck_assert_int_eq(attempt.status, ST_NOT_FOUND);
-	ck_assert_int_eq(finish.status, ST_NOT_FOUND);
-	ck_assert_int_eq(cancel.status, ST_NOT_FOUND);
-	ck_assert_int_eq(empty.status, ST_INVALID);
-	ck_assert(cancel.message.aw_bytes_t_len > 0);
+	ledger_apply_cmd(l, &cmd, &bad);
+	ck_assert_int_eq(bad.status, STATUS_INVALID);
+	ck_assert_int_eq(attempt.status, STATUS_NOT_FOUND);
+	ck_assert_int_eq(finish.status, STATUS_NOT_FOUND);
+	ck_assert_int_eq(cancel.status, STATUS_NOT_FOUND);
+	ck_assert_int_eq(empty.status, STATUS_INVALID);
+	ck_assert(cancel.message.wire_bytes_t_len > 0);
 }
 END_TEST
 
--- a/tests/unit/test_ledger_random.c
+++ b/tests/unit/test_ledger_random.c
@@ -19,14 +19,14 @@
 	AUTO_RES res = BOTH(kit_accept(l, key_name(k), digest, k % 3 != 0, session));
 
 	if (r->exists && r->digest != digest) {
-		ck_assert_int_eq(res.status, ST_CONFLICT);
+		ck_assert_int_eq(res.status, STATUS_CONFLICT);
 		return;
 	}
 	if (!r->exists && !is_live(session)) {
-		ck_assert_int_eq(res.status, ST_CANCELLED);
+		ck_assert_int_eq(res.status, STATUS_CANCELLED);
 		return;
 	}
-	ck_assert_int_eq(res.status, ST_OK);
+	ck_assert_int_eq(res.status, STATUS_OK);
 	ck_assert_int_eq(res.record.fresh, !r->exists);
 	if (!r->exists)
 		*r = (mreq_t){.exists = true,
@@ -43,21 +43,21 @@
 	mreq_t *r = &reqs[k];
 	uint64_t session = rnd(3) ? r->holder : any_session();
 	uint64_t token = 1 + rnd(3);
-	bool again = r->state == AW_ATTEMPTED && r->token == token;
-	bool first = r->state == AW_ACCEPTED && r->holder == session;
+	bool again = r->state == WIRE_ATTEMPTED && r->token == token;
+	bool first = r->state == WIRE_ACCEPTED && r->holder == session;
 	AUTO_RES res = BOTH(kit_attempt(l, key_name(k), token, session));
 
 	if (!r->exists) {
-		ck_assert_int_eq(res.status, ST_NOT_FOUND);
+		ck_assert_int_eq(res.status, STATUS_NOT_FOUND);
 		return;
 	}
 	if (session && is_live(session) && !r->repeatable && (again || first)) {
-		ck_assert_int_eq(res.status, ST_OK);
+		ck_assert_int_eq(res.status, STATUS_OK);
 		ck_assert_int_eq(res.record.fresh, first);
-		r->state = AW_ATTEMPTED;
+		r->state = WIRE_ATTEMPTED;
 		r->token = token;
 	} else {
-		ck_assert_int_ne(res.status, ST_OK);
+		ck_assert_int_ne(res.status, STATUS_OK);
 	}
 	check_record(r, &res.record);
 }
@@ -66,21 +66,21 @@
 {
 	unsigned k = rnd(KEYS);
 	mreq_t *r = &reqs[k];
-	aw_state_t state = (aw_state_t)(AW_DONE + rnd(3));
+	wire_state_t state = (wire_state_t)(WIRE_DONE + rnd(3));
 	uint64_t session = rnd(3) ? r->holder : any_session();
-	bool may = session == 0 || session == r->holder || (r->repeatable && state == AW_DONE);
-	bool open = r->state < AW_DONE && may;
+	bool may = session == 0 || session == r->holder || (r->repeatable && state == WIRE_DONE);
+	bool open = r->state < WIRE_DONE && may;
 	char result[16];
 
 	snprintf(result, sizeof(result), "r%llu", (unsigned long long)++answers);
 	AUTO_RES res = BOTH(kit_finish_by(l, key_name(k), state, result, session));
 
 	if (!r->exists) {
-		ck_assert_int_eq(res.status, ST_NOT_FOUND);
+		ck_assert_int_eq(res.status, STATUS_NOT_FOUND);
 		return;
 	}
 	ck_assert_int_eq(res.record.fresh, open);
-	ck_assert_int_eq(res.status, open ? ST_OK : ST_CONFLICT);
+	ck_assert_int_eq(res.status, open ? STATUS_OK : STATUS_CONFLICT);
 	dropped += !open;
 	if (open) {
 		end_req(r, state, result);
@@ -96,24 +96,24 @@
 	unsigned n = rnd(JOBS);
 	mjob_t *j = &jobs[n];
 	unsigned count = 1 + n % ITEMS;
-	int64_t deadline_ms = kit_now_ms + (rnd(6) - 1) * (int64_t)LD_BAND_MS;
+	int64_t deadline_ms = kit_now_ms + (rnd(6) - 1) * (int64_t)LEDGER_BAND_MS;
 	uint64_t digest = kit_digest(count) + (rnd(6) == 0);
 
 	kit_share = rnd(4);
 	AUTO_RES res = BOTH(kit_open(l, job_caller(n), job_name(n), count, digest, deadline_ms));
 
 	if (j->exists && digest != kit_digest(count)) {
-		ck_assert_int_eq(res.status, ST_CONFLICT);
+		ck_assert_int_eq(res.status, STATUS_CONFLICT);
 		return;
 	}
-	ck_assert_int_eq(res.status, ST_OK);
+	ck_assert_int_eq(res.status, STATUS_OK);
 	ck_assert_int_eq(res.job.fresh, !j->exists);
 	if (!j->exists && digest != kit_digest(count)) {
 		/* A job that can't be sealed: it goes away when that is tried. */
 		AUTO_RES fill = BOTH(kit_items(l, job_caller(n), job_name(n), 0, count));
-		AUTO_RES seal = BOTH(kit_ref(l, AW_LEDGER_JOB_SEAL, job_caller(n), job_name(n)));
+		AUTO_RES seal = BOTH(kit_ref(l, WIRE_LEDGER_JOB_SEAL, job_caller(n), job_name(n)));
 
-		ck_assert_int_eq(seal.status, ST_INVALID);
+		ck_assert_int_eq(seal.status, STATUS_INVALID);
 		return;
 	}
 	if (!j->exists)
@@ -133,7 +133,7 @@
 	AUTO_RES res = BOTH(kit_items(l, job_caller(n), job_name(n), first, many));
 
 	if (!j->exists) {
-		ck_assert_int_eq(res.status, ST_NOT_FOUND);
+		ck_assert_int_eq(res.status, STATUS_NOT_FOUND);
 		return;
 	}
 	if (first + many <= j->count && first <= j->received && !j->cancelled &&
@@ -147,13 +147,13 @@
 	unsigned n = rnd(JOBS);
 	mjob_t *j = &jobs[n];
 	bool full = j->exists && j->received == j->count && !j->cancelled;
-	AUTO_RES res = BOTH(kit_ref(l, AW_LEDGER_JOB_SEAL, job_caller(n), job_name(n)));
+	AUTO_RES res = BOTH(kit_ref(l, WIRE_LEDGER_JOB_SEAL, job_caller(n), job_name(n)));
 
 	if (!j->exists) {
-		ck_assert_int_eq(res.status, ST_NOT_FOUND);
+		ck_assert_int_eq(res.status, STATUS_NOT_FOUND);
 		return;
 	}
-	ck_assert_int_eq(res.status == ST_OK, full || j->sealed);
+	ck_assert_int_eq(res.status == STATUS_OK, full || j->sealed);
 	ck_assert_int_eq(res.job.fresh, full && !j->sealed);
 	j->sealed |= full;
 	check_job(j, &res.job);
@@ -163,10 +163,10 @@
 {
 	unsigned n = rnd(JOBS);
 	mjob_t *j = &jobs[n];
-	AUTO_RES res = BOTH(kit_ref(l, AW_LEDGER_JOB_CANCEL, job_caller(n), job_name(n)));
+	AUTO_RES res = BOTH(kit_ref(l, WIRE_LEDGER_JOB_CANCEL, job_caller(n), job_name(n)));
 
 	if (!j->exists) {
-		ck_assert_int_eq(res.status, ST_NOT_FOUND);
+		ck_assert_int_eq(res.status, STATUS_NOT_FOUND);
 		return;
 	}
 	if (tally(j, M_WAITING) || tally(j, M_LEASED)) {
@@ -187,12 +187,12 @@
 	s->last[s->nlast++] = g;
 }
 
-static void take_item(slot_t *s, const aw_item_t *it)
+static void take_item(slot_t *s, const wire_item_t *it)
 {
 	unsigned n = number_of(it->job);
 	mjob_t *j = &jobs[n];
 	mitem_t *m = &j->items[it->index];
-	int64_t band = j->deadline_ms / LD_BAND_MS;
+	int64_t band = j->deadline_ms / LEDGER_BAND_MS;
 	char body[16];
 
 	snprintf(body, sizeof(body), "item %u", it->index);
@@ -201,21 +201,21 @@
 	ck_assert_int_eq(m->state, M_WAITING);
 	ck_assert(band == first_band(true) || band == first_band(false));
 	ck_assert_uint_eq(it->attempt, m->attempt + 1);
-	ck_assert_int_eq(it->alone, m->deaths >= LD_DEATHS_ALONE);
+	ck_assert_int_eq(it->alone, m->deaths >= LEDGER_DEATHS_ALONE_MIN);
 	m->state = M_LEASED;
 	m->holder = s->session;
 	m->attempt = it->attempt;
 	note_given((given_t){false, n, it->index, it->attempt, s->session}, s);
 }
 
-static void take_orphan(slot_t *s, const aw_item_t *it)
+static void take_orphan(slot_t *s, const wire_item_t *it)
 {
 	unsigned k = number_of(it->key);
 	mreq_t *r = &reqs[k];
 
-	ck_assert(r->exists && r->state == AW_ACCEPTED && r->holder == 0);
+	ck_assert(r->exists && r->state == WIRE_ACCEPTED && r->holder == 0);
 	for (unsigned i = 0; i < KEYS; i++)
-		ck_assert(!reqs[i].exists || reqs[i].state != AW_ACCEPTED || reqs[i].holder ||
+		ck_assert(!reqs[i].exists || reqs[i].state != WIRE_ACCEPTED || reqs[i].holder ||
 			  reqs[i].deadline_ms >= r->deadline_ms);
 	ck_assert_uint_eq(it->attempt, r->attempt + 1);
 	r->holder = s->session;
@@ -224,13 +224,13 @@
 }
 
 /* A resend gives what the session still holds of the last answer and drops what was cancelled. */
-static void check_resend(slot_t *s, const aw_ledger_res_t *res)
+static void check_resend(slot_t *s, const wire_ledger_res_t *res)
 {
 	unsigned at = 0;
 
 	for (unsigned i = 0; i < s->nlast; i++) {
 		const given_t *g = &s->last[i];
-		const aw_item_t *it = &res->items.items_val[at];
+		const wire_item_t *it = &res->items.items_val[at];
 
 		if (!leased_to(s->session, g))
 			continue;
@@ -252,7 +252,7 @@
 {
 	AUTO_RES res = BOTH(kit_lease(l, s->session, seq, max));
 
-	ck_assert_int_eq(res.status, ST_OK);
+	ck_assert_int_eq(res.status, STATUS_OK);
 	if (seq == s->seq) {
 		check_resend(s, &res);
 	} else {
@@ -260,9 +260,9 @@
 		s->nlast = 0;
 		ck_assert_uint_le(res.items.items_len, max);
 		for (unsigned i = 0; i < res.items.items_len; i++) {
-			const aw_item_t *it = &res.items.items_val[i];
+			const wire_item_t *it = &res.items.items_val[i];
 
-			if (it->job.aw_bytes_t_len)
+			if (it->job.wire_bytes_t_len)
 				take_item(s, it);
 			else
 				take_orphan(s, it);
@@ -281,7 +281,7 @@
 	if (!is_live(lost) && rnd(4) == 0) {
 		AUTO_RES res = BOTH(kit_lease(l, lost, 1000, 5));
 
-		ck_assert_int_eq(res.status, ST_CANCELLED);
+		ck_assert_int_eq(res.status, STATUS_CANCELLED);
 		ck_assert_uint_eq(res.items.items_len, 0);
 		return;
 	}
@@ -289,16 +289,16 @@
 }
 
 /* Delivers a result for g as session says; the model decides if it counts. */
-static void deliver(const given_t *g, uint64_t session, bool done, aw_blame_t blame)
+static void deliver(const given_t *g, uint64_t session, bool done, wire_blame_t blame)
 {
 	char body[16];
 	char name[8];
-	aw_item_result_t v = {.caller = kit_b(g->request ? "desk" : job_caller(g->at)),
-			      .index = g->index,
-			      .attempt = g->attempt,
-			      .done = done,
-			      .blame = blame,
-			      .body = {0, body}};
+	wire_item_result_t v = {.caller = kit_b(g->request ? "desk" : job_caller(g->at)),
+				.index = g->index,
+				.attempt = g->attempt,
+				.done = done,
+				.blame = blame,
+				.body = {0, body}};
 	bool counts = is_live(session) && leased_to(session, g);
 	bool taken = counts && (g->request || !jobs[g->at].cancelled);
 
@@ -317,7 +317,7 @@
 	if (is_live(session))
 		check_cancelled(session, &res);
 	else
-		ck_assert_int_eq(res.status, ST_CANCELLED);
+		ck_assert_int_eq(res.status, STATUS_CANCELLED);
 }
 
 static void step_done(void)
@@ -328,7 +328,7 @@
 	if (have == 0)
 		return;
 	g = &given[rnd(have)];
-	deliver(g, rnd(5) ? g->session : any_session(), rnd(3) > 0, (aw_blame_t)rnd(3));
+	deliver(g, rnd(5) ? g->session : any_session(), rnd(3) > 0, (wire_blame_t)rnd(3));
 }
 
 static void step_lost(void)
@@ -336,13 +336,13 @@
 	slot_t *s = &slots[rnd(SLOTS)];
 	AUTO_RES res = BOTH(kit_lost(l, s->session));
 
-	ck_assert_int_eq(res.status, ST_OK);
+	ck_assert_int_eq(res.status, STATUS_OK);
 	for (unsigned k = 0; k < KEYS; k++) {
-		if (!reqs[k].exists || reqs[k].state >= AW_DONE || reqs[k].holder != s->session)
+		if (!reqs[k].exists || reqs[k].state >= WIRE_DONE || reqs[k].holder != s->session)
 			continue;
 		reqs[k].holder = 0;
-		if (reqs[k].state == AW_ATTEMPTED)
-			end_req(&reqs[k], AW_FAILED, "");
+		if (reqs[k].state == WIRE_ATTEMPTED)
+			end_req(&reqs[k], WIRE_FAILED, "");
 	}
 	for (unsigned j = 0; j < JOBS; j++) {
 		for (unsigned i = 0; i < jobs[j].count; i++) {
@@ -356,13 +356,13 @@
 	new_session(s);
 }
 
-static aw_ledger_res_t expire(ld_t *at)
+static wire_ledger_res_t expire(ledger_t *at)
 {
-	aw_ledger_cmd_t cmd = {.kind = AW_LEDGER_EXPIRE};
-	aw_ledger_res_t res;
+	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_EXPIRE};
+	wire_ledger_res_t res;
 
-	cmd.aw_ledger_cmd_t_u.expire = (aw_expire_t){kit_now_ms, RETENTION_MS};
-	ld_apply(at, &cmd, &res);
+	cmd.wire_ledger_cmd_t_u.expire = (wire_expire_t){kit_now_ms, RETENTION_MS};
+	ledger_apply_cmd(at, &cmd, &res);
 	return res;
 }
 
@@ -374,7 +374,7 @@
 	for (unsigned k = 0; k < KEYS; k++) {
 		mreq_t *r = &reqs[k];
 
-		if (r->exists && r->state >= AW_DONE && r->end_ms + RETENTION_MS <= kit_now_ms) {
+		if (r->exists && r->state >= WIRE_DONE && r->end_ms + RETENTION_MS <= kit_now_ms) {
 			*r = (mreq_t){0};
 			n++;
 		}
@@ -384,7 +384,7 @@
 		bool unsealed = j->exists && !j->sealed && !j->cancelled;
 
 		if ((j->ended && j->end_ms + RETENTION_MS <= kit_now_ms) ||
-		    (unsealed && j->opened_ms + LD_UNSEALED_MAX_MS <= kit_now_ms)) {
+		    (unsealed && j->opened_ms + LEDGER_UNSEALED_MAX_MS <= kit_now_ms)) {
 			*j = (mjob_t){0};
 			n++;
 		}
@@ -411,7 +411,7 @@
 			const given_t g = s->last[i];
 
 			if (leased_to(s->session, &g))
-				deliver(&g, s->session, true, AW_BLAME_NONE);
+				deliver(&g, s->session, true, WIRE_BLAME_NONE);
 		}
 	} while (s->nlast);
 }
@@ -453,8 +453,8 @@
 	answers = 0;
 	kit_now_ms = KIT_NOW_MS;
 	rnd_state = seed;
-	l = ld_new();
-	twin = ld_new();
+	l = ledger_new();
+	twin = ledger_new();
 	for (unsigned i = 0; i < SLOTS; i++)
 		new_session(&slots[i]);
 }
@@ -475,8 +475,8 @@
 	drain();
 	check_drained();
 	check_twin();
-	ld_free(l);
-	ld_free(twin);
+	ledger_free(l);
+	ledger_free(twin);
 }
 END_TEST
 
--- a/tests/unit/test_log.c
+++ b/tests/unit/test_log.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
-#include "base/clk.h"
-#include "base/lg.h"
-#include "base/mx.h"
+#include "base/clock.h"
+#include "base/log.h"
+#include "base/metric.h"
 #include "suite_kit.h"
 
 /* Standard output becomes a pipe that nobody reads. */
@@ -23,15 +23,16 @@
 	static const char *const names[] = {"a", "b", "c", "d", "e", "f", "g", "h"};
 	int fds[2];
 	int kept = stdout_to_pipe(fds);
-	deadline_t begun = clk_now_ms();
+	deadline_t begun = clock_now_ms();
 
-	lg_open("test", LG_INFO);
+	log_open("test", LOG_LEVEL_INFO);
 	for (int i = 0; i < 8 * 200; i++)
-		lg(LG_INFO, names[i % 8],
-		   LG_C("filler", "0123456789012345678901234567890123456789"));
+		log_event(LOG_LEVEL_INFO, names[i % 8],
+			  LOG_CSTR("filler", "0123456789012345678901234567890123456789"));
 	dup2(kept, STDOUT_FILENO);
-	ck_assert_int_lt(clk_now_ms() - begun, 2000);
-	ck_assert_int_gt(mx_value(mx_get(MX_COUNTER, "auburn_log_lines_lost_total", NULL)), 0);
+	ck_assert_int_lt(clock_now_ms() - begun, 2000);
+	ck_assert_int_gt(
+		metric_value(metric_get(METRIC_COUNTER, "auburn_log_lines_lost_total", NULL)), 0);
 }
 END_TEST
 
@@ -41,11 +42,11 @@
 	int fds[2];
 	int kept = stdout_to_pipe(fds);
 
-	lg_open("test", LG_INFO);
+	log_open("test", LOG_LEVEL_INFO);
 	for (int i = 0; i < 1000; i++)
-		lg(LG_INFO, "busy", LG_I("i", i));
-	clk_sleep_ms(1100);
-	lg(LG_INFO, "busy", LG_I("i", 1000));
+		log_event(LOG_LEVEL_INFO, "busy", LOG_INT("i", i));
+	clock_sleep_ms(1100);
+	log_event(LOG_LEVEL_INFO, "busy", LOG_INT("i", 1000));
 	dup2(kept, STDOUT_FILENO);
 	fcntl(fds[0], F_SETFL, O_NONBLOCK);
 	ck_assert_int_gt(read(fds[0], buf, sizeof(buf) - 1), 0);
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -6,9 +6,9 @@
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
-#include "net/hl.h"
-#include "net/hu.h"
-#include "net/ss.h"
+#include "net/http_server.h"
+#include "net/http_client.h"
+#include "net/sse.h"
 #include "net_kit.h"
 #include "suite_kit.h"
 
@@ -22,13 +22,13 @@
 	int status;
 } seen_t;
 
-static void on_head(void *ctx, const hp_head_t *h)
+static void on_head(void *ctx, const http_head_t *h)
 {
 	seen_t *s = ctx;
 
 	s->heads++;
 	s->status = h->status;
-	snprintf(s->path, sizeof(s->path), "%.*s", STR_ARG(hp_path(h->target)));
+	snprintf(s->path, sizeof(s->path), "%.*s", STR_ARG(http_path(h->target)));
 }
 
 static void on_body(void *ctx, str_t piece)
@@ -41,103 +41,104 @@
 	((seen_t *)ctx)->ends++;
 }
 
-static void reader(hp_t *p, seen_t *s, bool responses)
+static void reader(http_reader_t *p, seen_t *s, bool responses)
 {
 	*s = (seen_t){0};
-	hp_init(p, &(hp_options_t){.responses = responses,
-				   .pause = true,
-				   .max_header_bytes = 256,
-				   .cb = {s, on_head, on_body, on_end}});
+	http_reader_init(p, &(http_reader_options_t){.responses = responses,
+						     .pause_after_message = true,
+						     .max_header_bytes = 256,
+						     .cb = {s, on_head, on_body, on_end}});
 }
 
 START_TEST(a_request_is_read_byte_by_byte)
 {
 	static const char in[] = "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz"
 				 "GET /next HTTP/1.1\r\n\r\n";
-	hp_t p;
+	http_reader_t p;
 	seen_t s;
 	size_t used;
 	size_t at = 0;
 
 	reader(&p, &s, false);
 	while (s.ends == 0) {
-		ck_assert_int_eq(hp_feed(&p, (str_t){in + at, 1}, &used), ST_OK);
+		ck_assert_int_eq(http_reader_feed(&p, (str_t){in + at, 1}, &used), STATUS_OK);
 		at += used;
 	}
 	ck_assert_str_eq(s.path, "/a/b");
 	ck_assert(str_eq(str_buf(&s.body), STR("xyz")));
 	ck_assert_str_eq(in + at, "GET /next HTTP/1.1\r\n\r\n");
-	hp_next(&p);
-	ck_assert_int_eq(hp_feed(&p, str_c(in + at), &used), ST_OK);
+	http_reader_resume(&p);
+	ck_assert_int_eq(http_reader_feed(&p, str_c(in + at), &used), STATUS_OK);
 	ck_assert_int_eq(s.ends, 2);
 	ck_assert_str_eq(s.path, "/next");
 	buf_free(&s.body);
-	hp_free(&p);
+	http_reader_free(&p);
 }
 END_TEST
 
 START_TEST(a_pipelined_request_is_left_for_later)
 {
 	static const char in[] = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
-	hp_t p;
+	http_reader_t p;
 	seen_t s;
 	size_t used;
 
 	reader(&p, &s, false);
-	ck_assert_int_eq(hp_feed(&p, str_c(in), &used), ST_OK);
+	ck_assert_int_eq(http_reader_feed(&p, str_c(in), &used), STATUS_OK);
 	ck_assert_int_eq(s.ends, 1);
 	ck_assert_str_eq(in + used, "GET /2 HTTP/1.1\r\n\r\n");
-	hp_free(&p);
+	http_reader_free(&p);
 }
 END_TEST
 
 START_TEST(what_is_not_http_or_too_large_is_said)
 {
 	AUTO_BUF big = {0};
-	hp_t p;
+	http_reader_t p;
 	seen_t s;
 	size_t used;
 
 	reader(&p, &s, false);
-	ck_assert_int_eq(hp_feed(&p, STR("nonsense\r\n\r\n"), &used), ST_INVALID);
-	hp_free(&p);
+	ck_assert_int_eq(http_reader_feed(&p, STR("nonsense\r\n\r\n"), &used), STATUS_INVALID);
+	http_reader_free(&p);
 	buf_add(&big, STR("GET / HTTP/1.1\r\nA: "));
 	for (int i = 0; i < 300; i++)
 		buf_addc(&big, 'x');
 	reader(&p, &s, false);
-	ck_assert_int_eq(hp_feed(&p, str_buf(&big), &used), ST_LIMIT);
-	hp_free(&p);
+	ck_assert_int_eq(http_reader_feed(&p, str_buf(&big), &used), STATUS_LIMIT);
+	http_reader_free(&p);
 }
 END_TEST
 
 START_TEST(a_response_without_length_ends_with_its_connection)
 {
-	hp_t p;
+	http_reader_t p;
 	seen_t s;
 	size_t used;
 
 	reader(&p, &s, true);
-	ck_assert_int_eq(hp_feed(&p, STR("HTTP/1.1 200 OK\r\n\r\nabc"), &used), ST_OK);
+	ck_assert_int_eq(http_reader_feed(&p, STR("HTTP/1.1 200 OK\r\n\r\nabc"), &used), STATUS_OK);
 	ck_assert_int_eq(s.ends, 0);
-	ck_assert_int_eq(hp_feed(&p, (str_t){"", 0}, &used), ST_OK);
+	ck_assert_int_eq(http_reader_feed(&p, (str_t){"", 0}, &used), STATUS_OK);
 	ck_assert_int_eq(s.ends, 1);
 	buf_free(&s.body);
-	hp_free(&p);
+	http_reader_free(&p);
 }
 END_TEST
 
 START_TEST(a_response_cut_short_does_not_end)
 {
-	hp_t p;
+	http_reader_t p;
 	seen_t s;
 	size_t used;
 
 	reader(&p, &s, true);
-	hp_feed(&p, STR("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab"), &used);
-	ck_assert_int_eq(hp_feed(&p, (str_t){"", 0}, &used), ST_INVALID);
+	http_reader_feed(&p, STR("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab"),
+			 &used);
+	ck_assert_int_eq(http_reader_feed(&p, (str_t){"", 0}, &used), STATUS_INVALID);
 	ck_assert_int_eq(s.ends, 0);
 	buf_free(&s.body);
-	hp_free(&p);
+	http_reader_free(&p);
 }
 END_TEST
 
@@ -145,7 +146,7 @@
 START_TEST(trailers_leave_the_head_as_it_was)
 {
 	AUTO_BUF in = {0};
-	hp_t p;
+	http_reader_t p;
 	seen_t s;
 	size_t used;
 
@@ -156,26 +157,26 @@
 	for (int i = 0; i < 40; i++)
 		buf_addf(&in, "Trailer-%d: %0200d\r\n", i, i);
 	buf_add(&in, STR("\r\n"));
-	ck_assert_int_eq(hp_feed(&p, str_buf(&in), &used), ST_OK);
+	ck_assert_int_eq(http_reader_feed(&p, str_buf(&in), &used), STATUS_OK);
 	ck_assert_int_eq(s.ends, 1);
 	ck_assert_ptr_eq(p.head.target.p, p.text.p);
-	ck_assert(str_eq(hp_path(p.head.target), STR("/a")));
-	ck_assert(str_eq(hp_header(&p.head, "Host"), STR("h")));
+	ck_assert(str_eq(http_path(p.head.target), STR("/a")));
+	ck_assert(str_eq(http_header(&p.head, "Host"), STR("h")));
 	ck_assert_uint_eq(p.head.nheaders, 2);
 	buf_free(&s.body);
-	hp_free(&p);
+	http_reader_free(&p);
 }
 END_TEST
 
 START_TEST(query_and_numbers_are_read)
 {
-	ck_assert(str_eq(hp_query(STR("/a?x=1&after=12"), "after"), STR("12")));
-	ck_assert_ptr_null(hp_query(STR("/a?x=1&after2=12"), "after").p);
-	ck_assert_ptr_null(hp_query(STR("/a"), "a").p);
-	ck_assert_int_eq(hp_number(STR("12")), 12);
-	ck_assert_int_eq(hp_number(STR("")), -1);
-	ck_assert_int_eq(hp_number(STR("-1")), -1);
-	ck_assert_int_eq(hp_number(STR("9999999999999999")), -1);
+	ck_assert(str_eq(http_query(STR("/a?x=1&after=12"), "after"), STR("12")));
+	ck_assert_ptr_null(http_query(STR("/a?x=1&after2=12"), "after").p);
+	ck_assert_ptr_null(http_query(STR("/a"), "a").p);
+	ck_assert_int_eq(http_parse_number(STR("12")), 12);
+	ck_assert_int_eq(http_parse_number(STR("")), -1);
+	ck_assert_int_eq(http_parse_number(STR("-1")), -1);
+	ck_assert_int_eq(http_parse_number(STR("9999999999999999")), -1);
 }
 END_TEST
 
@@ -188,7 +189,7 @@
 	buf_t data;
 } events_t;
 
-static bool on_event(void *ctx, const ss_event_t *e)
+static bool on_event(void *ctx, const sse_event_t *e)
 {
 	events_t *v = ctx;
 
@@ -205,13 +206,13 @@
 				 "id: 3\r\ndata: three\r\n\r\nid: 4\ndata: fo";
 
 	for (size_t step = 1; step < sizeof(in); step++) {
-		ss_t s = {0};
+		sse_parser_t s = {0};
 		events_t v = {0};
 
 		for (size_t at = 0; at < sizeof(in) - 1; at += step) {
 			size_t n = sizeof(in) - 1 - at;
 
-			ss_feed(&s, (str_t){in + at, n < step ? n : step}, on_event, &v);
+			sse_feed(&s, (str_t){in + at, n < step ? n : step}, on_event, &v);
 		}
 		ck_assert_int_eq(v.n, 3);
 		ck_assert_int_eq(v.last, 3);
@@ -220,7 +221,7 @@
 		ck_assert_uint_eq(v.raw.n + s.pending.n, sizeof(in) - 1);
 		buf_free(&v.raw);
 		buf_free(&v.data);
-		ss_free(&s);
+		sse_free(&s);
 	}
 }
 END_TEST
@@ -236,12 +237,12 @@
 		p.body.n = 0;
 		call(&p, post);
 		turn(&p, 1.0);
-		ck_assert_int_eq(p.how, HU_DONE);
+		ck_assert_int_eq(p.how, HTTP_CALL_DONE);
 		ck_assert_int_eq(p.status, 200);
 		ck_assert(str_eq(str_buf(&p.body), STR("hello")));
 	}
 	ck_assert_int_eq(p.ended, 3);
-	ck_assert_uint_eq(hu_connects(p.client), 1);
+	ck_assert_uint_eq(http_client_connects(p.client), 1);
 	pair_close(&p);
 }
 END_TEST
@@ -254,12 +255,12 @@
 	p.manner = STREAM;
 	call(&p, post);
 	turn(&p, 1.0);
-	ck_assert_int_eq(p.how, HU_DONE);
+	ck_assert_int_eq(p.how, HTTP_CALL_DONE);
 	ck_assert(str_eq(str_buf(&p.body), STR("onetwo")));
 	p.manner = ABORT;
 	call(&p, post);
 	turn(&p, 1.0);
-	ck_assert_int_eq(p.how, HU_BROKEN);
+	ck_assert_int_eq(p.how, HTTP_CALL_BROKEN);
 	pair_close(&p);
 }
 END_TEST
@@ -267,18 +268,18 @@
 START_TEST(a_cancelled_call_is_seen_by_the_server)
 {
 	pair_t p;
-	hu_call_t *c;
+	http_call_t *c;
 
 	pair_open(&p);
 	p.manner = HOLD;
 	c = call(&p, post);
 	turn(&p, 0.1);
 	ck_assert_int_eq(p.requests, 1);
-	hu_cancel(c);
+	http_call_cancel(c);
 	turn(&p, 0.1);
 	ck_assert_int_eq(p.gone, 1);
 	ck_assert_int_eq(p.ended, 0);
-	ck_assert_uint_eq(hl_busy(p.server), 0);
+	ck_assert_uint_eq(http_server_open_requests(p.server), 0);
 	pair_close(&p);
 }
 END_TEST
@@ -292,7 +293,7 @@
 	call(&p, post);
 	turn(&p, 1.0);
 	ck_assert_int_eq(p.ended, 1);
-	ck_assert_int_eq(p.how, HU_UNSENT);
+	ck_assert_int_eq(p.how, HTTP_CALL_UNSENT);
 	pair_close(&p);
 }
 END_TEST
@@ -302,18 +303,18 @@
 	pair_t p;
 
 	pair_open(&p);
-	hl_drain(p.server);
+	http_server_drain(p.server);
 	for (int i = 0; i < 2; i++) {
 		call(&p, post);
 		turn(&p, 1.0);
-		ck_assert_int_eq(p.how, HU_DONE);
+		ck_assert_int_eq(p.how, HTTP_CALL_DONE);
 	}
-	ck_assert_uint_eq(hu_connects(p.client), 2);
+	ck_assert_uint_eq(http_client_connects(p.client), 2);
 	pair_close(&p);
 }
 END_TEST
 
-/* A client by hand, for what hu doesn't send. */
+/* A client by hand, for what http_client doesn't send. */
 static int dial(pair_t *p)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
@@ -404,15 +405,15 @@
 START_TEST(a_call_is_told_whether_its_connection_was_used_before)
 {
 	pair_t p;
-	hu_call_t *c;
+	http_call_t *c;
 
 	pair_open(&p);
 	c = call(&p, post);
-	ck_assert(!hu_on_kept(c));
+	ck_assert(!http_call_reused_conn(c));
 	turn(&p, 1.0);
-	ck_assert_int_eq(p.how, HU_DONE);
+	ck_assert_int_eq(p.how, HTTP_CALL_DONE);
 	c = call(&p, post);
-	ck_assert(hu_on_kept(c));
+	ck_assert(http_call_reused_conn(c));
 	turn(&p, 1.0);
 	ck_assert_int_eq(p.ended, 2);
 	pair_close(&p);
--- a/tests/unit/test_net_endless.c
+++ b/tests/unit/test_net_endless.c
@@ -6,13 +6,13 @@
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
-#include "net/ss.h"
+#include "net/sse.h"
 #include "net_kit.h"
 #include "suite_kit.h"
 
 /* ---- events ---- */
 
-static bool on_event(void *ctx, const ss_event_t *e)
+static bool on_event(void *ctx, const sse_event_t *e)
 {
 	*(size_t *)ctx += e->raw.n;
 	return true;
@@ -23,33 +23,33 @@
 {
 	static char line[4096];
 	static char blank[16384];
-	ss_t one = {0};
-	ss_t many = {0};
+	sse_parser_t one = {0};
+	sse_parser_t many = {0};
 	size_t given = 0;
 
 	memset(line, 'x', sizeof(line));
 	memset(blank, '\n', sizeof(blank));
 	for (int i = 0; i < 200000; i++)
-		ck_assert(ss_feed(&one, (str_t){line, 4}, on_event, &given));
+		ck_assert(sse_feed(&one, (str_t){line, 4}, on_event, &given));
 	for (int i = 0; i < 2000; i++)
-		ck_assert(ss_feed(&many, (str_t){blank, sizeof(blank)}, on_event, &given));
-	ss_free(&one);
-	ss_free(&many);
+		ck_assert(sse_feed(&many, (str_t){blank, sizeof(blank)}, on_event, &given));
+	sse_free(&one);
+	sse_free(&many);
 }
 END_TEST
 
 START_TEST(an_event_without_an_end_is_given_up)
 {
 	static char line[4096];
-	ss_t s = {0};
+	sse_parser_t s = {0};
 	size_t given = 0;
 	size_t taken = 0;
 
 	memset(line, 'x', sizeof(line));
-	while (ss_feed(&s, (str_t){line, sizeof(line)}, on_event, &given))
+	while (sse_feed(&s, (str_t){line, sizeof(line)}, on_event, &given))
 		taken += sizeof(line);
-	ck_assert_uint_le(taken, SS_EVENT_MAX);
-	ss_free(&s);
+	ck_assert_uint_le(taken, SSE_EVENT_MAX_BYTES);
+	sse_free(&s);
 }
 END_TEST
 
@@ -124,15 +124,15 @@
 static const struct {
 	const char *begin;
 	const char *repeat;
-	hu_end_t how;
+	http_call_end_t how;
 } endless[] = {
-	{"", "xxxxxxxxxxxxxxxx", HU_MALFORMED},
-	{"HTTP/1.1 200 OK\r\nX: ", "yyyyyyyyyyyyyyyyyyyyyyyyy", HU_MALFORMED},
-	{"HTTP/1.1 200 OK\r\n", "X: y\r\n", HU_MALFORMED},
-	{"", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", HU_MALFORMED},
-	{"HTTP/1.1 200 OK\r\n\r\n", "yyyyyyyyyyyyyyyyyyyyyyyyy", HU_TOO_LONG},
-	{"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "yyyyyyyy", HU_TOO_LONG},
-	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", HU_TOO_LONG},
+	{"", "xxxxxxxxxxxxxxxx", HTTP_CALL_MALFORMED},
+	{"HTTP/1.1 200 OK\r\nX: ", "yyyyyyyyyyyyyyyyyyyyyyyyy", HTTP_CALL_MALFORMED},
+	{"HTTP/1.1 200 OK\r\n", "X: y\r\n", HTTP_CALL_MALFORMED},
+	{"", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", HTTP_CALL_MALFORMED},
+	{"HTTP/1.1 200 OK\r\n\r\n", "yyyyyyyyyyyyyyyyyyyyyyyyy", HTTP_CALL_TOO_LONG},
+	{"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "yyyyyyyy", HTTP_CALL_TOO_LONG},
+	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", HTTP_CALL_TOO_LONG},
 };
 
 START_TEST(an_answer_without_end_is_given_up)
@@ -175,7 +175,7 @@
 	call(&p, post);
 	turn(&p, 5.0);
 	ck_assert_int_eq(p.ended, 1);
-	ck_assert_int_ne(p.how, HU_DONE);
+	ck_assert_int_ne(p.how, HTTP_CALL_DONE);
 	ev_io_stop(p.loop, &r.accept);
 	close(r.accept.fd);
 	pair_close(&p);
