--- a/tests/unit/test_owner.c
+++ b/tests/unit/test_owner.c
@@ -1,6 +1,6 @@
 #include <stdlib.h>
-#include "base/rd.h"
-#include "policy/ow.h"
+#include "base/prng.h"
+#include "policy/owner.h"
 #include "suite_kit.h"
 
 #define IDS    40000
@@ -10,9 +10,9 @@
 
 /** What the owner was told and said; the effects it asked for. */
 typedef struct {
-	ow_t *w;
+	owner_t *w;
 	state_t state[IDS];
-	ow_class_t cls[IDS];
+	owner_class_t cls[IDS];
 	unsigned count[REFUSED + 1];
 	unsigned slots;
 	uint64_t last_started, last_cancelled;
@@ -33,7 +33,7 @@
 
 static void on_start(void *ctx, uint64_t id)
 {
-	if (m.cls[id] == OW_BATCH)
+	if (m.cls[id] == OWNER_BATCH)
 		ck_assert_uint_eq(m.count[WAITING], 0);
 	move(id, m.state[id] == WAITING ? WAITING : NONE, RUNNING);
 	m.last_started = id;
@@ -41,7 +41,7 @@
 
 static void on_cancel(void *ctx, uint64_t id)
 {
-	ck_assert_int_eq(m.cls[id], OW_BATCH);
+	ck_assert_int_eq(m.cls[id], OWNER_BATCH);
 	move(id, RUNNING, CANCELLING);
 	m.last_cancelled = id;
 }
@@ -53,195 +53,196 @@
 	m.last_retry_ms = retry_after_ms;
 }
 
-static ow_options_t options(unsigned slots)
+static owner_options_t options(unsigned slots)
 {
-	return (ow_options_t){.slots = slots,
-			      .preempt = OW_PREEMPT_RESUME,
-			      .latency_weight = 1,
-			      .step_bound_us = 60000,
-			      .queue_max = 64,
-			      .start = on_start,
-			      .cancel = on_cancel,
-			      .refuse = on_refuse};
+	return (owner_options_t){.slots = slots,
+				 .preempt = OWNER_PREEMPT_RESUME,
+				 .latency_weight = 1,
+				 .step_bound_us = 60000,
+				 .queue_max = 64,
+				 .start = on_start,
+				 .cancel = on_cancel,
+				 .refuse = on_refuse};
 }
 
-static void open_owner(const ow_options_t *o)
+static void open_owner(const owner_options_t *o)
 {
 	m = (model_t){.slots = o->slots};
-	m.w = ow_new(o, 0);
+	m.w = owner_new(o, 0);
 }
 
-static ow_answer_t offer(ow_stream_t s, int64_t now)
+static owner_answer_t offer(owner_stream_t s, int64_t now)
 {
 	int64_t retry;
-	ow_answer_t a;
+	owner_answer_t a;
 
 	m.cls[s.id] = s.cls;
-	if (s.cls == OW_ONLINE) /* it waits until the answer says otherwise */
+	if (s.cls == OWNER_ONLINE) /* it waits until the answer says otherwise */
 		move(s.id, NONE, WAITING);
-	a = ow_offer(m.w, &s, now, &retry);
-	if (a == OW_REFUSED && s.cls == OW_ONLINE)
+	a = owner_offer(m.w, &s, now, &retry);
+	if (a == OWNER_REFUSED && s.cls == OWNER_ONLINE)
 		move(s.id, WAITING, REFUSED);
-	if (a == OW_REFUSED)
+	if (a == OWNER_REFUSED)
 		ck_assert_int_gt(retry, 0);
-	ck_assert(a == OW_REFUSED || a == (m.state[s.id] == WAITING ? OW_QUEUED : OW_STARTED));
+	ck_assert(a == OWNER_REFUSED ||
+		  a == (m.state[s.id] == WAITING ? OWNER_QUEUED : OWNER_STARTED));
 	m.last_retry_ms = retry;
 	return a;
 }
 
-static ow_answer_t online(uint64_t id, int64_t deadline, uint64_t caller, int64_t now)
+static owner_answer_t online(uint64_t id, int64_t deadline, uint64_t caller, int64_t now)
 {
-	return offer((ow_stream_t){.id = id, .deadline = deadline, .caller = caller}, now);
+	return offer((owner_stream_t){.id = id, .deadline = deadline, .caller = caller}, now);
 }
 
-static ow_answer_t batch(uint64_t id, bool alone, int64_t now)
+static owner_answer_t batch(uint64_t id, bool alone, int64_t now)
 {
 	return offer(
-		(ow_stream_t){
-			.id = id, .cls = OW_BATCH, .deadline = DEADLINE_NEVER, .alone = alone},
+		(owner_stream_t){
+			.id = id, .cls = OWNER_BATCH, .deadline = DEADLINE_NEVER, .alone = alone},
 		now);
 }
 
 static void end(uint64_t id, int64_t now)
 {
 	move(id, m.state[id], ENDED);
-	ow_ended(m.w, id, now);
+	owner_stream_ended(m.w, id, now);
 }
 
 START_TEST(online_starts_by_deadline)
 {
-	ow_options_t o = options(1);
+	owner_options_t o = options(1);
 
 	open_owner(&o);
-	ck_assert_int_eq(online(1, 9000, 1, 0), OW_STARTED);
-	ck_assert_int_eq(online(2, 9000, 2, 0), OW_QUEUED);
-	ck_assert_int_eq(online(3, 5000, 3, 0), OW_QUEUED);
-	ck_assert_int_eq(online(4, 7000, 4, 0), OW_QUEUED);
+	ck_assert_int_eq(online(1, 9000, 1, 0), OWNER_STARTED);
+	ck_assert_int_eq(online(2, 9000, 2, 0), OWNER_QUEUED);
+	ck_assert_int_eq(online(3, 5000, 3, 0), OWNER_QUEUED);
+	ck_assert_int_eq(online(4, 7000, 4, 0), OWNER_QUEUED);
 	end(1, 10);
 	ck_assert_uint_eq(m.last_started, 3);
 	end(3, 20);
 	ck_assert_uint_eq(m.last_started, 4);
-	ow_withdraw(m.w, 2, 20);
+	owner_withdraw(m.w, 2, 20);
 	move(2, WAITING, ENDED);
 	end(4, 30);
 	ck_assert_uint_eq(m.count[RUNNING], 0);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(a_flood_from_one_caller_leaves_turns_to_others)
 {
-	ow_options_t o = options(1);
+	owner_options_t o = options(1);
 	unsigned before = 0;
 
 	open_owner(&o);
 	online(1, 100000, 1, 0);
 	for (uint64_t id = 2; id < 42; id++)
-		ck_assert_int_eq(online(id, 100000, 1, 0), OW_QUEUED);
-	ck_assert_int_eq(online(50, 100100, 2, 100), OW_QUEUED);
+		ck_assert_int_eq(online(id, 100000, 1, 0), OWNER_QUEUED);
+	ck_assert_int_eq(online(50, 100100, 2, 100), OWNER_QUEUED);
 	while (m.state[50] == WAITING) {
 		end(m.last_started, 100);
 		before++;
 	}
 	ck_assert_uint_le(before, 4);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(an_online_burst_cancels_the_youngest_batch_streams)
 {
-	ow_options_t o = options(4);
+	owner_options_t o = options(4);
 
 	open_owner(&o);
 	for (uint64_t id = 1; id <= 4; id++)
-		ck_assert_int_eq(batch(id, false, 0), OW_STARTED);
-	ck_assert_int_eq(online(10, 9000, 1, 0), OW_QUEUED);
+		ck_assert_int_eq(batch(id, false, 0), OWNER_STARTED);
+	ck_assert_int_eq(online(10, 9000, 1, 0), OWNER_QUEUED);
 	ck_assert_uint_eq(m.last_cancelled, 4);
-	ck_assert_int_eq(online(11, 9000, 1, 0), OW_QUEUED);
+	ck_assert_int_eq(online(11, 9000, 1, 0), OWNER_QUEUED);
 	ck_assert_uint_eq(m.last_cancelled, 3);
 	ck_assert_uint_eq(m.count[CANCELLING], 2);
-	ck_assert_int_eq(batch(5, false, 0), OW_REFUSED);
+	ck_assert_int_eq(batch(5, false, 0), OWNER_REFUSED);
 	end(4, 5);
 	ck_assert_uint_eq(m.last_started, 10);
 	end(1, 6); /* another ends of itself: the second one needn't wait for the cancelled one */
 	ck_assert_uint_eq(m.last_started, 11);
-	ck_assert_int_eq(online(12, 9000, 1, 6), OW_QUEUED);
+	ck_assert_int_eq(online(12, 9000, 1, 6), OWNER_QUEUED);
 	ck_assert_uint_eq(m.count[CANCELLING], 1); /* the cancel under way serves it */
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(without_preemption_nothing_is_cancelled)
 {
-	ow_options_t o = options(2);
+	owner_options_t o = options(2);
 
-	o.preempt = OW_PREEMPT_NONE;
+	o.preempt = OWNER_PREEMPT_NONE;
 	open_owner(&o);
 	batch(1, false, 0);
 	batch(2, false, 0);
-	ck_assert_int_eq(online(10, 9000, 1, 0), OW_QUEUED);
+	ck_assert_int_eq(online(10, 9000, 1, 0), OWNER_QUEUED);
 	ck_assert_uint_eq(m.count[CANCELLING], 0);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(kept_slots_are_left_to_online)
 {
-	ow_options_t o = options(8);
+	owner_options_t o = options(8);
 
-	o.keep = OW_KEEP_FIXED;
-	o.kept = 2;
+	o.reserve = OWNER_RESERVE_FIXED;
+	o.reserved_slots = 2;
 	open_owner(&o);
-	ck_assert_uint_eq(ow_batch_room(m.w, 0), 6);
+	ck_assert_uint_eq(owner_batch_headroom(m.w, 0), 6);
 	for (uint64_t id = 1; id <= 6; id++)
-		ck_assert_int_eq(batch(id, false, 0), OW_STARTED);
-	ck_assert_int_eq(batch(7, false, 0), OW_REFUSED);
-	ck_assert_int_eq(online(10, 9000, 1, 0), OW_STARTED);
+		ck_assert_int_eq(batch(id, false, 0), OWNER_STARTED);
+	ck_assert_int_eq(batch(7, false, 0), OWNER_REFUSED);
+	ck_assert_int_eq(online(10, 9000, 1, 0), OWNER_STARTED);
 	ck_assert_uint_eq(m.count[CANCELLING], 0);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(slots_given_go_to_what_waits_first)
 {
-	ow_options_t o = options(1);
+	owner_options_t o = options(1);
 
 	open_owner(&o);
 	online(10, 9000, 1, 0);
 	online(11, 9000, 1, 0);
 	o.slots = m.slots = 3;
-	ow_update(m.w, &o);
-	ck_assert_uint_eq(ow_batch_room(m.w, 0), 0);
-	ck_assert_int_eq(batch(1, false, 0), OW_STARTED);
+	owner_update(m.w, &o);
+	ck_assert_uint_eq(owner_batch_headroom(m.w, 0), 0);
+	ck_assert_int_eq(batch(1, false, 0), OWNER_STARTED);
 	ck_assert_int_eq(m.state[11], RUNNING);
 	o.slots = 1; /* what runs stays */
-	ow_update(m.w, &o);
-	ck_assert_int_eq(online(12, 9000, 1, 0), OW_QUEUED);
+	owner_update(m.w, &o);
+	ck_assert_int_eq(online(12, 9000, 1, 0), OWNER_QUEUED);
 	end(1, 0);
 	end(10, 0);
 	ck_assert_int_eq(m.state[12], WAITING);
 	end(11, 0);
 	ck_assert_int_eq(m.state[12], RUNNING);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(room_kept_follows_the_peak_of_arrivals)
 {
-	ow_options_t o = options(8);
+	owner_options_t o = options(8);
 
-	o.keep = OW_KEEP_PEAK;
+	o.reserve = OWNER_RESERVE_PEAK;
 	open_owner(&o);
-	ck_assert_uint_eq(ow_batch_room(m.w, 0), 8);
+	ck_assert_uint_eq(owner_batch_headroom(m.w, 0), 8);
 	for (uint64_t id = 1; id <= 3; id++)
 		online(id, 9000, id, 10);
 	for (uint64_t id = 1; id <= 3; id++)
 		end(id, 20);
-	ow_tick(m.w, 1000);
-	ck_assert_uint_eq(ow_batch_room(m.w, 1000), 5);
-	ow_tick(m.w, 200000);
-	ck_assert_uint_eq(ow_batch_room(m.w, 200000), 8);
-	ow_free(m.w);
+	owner_tick(m.w, 1000);
+	ck_assert_uint_eq(owner_batch_headroom(m.w, 1000), 5);
+	owner_tick(m.w, 200000);
+	ck_assert_uint_eq(owner_batch_headroom(m.w, 200000), 8);
+	owner_free(m.w);
 }
 END_TEST
 
@@ -250,14 +251,14 @@
 	int64_t now = from_ms;
 
 	for (; now < from_ms + ms; now += 10)
-		ow_token(m.w, id, step_us, now);
+		owner_record_token(m.w, id, step_us, now);
 	return now;
 }
 
 START_TEST(room_for_batch_follows_the_time_between_tokens)
 {
-	ow_options_t o = options(8);
-	ow_stats_t st;
+	owner_options_t o = options(8);
+	owner_stats_t st;
 	unsigned shrunk;
 	int64_t now;
 
@@ -265,106 +266,106 @@
 	for (uint64_t id = 1; id <= 4; id++)
 		batch(id, false, 0);
 	now = run_steps(1, 70000, 0, 9000);
-	ow_stats(m.w, now, &st);
+	owner_stats(m.w, now, &st);
 	ck_assert_int_eq(st.step_us, 70000);
 	end(2, now);
 	end(3, now);
 	end(4, now);
-	shrunk = ow_batch_room(m.w, now);
+	shrunk = owner_batch_headroom(m.w, now);
 	ck_assert_uint_eq(shrunk, 0);
 	now = run_steps(1, 20000, now, 7000);
-	ck_assert_uint_gt(ow_batch_room(m.w, now), shrunk);
-	ck_assert_uint_lt(ow_batch_room(m.w, now), 4); /* slowly */
+	ck_assert_uint_gt(owner_batch_headroom(m.w, now), shrunk);
+	ck_assert_uint_lt(owner_batch_headroom(m.w, now), 4); /* slowly */
 	now = run_steps(1, 20000, now, 14000);
-	ck_assert_uint_eq(ow_batch_room(m.w, now), 7);
-	ow_free(m.w);
+	ck_assert_uint_eq(owner_batch_headroom(m.w, now), 7);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(a_suspect_item_runs_alone)
 {
-	ow_options_t o = options(4);
+	owner_options_t o = options(4);
 	int64_t now = 0;
 
 	open_owner(&o);
 	batch(1, false, now);
-	ck_assert_int_eq(batch(2, true, now), OW_REFUSED);
-	ck_assert_int_eq(batch(3, false, now), OW_REFUSED); /* others hold off for it */
+	ck_assert_int_eq(batch(2, true, now), OWNER_REFUSED);
+	ck_assert_int_eq(batch(3, false, now), OWNER_REFUSED); /* others hold off for it */
 	end(1, now);
-	ck_assert_int_eq(batch(2, true, now), OW_STARTED);
-	ck_assert_int_eq(batch(3, false, now), OW_REFUSED);
-	ck_assert_int_eq(online(10, 9000, 1, now), OW_QUEUED);
+	ck_assert_int_eq(batch(2, true, now), OWNER_STARTED);
+	ck_assert_int_eq(batch(3, false, now), OWNER_REFUSED);
+	ck_assert_int_eq(online(10, 9000, 1, now), OWNER_QUEUED);
 	ck_assert_uint_eq(m.last_cancelled, 2);
 	ck_assert_uint_eq(m.count[RUNNING], 0);
 	end(2, now);
 	ck_assert_uint_eq(m.last_started, 10);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(a_suspect_online_stream_runs_alone)
 {
-	ow_options_t o = options(4);
-	ow_stream_t suspect = {.id = 2, .deadline = 9000, .alone = true};
+	owner_options_t o = options(4);
+	owner_stream_t suspect = {.id = 2, .deadline = 9000, .alone = true};
 
 	open_owner(&o);
 	batch(1, false, 0);
-	ck_assert_int_eq(offer(suspect, 0), OW_REFUSED);
-	ck_assert_int_eq(batch(3, false, 0), OW_REFUSED);
+	ck_assert_int_eq(offer(suspect, 0), OWNER_REFUSED);
+	ck_assert_int_eq(batch(3, false, 0), OWNER_REFUSED);
 	end(1, 0);
 	suspect.id = 4;
-	ck_assert_int_eq(offer(suspect, 0), OW_STARTED);
-	ck_assert_int_eq(online(10, 9000, 1, 0), OW_QUEUED);
+	ck_assert_int_eq(offer(suspect, 0), OWNER_STARTED);
+	ck_assert_int_eq(online(10, 9000, 1, 0), OWNER_QUEUED);
 	ck_assert_uint_eq(m.count[CANCELLING], 0);
 	end(4, 0);
 	ck_assert_uint_eq(m.last_started, 10);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(a_stream_that_cannot_make_its_deadline_is_refused_at_once)
 {
-	ow_options_t o = options(2);
+	owner_options_t o = options(2);
 	uint64_t id = 1;
 
 	open_owner(&o);
 	for (int i = 0; i < 40; i++, id++) { /* each holds its slot for a second */
-		ck_assert_int_eq(online(id, DEADLINE_NEVER, 1, i * 1000), OW_STARTED);
+		ck_assert_int_eq(online(id, DEADLINE_NEVER, 1, i * 1000), OWNER_STARTED);
 		end(id, i * 1000 + 1000);
 	}
 	for (int i = 0; i < 6; i++, id++)
 		online(id, DEADLINE_NEVER, id, 50000);
 	ck_assert_uint_eq(m.count[WAITING], 4);
 	/* four before it, one slot free each half second */
-	ck_assert_int_eq(online(id++, 51000, 90, 50000), OW_QUEUED); /* goes first */
-	ck_assert_int_eq(online(id++, 50400, 91, 50000), OW_REFUSED);
+	ck_assert_int_eq(online(id++, 51000, 90, 50000), OWNER_QUEUED); /* goes first */
+	ck_assert_int_eq(online(id++, 50400, 91, 50000), OWNER_REFUSED);
 	ck_assert_int_eq(m.last_retry_ms, 500);
-	ow_tick(m.w, 50400);
+	owner_tick(m.w, 50400);
 	ck_assert_uint_eq(m.count[REFUSED], 1);
-	ow_tick(m.w, 50600);
+	owner_tick(m.w, 50600);
 	ck_assert_uint_eq(m.count[REFUSED], 2);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
 START_TEST(a_closed_owner_refuses_and_ends)
 {
-	ow_options_t o = options(2);
+	owner_options_t o = options(2);
 
 	open_owner(&o);
 	batch(1, false, 0);
 	online(10, 9000, 1, 0);
 	online(11, 9000, 1, 0);
-	ow_close(m.w, true, 0);
+	owner_close(m.w, true, 0);
 	ck_assert_int_eq(m.state[11], REFUSED);
 	ck_assert_int_eq(m.state[1], CANCELLING);
 	ck_assert_int_eq(m.state[10], RUNNING);
-	ck_assert_int_eq(online(12, 9000, 1, 0), OW_REFUSED);
-	ck_assert_int_eq(batch(2, false, 0), OW_REFUSED);
-	ck_assert_uint_eq(ow_batch_room(m.w, 0), 0);
+	ck_assert_int_eq(online(12, 9000, 1, 0), OWNER_REFUSED);
+	ck_assert_int_eq(batch(2, false, 0), OWNER_REFUSED);
+	ck_assert_uint_eq(owner_batch_headroom(m.w, 0), 0);
 	end(1, 1);
 	end(10, 1);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
@@ -384,17 +385,17 @@
 
 static void random_step(uint64_t *rnd, uint64_t *newest, int64_t now)
 {
-	uint64_t r = rd_next(rnd);
+	uint64_t r = prng_next(rnd);
 	unsigned under_way = m.count[CANCELLING];
 	uint64_t id;
 
 	switch (r % 10) {
 	case 0 ... 2:
 		if (*newest + 1 < IDS)
-			offer((ow_stream_t){.id = ++*newest,
-					    .deadline = now + (int64_t)(r >> 8) % 4000,
-					    .caller = (r >> 32) % 5,
-					    .alone = (r >> 40) % 50 == 0},
+			offer((owner_stream_t){.id = ++*newest,
+					       .deadline = now + (int64_t)(r >> 8) % 4000,
+					       .caller = (r >> 32) % 5,
+					       .alone = (r >> 40) % 50 == 0},
 			      now);
 		break;
 	case 3 ... 4:
@@ -410,14 +411,14 @@
 		id = any_in(WAITING, WAITING, *newest, r >> 8);
 		if (id && (r >> 40) % 4 == 0) {
 			move(id, WAITING, ENDED);
-			ow_withdraw(m.w, id, now);
+			owner_withdraw(m.w, id, now);
 		}
 		break;
 	default:
 		id = any_in(RUNNING, RUNNING, *newest, r >> 8);
 		if (id)
-			ow_token(m.w, id, 1 + (int64_t)(r >> 8) % 90000, now);
-		ow_tick(m.w, now);
+			owner_record_token(m.w, id, 1 + (int64_t)(r >> 8) % 90000, now);
+		owner_tick(m.w, now);
 		break;
 	}
 	if (m.count[CANCELLING] > under_way)
@@ -426,9 +427,9 @@
 
 static void check_counts(int64_t now)
 {
-	ow_stats_t st;
+	owner_stats_t st;
 
-	ow_stats(m.w, now, &st);
+	owner_stats(m.w, now, &st);
 	ck_assert_uint_eq(st.queued, m.count[WAITING]);
 	ck_assert_uint_eq(st.cancelling, m.count[CANCELLING]);
 	ck_assert_uint_eq(st.running_online + st.running_batch, m.count[RUNNING]);
@@ -441,26 +442,26 @@
 {
 	const char *s = getenv("AUBURN_SEED");
 	uint64_t rnd = s ? strtoull(s, NULL, 10) : 11 + (uint64_t)_i;
-	ow_options_t o = options(1 + _i % 8);
+	owner_options_t o = options(1 + _i % 8);
 	uint64_t newest = 0;
 	int64_t now = 1;
 
-	o.keep = (ow_keep_t)(_i % 3);
-	o.kept = o.keep ? 1 : 0;
+	o.reserve = (owner_reserve_t)(_i % 3);
+	o.reserved_slots = o.reserve ? 1 : 0;
 	o.queue_max = 5 + _i;
 	open_owner(&o);
 	for (int i = 0; i < ROUNDS; i++) {
-		now += (int64_t)(rd_next(&rnd) % 20);
+		now += (int64_t)(prng_next(&rnd) % 20);
 		random_step(&rnd, &newest, now);
 		check_counts(now);
 	}
-	ow_close(m.w, true, now);
+	owner_close(m.w, true, now);
 	for (uint64_t id = 1; id <= newest; id++) {
 		if (m.state[id] == RUNNING || m.state[id] == CANCELLING)
 			end(id, now);
 	}
 	ck_assert_uint_eq(m.count[RUNNING] + m.count[CANCELLING] + m.count[WAITING], 0);
-	ow_free(m.w);
+	owner_free(m.w);
 }
 END_TEST
 
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -1,7 +1,7 @@
 /* Unit tests of the adapter to the users' platform: bytes in, typed values out, and back. */
 #include <stdlib.h>
 #include <string.h>
-#include "platform/pf.h"
+#include "platform/platform.h"
 #include "suite_kit.h"
 
 static const char conf[] =
@@ -33,40 +33,40 @@
 static status_t decode_with(const char *what, const char *by)
 {
 	AUTO_BUF b = {0};
-	ru_t *r = NULL;
+	route_table_t *r = NULL;
 	status_t st;
 
 	replace(&b, what, by);
-	st = pf_conf_decode(str_buf(&b), &r);
-	ck_assert(st == ST_OK || r == NULL);
-	ru_free(r);
+	st = platform_config_decode(str_buf(&b), &r);
+	ck_assert(st == STATUS_OK || r == NULL);
+	route_table_free(r);
 	return st;
 }
 
 START_TEST(a_text_is_decoded)
 {
-	AUTO_RU *r = NULL;
-	const ru_route_t *one;
+	AUTO_ROUTE_TABLE *r = NULL;
+	const route_spec_t *one;
 
-	ck_assert_int_eq(pf_conf_decode(str_c(conf), &r), ST_OK);
+	ck_assert_int_eq(platform_config_decode(str_c(conf), &r), STATUS_OK);
 	ck_assert_uint_eq(r->version, 7);
 	ck_assert_uint_eq(r->nroutes, 2);
 	one = &r->routes[0];
-	ck_assert_int_eq(one->kind, RU_STREAM);
+	ck_assert_int_eq(one->kind, ROUTE_STREAM);
 	ck_assert_int_eq(one->timeout_ms, 5000);
 	ck_assert_int_eq(one->objective_ms, 300);
 	ck_assert_int_eq(one->pause_ms, 400);
-	ck_assert_int_eq(one->patience_ms, 8 * 400);
+	ck_assert_int_eq(one->give_up_ms, 8 * 400);
 	ck_assert_int_eq(one->attempts, 2);
 	ck_assert(one->resumable);
 	ck_assert_uint_eq(one->nshares, 2);
 	ck_assert_int_eq(one->shares[1].weight, 10);
-	ck_assert_int_eq(r->routes[1].kind, RU_BATCH);
-	ck_assert_int_eq(r->routes[1].patience_ms, 0);
+	ck_assert_int_eq(r->routes[1].kind, ROUTE_BATCH);
+	ck_assert_int_eq(r->routes[1].give_up_ms, 0);
 	ck_assert_int_eq(r->routes[1].waiting_tokens_max, 2500000);
 	ck_assert_int_eq(r->routes[1].retention_ms, 60000);
 	ck_assert_int_eq(r->routes[1].due_ms, 18000);
-	ck_assert_int_eq(ru_service(r, STR("s"))->slots, 8);
+	ck_assert_int_eq(route_table_service(r, STR("s"))->slots, 8);
 	ck_assert_int_eq(r->limits.body_bytes, 4194304);
 }
 END_TEST
@@ -76,7 +76,7 @@
 {
 	static const struct {
 		const char *was, *is;
-		int64_t patience_ms;
+		int64_t give_up_ms;
 	} cases[] = {
 		{"\"gapTargetMs\":400", "\"gapTargetMs\":500", 4000},
 		{"\"gapTargetMs\":400", "\"gapTargetMs\":100", 2000},
@@ -85,57 +85,57 @@
 
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		AUTO_BUF b = {0};
-		AUTO_RU *r = NULL;
+		AUTO_ROUTE_TABLE *r = NULL;
 
 		replace(&b, cases[i].was, cases[i].is);
-		ck_assert_int_eq(pf_conf_decode(str_buf(&b), &r), ST_OK);
-		ck_assert_int_eq(r->routes[0].patience_ms, cases[i].patience_ms);
+		ck_assert_int_eq(platform_config_decode(str_buf(&b), &r), STATUS_OK);
+		ck_assert_int_eq(r->routes[0].give_up_ms, cases[i].give_up_ms);
 	}
 }
 END_TEST
 
 START_TEST(a_wrong_text_is_refused)
 {
-	ck_assert_int_eq(decode_with("\"version\":7", "\"version\":7"), ST_OK);
-	ck_assert_int_eq(decode_with("\"version\":7", "\"version\":\"7\""), ST_INVALID);
-	ck_assert_int_eq(decode_with("\"version\":7,", ""), ST_INVALID);
+	ck_assert_int_eq(decode_with("\"version\":7", "\"version\":7"), STATUS_OK);
+	ck_assert_int_eq(decode_with("\"version\":7", "\"version\":\"7\""), STATUS_INVALID);
+	ck_assert_int_eq(decode_with("\"version\":7,", ""), STATUS_INVALID);
 	ck_assert_int_eq(decode_with("\"service\":\"s\",\"attempts\"",
 				     "\"service\":\"nobody\",\"attempts\""),
-			 ST_INVALID);
-	ck_assert_int_eq(decode_with("/x/y/", "/x/"), ST_INVALID);
-	ck_assert_int_eq(decode_with("/x/y/", "x/y/"), ST_INVALID);
-	ck_assert_int_eq(decode_with("\"timeoutMs\":5000", "\"timeoutMs\":0"), ST_INVALID);
-	ck_assert_int_eq(decode_with("\"weight\":90", "\"weight\":-10"), ST_INVALID);
+			 STATUS_INVALID);
+	ck_assert_int_eq(decode_with("/x/y/", "/x/"), STATUS_INVALID);
+	ck_assert_int_eq(decode_with("/x/y/", "x/y/"), STATUS_INVALID);
+	ck_assert_int_eq(decode_with("\"timeoutMs\":5000", "\"timeoutMs\":0"), STATUS_INVALID);
+	ck_assert_int_eq(decode_with("\"weight\":90", "\"weight\":-10"), STATUS_INVALID);
 	ck_assert_int_eq(decode_with("\"weight\":90},{\"service\":\"t\",\"weight\":10",
 				     "\"weight\":0},{\"service\":\"t\",\"weight\":0"),
-			 ST_INVALID);
-	ck_assert_int_eq(decode_with("\"kind\":\"stream\"", "\"kind\":\"strm\""), ST_INVALID);
-	ck_assert_int_eq(decode_with("\"routes\":[", "\"routes\":[7,"), ST_INVALID);
+			 STATUS_INVALID);
+	ck_assert_int_eq(decode_with("\"kind\":\"stream\"", "\"kind\":\"strm\""), STATUS_INVALID);
+	ck_assert_int_eq(decode_with("\"routes\":[", "\"routes\":[7,"), STATUS_INVALID);
 }
 END_TEST
 
 START_TEST(a_text_cut_anywhere_is_refused)
 {
-	ru_t *r = NULL;
+	route_table_t *r = NULL;
 
 	for (size_t n = 0; n + 1 < sizeof(conf) - 1; n++)
-		ck_assert_int_eq(pf_conf_decode((str_t){conf, n}, &r), ST_INVALID);
+		ck_assert_int_eq(platform_config_decode((str_t){conf, n}, &r), STATUS_INVALID);
 }
 END_TEST
 
 START_TEST(routes_match_by_host_and_longest_prefix)
 {
-	AUTO_RU *r = NULL;
+	AUTO_ROUTE_TABLE *r = NULL;
 	unsigned other = 0;
 
-	pf_conf_decode(str_c(conf), &r);
-	ck_assert_str_eq(ru_match(r, STR("a.example"), STR("/x/1"))->name, "r1");
-	ck_assert_str_eq(ru_match(r, STR("A.Example:80"), STR("/x/y/1"))->name, "r2");
-	ck_assert_str_eq(ru_match(r, STR("a.example"), STR("/x/y"))->name, "r1");
-	ck_assert_ptr_null(ru_match(r, STR("b.example"), STR("/x/1")));
-	ck_assert_ptr_null(ru_match(r, STR("a.example"), STR("/z/x/1")));
+	platform_config_decode(str_c(conf), &r);
+	ck_assert_str_eq(route_table_match(r, STR("a.example"), STR("/x/1"))->name, "r1");
+	ck_assert_str_eq(route_table_match(r, STR("A.Example:80"), STR("/x/y/1"))->name, "r2");
+	ck_assert_str_eq(route_table_match(r, STR("a.example"), STR("/x/y"))->name, "r1");
+	ck_assert_ptr_null(route_table_match(r, STR("b.example"), STR("/x/1")));
+	ck_assert_ptr_null(route_table_match(r, STR("a.example"), STR("/z/x/1")));
 	for (uint64_t i = 0; i < 1000; i++)
-		other += strcmp(ru_pick(&r->routes[0], i), "t") == 0;
+		other += strcmp(route_pick_service(&r->routes[0], i), "t") == 0;
 	ck_assert_uint_eq(other, 100);
 }
 END_TEST
@@ -155,112 +155,114 @@
 		"{\"addr\":\"10.0.0.7:8080\",\"zone\":\"a\",\"slots\":8,\"state\":\"ready\","
 		"\"id\":\"i-5\"},"
 		"[1],null,7],\"nextToken\":\"p-50\"}";
-	lw_view_t v = {0};
+	link_view_t v = {0};
 	AUTO_BUF cursor = {0};
 
-	ck_assert_int_eq(pf_list_decode(str_c(page), &v, &cursor), ST_OK);
+	ck_assert_int_eq(platform_list_decode(str_c(page), &v, &cursor), STATUS_OK);
 	ck_assert_uint_eq(v.upstreams.upstreams_len, 2);
 	ck_assert(!v.upstreams.upstreams_val[0].leaving);
 	ck_assert_uint_eq(v.upstreams.upstreams_val[0].slots, 8);
 	ck_assert(v.upstreams.upstreams_val[1].leaving);
 	ck_assert(str_eq(str_buf(&cursor), STR("p-50")));
-	ck_assert_int_eq(pf_list_decode(STR("{\"instances\":[],\"nextToken\":null}"), &v, &cursor),
-			 ST_OK);
+	ck_assert_int_eq(
+		platform_list_decode(STR("{\"instances\":[],\"nextToken\":null}"), &v, &cursor),
+		STATUS_OK);
 	ck_assert_uint_eq(cursor.n, 0);
-	ck_assert_int_eq(pf_list_decode(STR("nonsense"), &v, &cursor), ST_INVALID);
+	ck_assert_int_eq(platform_list_decode(STR("nonsense"), &v, &cursor), STATUS_INVALID);
 	ck_assert_uint_eq(v.upstreams.upstreams_len, 2);
-	px_free(PX(lw_view_t), &v);
+	wire_free(XDR_PROC(link_view_t), &v);
 }
 END_TEST
 
-static hp_head_t head(const char *method, const char *target, const hp_header_t *headers, size_t n)
+static http_head_t head(const char *method, const char *target, const http_header_t *headers,
+			size_t n)
 {
-	return (hp_head_t){.method = str_c(method),
-			   .target = str_c(target),
-			   .headers = headers,
-			   .nheaders = n};
+	return (http_head_t){.method = str_c(method),
+			     .target = str_c(target),
+			     .headers = headers,
+			     .nheaders = n};
 }
 
 START_TEST(a_request_is_decoded)
 {
-	const hp_header_t v[] = {{STR("host"), STR("a.example")},
-				 {STR("request-id"), STR("9c41")},
-				 {STR("Deadline-Ms"), STR("5000")},
-				 {STR("Last-Event-Id"), STR("12")},
-				 {STR("Prompt-Prefix"), STR("5c:800,91:410,e4:250")}};
-	hp_head_t h = head("POST", "/x/1?q=2", v, 5);
-	pf_call_t c;
+	const http_header_t v[] = {{STR("host"), STR("a.example")},
+				   {STR("request-id"), STR("9c41")},
+				   {STR("Deadline-Ms"), STR("5000")},
+				   {STR("Last-Event-Id"), STR("12")},
+				   {STR("Prompt-Prefix"), STR("5c:800,91:410,e4:250")}};
+	http_head_t h = head("POST", "/x/1?q=2", v, 5);
+	platform_call_t c;
 	uint64_t shared;
 
-	ck_assert_int_eq(pf_call_decode(&h, &c), ST_OK);
-	ck_assert_int_eq(c.kind, PF_REQUEST);
+	ck_assert_int_eq(platform_call_decode(&h, &c), STATUS_OK);
+	ck_assert_int_eq(c.kind, PLATFORM_CALL_REQUEST);
 	ck_assert(str_eq(c.path, STR("/x/1")));
 	ck_assert(str_eq(c.id, STR("9c41")));
-	ck_assert_int_eq(c.wait_ms, 5000);
-	ck_assert_int_eq(c.last_event, 12);
-	shared = c.prefix;
+	ck_assert_int_eq(c.timeout_ms, 5000);
+	ck_assert_int_eq(c.last_event_id, 12);
+	shared = c.prefix_hash;
 	ck_assert_uint_ne(shared, 0);
-	h.headers = (const hp_header_t[]){{STR("Prompt-Prefix"), STR("5c:800,91:410,ff:1")}};
+	h.headers = (const http_header_t[]){{STR("Prompt-Prefix"), STR("5c:800,91:410,ff:1")}};
 	h.nheaders = 1;
-	pf_call_decode(&h, &c);
-	ck_assert_uint_eq(c.prefix, shared);
-	ck_assert_int_eq(c.wait_ms, -1);
+	platform_call_decode(&h, &c);
+	ck_assert_uint_eq(c.prefix_hash, shared);
+	ck_assert_int_eq(c.timeout_ms, -1);
 }
 END_TEST
 
 START_TEST(a_number_that_is_none_is_refused)
 {
-	const hp_header_t v[] = {{STR("Deadline-Ms"), STR("soon")}};
-	hp_head_t h = head("POST", "/x/1", v, 1);
-	pf_call_t c;
+	const http_header_t v[] = {{STR("Deadline-Ms"), STR("soon")}};
+	http_head_t h = head("POST", "/x/1", v, 1);
+	platform_call_t c;
 
-	ck_assert_int_eq(pf_call_decode(&h, &c), ST_INVALID);
+	ck_assert_int_eq(platform_call_decode(&h, &c), STATUS_INVALID);
 }
 END_TEST
 
 START_TEST(calls_on_lots_are_decoded)
 {
-	const hp_header_t v[] = {{STR("Wait-Ms"), STR("1000")}};
-	hp_head_t h = head("GET", "/lots/7c41?after=12", v, 1);
-	pf_call_t c;
+	const http_header_t v[] = {{STR("Wait-Ms"), STR("1000")}};
+	http_head_t h = head("GET", "/lots/7c41?after=12", v, 1);
+	platform_call_t c;
 
-	ck_assert_int_eq(pf_call_decode(&h, &c), ST_OK);
-	ck_assert_int_eq(c.kind, PF_LOT_READ);
+	ck_assert_int_eq(platform_call_decode(&h, &c), STATUS_OK);
+	ck_assert_int_eq(c.kind, PLATFORM_CALL_LOT_READ);
 	ck_assert(str_eq(c.id, STR("7c41")));
 	ck_assert_int_eq(c.after, 12);
-	ck_assert_int_eq(c.wait_ms, 1000);
+	ck_assert_int_eq(c.timeout_ms, 1000);
 	h = head("GET", "/items/7c41?id=e5", NULL, 0);
-	pf_call_decode(&h, &c);
-	ck_assert_int_eq(c.kind, PF_LOT_BODY);
+	platform_call_decode(&h, &c);
+	ck_assert_int_eq(c.kind, PLATFORM_CALL_ITEM_BODY);
 	ck_assert(str_eq(c.item, STR("e5")));
 	h = head("DELETE", "/lots/7c41", NULL, 0);
-	pf_call_decode(&h, &c);
-	ck_assert_int_eq(c.kind, PF_LOT_END);
+	platform_call_decode(&h, &c);
+	ck_assert_int_eq(c.kind, PLATFORM_CALL_LOT_END);
 	h = head("GET", "/lots/7c41?after=x", NULL, 0);
-	ck_assert_int_eq(pf_call_decode(&h, &c), ST_INVALID);
+	ck_assert_int_eq(platform_call_decode(&h, &c), STATUS_INVALID);
 	h = head("GET", "/ready", NULL, 0);
-	pf_call_decode(&h, &c);
-	ck_assert_int_eq(c.kind, PF_READY);
+	platform_call_decode(&h, &c);
+	ck_assert_int_eq(c.kind, PLATFORM_CALL_READY);
 }
 END_TEST
 
 START_TEST(a_request_to_a_replica_keeps_the_clients_headers)
 {
-	const hp_header_t v[] = {{STR("Host"), STR("a.example")},
-				 {STR("Request-Id"), STR("9c41")},
-				 {STR("Connection"), STR("keep-alive, X-Hop")},
-				 {STR("X-Hop"), STR("1")},
-				 {STR("Transfer-Encoding"), STR("chunked")},
-				 {STR("Content-Length"), STR("99")},
-				 {STR("Deadline-Ms"), STR("5000")},
-				 {STR("Expect-Instance"), STR("forged")},
-				 {STR("Last-Event-Id"), STR("1")},
-				 {STR("Model"), STR("m")}};
-	hp_head_t h = head("POST", "/x/1?q=2", v, 10);
+	const http_header_t v[] = {{STR("Host"), STR("a.example")},
+				   {STR("Request-Id"), STR("9c41")},
+				   {STR("Connection"), STR("keep-alive, X-Hop")},
+				   {STR("X-Hop"), STR("1")},
+				   {STR("Transfer-Encoding"), STR("chunked")},
+				   {STR("Content-Length"), STR("99")},
+				   {STR("Deadline-Ms"), STR("5000")},
+				   {STR("Expect-Instance"), STR("forged")},
+				   {STR("Last-Event-Id"), STR("1")},
+				   {STR("Model"), STR("m")}};
+	http_head_t h = head("POST", "/x/1?q=2", v, 10);
 	AUTO_BUF b = {0};
-	pf_send_t s = {STR("i-7"), 1200, 12};
+	platform_send_t s = {STR("i-7"), 1200, 12};
 
-	pf_request_encode(&b, &h, STR("body"), &s);
+	platform_request_encode(&b, &h, STR("body"), &s);
 	ck_assert_str_eq(b.p, "POST /x/1?q=2 HTTP/1.1\r\nHost: a.example\r\nRequest-Id: 9c41\r\n"
 			      "Model: m\r\nDeadline-Ms: 1200\r\nExpect-Instance: i-7\r\n"
 			      "Last-Event-Id: 12\r\nContent-Length: 4\r\n\r\nbody");
@@ -269,15 +271,15 @@
 
 START_TEST(an_item_is_sent_as_a_request)
 {
-	lw_item_run_t it = {.id = px_bytes(STR("e5")),
-			    .host = px_bytes(STR("a.example")),
-			    .path = px_bytes(STR("/x/y/1")),
-			    .headers = px_bytes(STR("Model: m\r\n")),
-			    .body = px_bytes(STR("abc"))};
+	link_item_run_t it = {.id = wire_bytes(STR("e5")),
+			      .host = wire_bytes(STR("a.example")),
+			      .path = wire_bytes(STR("/x/y/1")),
+			      .headers = wire_bytes(STR("Model: m\r\n")),
+			      .body = wire_bytes(STR("abc"))};
 	AUTO_BUF b = {0};
-	pf_send_t s = {STR("i-7"), 60000, 0};
+	platform_send_t s = {STR("i-7"), 60000, 0};
 
-	pf_item_encode(&b, &it, &s);
+	platform_item_encode(&b, &it, &s);
 	ck_assert_str_eq(b.p, "POST /x/y/1 HTTP/1.1\r\nHost: a.example\r\nRequest-Id: e5\r\n"
 			      "Model: m\r\nDeadline-Ms: 60000\r\nExpect-Instance: i-7\r\n"
 			      "Content-Length: 3\r\n\r\nabc");
@@ -286,24 +288,24 @@
 
 START_TEST(a_reply_says_whether_the_request_ran)
 {
-	const hp_header_t ok[] = {{STR("Request-Id"), STR("9c")},
-				  {STR("Signature"), STR("3e")},
-				  {STR("Content-Type"), STR("text/event-stream; charset=utf-8")}};
-	const hp_header_t shed[] = {{STR("Not-Run"), STR("1")}};
-	hp_head_t h = {.status = 200, .headers = ok, .nheaders = 3};
-	pf_reply_t r;
-
-	pf_reply_decode(&h, &r);
-	ck_assert(r.certified && r.events && !r.not_run);
+	const http_header_t ok[] = {{STR("Request-Id"), STR("9c")},
+				    {STR("Signature"), STR("3e")},
+				    {STR("Content-Type"), STR("text/event-stream; charset=utf-8")}};
+	const http_header_t shed[] = {{STR("Not-Run"), STR("1")}};
+	http_head_t h = {.status = 200, .headers = ok, .nheaders = 3};
+	platform_reply_t r;
+
+	platform_reply_decode(&h, &r);
+	ck_assert(r.has_signature && r.event_stream && !r.not_run);
 	ck_assert(str_eq(r.id, STR("9c")));
-	h = (hp_head_t){.status = 503, .headers = shed, .nheaders = 1};
-	pf_reply_decode(&h, &r);
-	ck_assert(r.not_run && !r.other_replica && !r.certified);
-	h = (hp_head_t){.status = 421};
-	pf_reply_decode(&h, &r);
+	h = (http_head_t){.status = 503, .headers = shed, .nheaders = 1};
+	platform_reply_decode(&h, &r);
+	ck_assert(r.not_run && !r.other_replica && !r.has_signature);
+	h = (http_head_t){.status = 421};
+	platform_reply_decode(&h, &r);
 	ck_assert(r.not_run && r.other_replica);
-	h = (hp_head_t){.status = 503};
-	pf_reply_decode(&h, &r);
+	h = (http_head_t){.status = 503};
+	platform_reply_decode(&h, &r);
 	ck_assert(!r.not_run);
 }
 END_TEST
@@ -313,21 +315,21 @@
 	static const char lot[] =
 		"{\"items\":[{\"id\":\"e5\",\"path\":\"/x/y/3\",\"headers\":{\"Model\":\"m\","
 		"\"Token-Usage\":\"540,400\"},\"body\":\"q83vEjRWeJA=\",\"tokens\":940}]}";
-	aw_lot_open_t o = {0};
-	const aw_lot_item_t *it;
+	wire_lot_open_t o = {0};
+	const wire_lot_item_t *it;
 
-	ck_assert_int_eq(pf_lot_decode(str_c(lot), &o), ST_OK);
+	ck_assert_int_eq(platform_lot_decode(str_c(lot), &o), STATUS_OK);
 	ck_assert_uint_eq(o.items.items_len, 1);
 	it = &o.items.items_val[0];
-	ck_assert(str_eq(px_str(it->headers), STR("Model: m\r\nToken-Usage: 540,400\r\n")));
-	ck_assert_uint_eq(it->body.aw_bytes_t_len, 8);
-	ck_assert_uint_eq((unsigned char)it->body.aw_bytes_t_val[0], 0xab);
+	ck_assert(str_eq(wire_str(it->headers), STR("Model: m\r\nToken-Usage: 540,400\r\n")));
+	ck_assert_uint_eq(it->body.wire_bytes_t_len, 8);
+	ck_assert_uint_eq((unsigned char)it->body.wire_bytes_t_val[0], 0xab);
 	ck_assert_uint_eq(it->tokens, 940);
-	px_free(PX(aw_lot_open_t), &o);
+	wire_free(XDR_PROC(wire_lot_open_t), &o);
 	for (size_t n = 0; n < sizeof(lot) - 1; n++) {
-		o = (aw_lot_open_t){0};
-		ck_assert_int_eq(pf_lot_decode((str_t){lot, n}, &o), ST_INVALID);
-		px_free(PX(aw_lot_open_t), &o);
+		o = (wire_lot_open_t){0};
+		ck_assert_int_eq(platform_lot_decode((str_t){lot, n}, &o), STATUS_INVALID);
+		wire_free(XDR_PROC(wire_lot_open_t), &o);
 	}
 }
 END_TEST
@@ -349,22 +351,22 @@
 	};
 
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-		aw_lot_open_t o = {0};
+		wire_lot_open_t o = {0};
 
-		ck_assert_int_eq(pf_lot_decode(str_c(bad[i]), &o), ST_INVALID);
-		px_free(PX(aw_lot_open_t), &o);
+		ck_assert_int_eq(platform_lot_decode(str_c(bad[i]), &o), STATUS_INVALID);
+		wire_free(XDR_PROC(wire_lot_open_t), &o);
 	}
 }
 END_TEST
 
 START_TEST(results_are_encoded)
 {
-	lw_result_t v[] = {{px_bytes(STR("e5")), false, px_bytes(STR("a\nb\"c"))},
-			   {px_bytes(STR("e6")), true, px_bytes(STR(""))}};
-	lw_reply_t r = {.total = 40, .results = {2, v}};
+	link_result_t v[] = {{wire_bytes(STR("e5")), false, wire_bytes(STR("a\nb\"c"))},
+			     {wire_bytes(STR("e6")), true, wire_bytes(STR(""))}};
+	link_reply_t r = {.total = 40, .results = {2, v}};
 	AUTO_BUF b = {0};
 
-	pf_results_encode(&b, &r, 12);
+	platform_lot_results_encode(&b, &r, 12);
 	ck_assert_str_eq(
 		b.p, "{\"total\":40,\"nextToken\":14,\"results\":[{\"id\":\"e5\",\"state\":"
 		     "\"completed\",\"output\":\"a\\nb\\\"c\"},{\"id\":\"e6\",\"state\":\"dead\","
@@ -377,23 +379,23 @@
 	static const struct {
 		const char *method;
 		const char *target;
-		pf_op_kind_t kind;
+		platform_op_kind_t kind;
 		const char *node;
 	} calls[] = {
-		{"POST", "/config/put", PF_OP_PUT, NULL},
-		{"GET", "/config/get", PF_OP_GET, NULL},
-		{"GET", "/config/put", PF_OP_OTHER, NULL},
-		{"POST", "/retire/store-a-1/start", PF_OP_RETIRE, "store-a-1"},
-		{"GET", "/retire/store-a-1/get", PF_OP_RETIRED, "store-a-1"},
-		{"POST", "/retire//start", PF_OP_OTHER, NULL},
-		{"GET", "/resolve?name=n&zone=za", PF_OP_ADDRESSES, NULL},
+		{"POST", "/config/put", PLATFORM_OP_CONFIG_PUT, NULL},
+		{"GET", "/config/get", PLATFORM_OP_CONFIG_GET, NULL},
+		{"GET", "/config/put", PLATFORM_OP_OTHER, NULL},
+		{"POST", "/retire/store-a-1/start", PLATFORM_OP_RETIRE, "store-a-1"},
+		{"GET", "/retire/store-a-1/get", PLATFORM_OP_RETIRE_STATUS, "store-a-1"},
+		{"POST", "/retire//start", PLATFORM_OP_OTHER, NULL},
+		{"GET", "/resolve?name=n&zone=za", PLATFORM_OP_ADDRESSES, NULL},
 	};
 
 	for (size_t i = 0; i < sizeof(calls) / sizeof(calls[0]); i++) {
-		hp_head_t h = head(calls[i].method, calls[i].target, NULL, 0);
-		pf_op_t op;
+		http_head_t h = head(calls[i].method, calls[i].target, NULL, 0);
+		platform_op_t op;
 
-		pf_op_decode(&h, &op);
+		platform_op_decode(&h, &op);
 		ck_assert_int_eq(op.kind, calls[i].kind);
 		if (calls[i].node)
 			ck_assert(str_eq(op.node, str_c(calls[i].node)));
@@ -406,14 +408,14 @@
 	const str_t addrs[] = {STR("10.1.0.13:8161"), STR("10.1.0.14:8161")};
 	AUTO_BUF b = {0};
 
-	pf_addresses_encode(&b, addrs, 2, 2500);
+	platform_addresses_encode(&b, addrs, 2, 2500);
 	ck_assert_str_eq(b.p,
 			 "{\"addresses\":[\"10.1.0.13:8161\",\"10.1.0.14:8161\"],\"ttlS\":2.5}");
 	b.n = 0;
-	pf_retired_encode(&b, true);
+	platform_retire_status_encode(&b, true);
 	ck_assert_str_eq(b.p, "{\"state\":\"completed\"}");
 	b.n = 0;
-	pf_retry_after(&b, 1205);
+	platform_add_retry_after(&b, 1205);
 	ck_assert_str_eq(b.p, "Retry-After: 1.205\r\n");
 }
 END_TEST
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -1,10 +1,10 @@
 #include <stdio.h>
 #include <stdlib.h>
-#include "base/rd.h"
+#include "base/prng.h"
 #include "base/str.h"
-#include "policy/pk.h"
-#include "policy/rt.h"
-#include "policy/tb.h"
+#include "policy/balance.h"
+#include "policy/retry.h"
+#include "policy/bucket.h"
 #include "suite_kit.h"
 
 #define ROUNDS 20000
@@ -18,70 +18,70 @@
 
 START_TEST(bucket_gives_its_burst_then_its_rate)
 {
-	tb_t t = {0};
+	bucket_t t = {0};
 	int64_t after;
 	int taken = 0;
 
 	for (int i = 0; i < 5; i++)
-		ck_assert(tb_take(&t, 10, 5, 1000, &after));
-	ck_assert(!tb_take(&t, 10, 5, 1000, &after));
+		ck_assert(bucket_take(&t, 10, 5, 1000, &after));
+	ck_assert(!bucket_take(&t, 10, 5, 1000, &after));
 	ck_assert_int_eq(after, 100);
-	ck_assert(!tb_take(&t, 10, 5, 1099, &after));
+	ck_assert(!bucket_take(&t, 10, 5, 1099, &after));
 	ck_assert_int_eq(after, 1);
-	ck_assert(tb_take(&t, 10, 5, 1100, &after));
+	ck_assert(bucket_take(&t, 10, 5, 1100, &after));
 	for (int64_t now = 1100; now < 11100; now++)
-		taken += tb_take(&t, 10, 5, now, &after);
+		taken += bucket_take(&t, 10, 5, now, &after);
 	ck_assert_int_eq(taken, 99);
 }
 END_TEST
 
 START_TEST(bucket_stays_within_its_burst_after_a_long_pause)
 {
-	tb_t t = {0};
+	bucket_t t = {0};
 	int64_t after;
 	int taken = 0;
 
-	ck_assert(tb_take(&t, 1000000, 3, 1, &after));
-	while (tb_take(&t, 1000000, 3, INT64_MAX / 2, &after))
+	ck_assert(bucket_take(&t, 1000000, 3, 1, &after));
+	while (bucket_take(&t, 1000000, 3, INT64_MAX / 2, &after))
 		taken++;
 	ck_assert_int_eq(taken, 3);
-	ck_assert(!tb_take(&t, 0, 3, INT64_MAX / 2, &after));
+	ck_assert(!bucket_take(&t, 0, 3, INT64_MAX / 2, &after));
 	ck_assert_int_eq(after, INT64_MAX);
 }
 END_TEST
 
 START_TEST(bucket_map_drops_the_idlest_and_stays_bounded)
 {
-	tb_map_t *m = tb_map_new(100);
+	bucket_map_t *m = bucket_map_new(100);
 	size_t full;
 	int64_t after;
 
 	for (uint64_t c = 1; c <= 100; c++)
-		ck_assert(tb_take(tb_map_get(m, c, 10), 1, 1, 10, &after));
-	full = tb_map_bytes(m);
-	ck_assert(!tb_take(tb_map_get(m, 1, 10), 1, 1, 10, &after));
+		ck_assert(bucket_take(bucket_map_get(m, c, 10), 1, 1, 10, &after));
+	full = bucket_map_bytes(m);
+	ck_assert(!bucket_take(bucket_map_get(m, 1, 10), 1, 1, 10, &after));
 	for (uint64_t c = 101; c <= 150; c++)
-		tb_map_get(m, c, 10);
+		bucket_map_get(m, c, 10);
 	/* 1 was used again, so it is still known as empty; 2 was dropped and starts full. */
-	ck_assert(!tb_take(tb_map_get(m, 1, 10), 1, 1, 10, &after));
-	ck_assert(tb_take(tb_map_get(m, 2, 10), 1, 1, 10, &after));
-	ck_assert_uint_eq(tb_map_bytes(m), full);
-	tb_map_free(m);
+	ck_assert(!bucket_take(bucket_map_get(m, 1, 10), 1, 1, 10, &after));
+	ck_assert(bucket_take(bucket_map_get(m, 2, 10), 1, 1, 10, &after));
+	ck_assert_uint_eq(bucket_map_bytes(m), full);
+	bucket_map_free(m);
 }
 END_TEST
 
 START_TEST(retries_stay_a_share_of_first_tries)
 {
-	rt_budget_t b;
+	retry_budget_t b;
 	int taken = 0;
 
-	rt_budget_init(&b, 10);
-	while (rt_budget_take(&b))
+	retry_budget_init(&b, 10);
+	while (retry_budget_withdraw(&b))
 		taken++;
 	ck_assert_int_eq(taken, 10); /* the floor */
 	for (int i = 0; i < 1000; i++) {
-		rt_budget_first(&b);
-		taken += rt_budget_take(&b);
+		retry_budget_deposit(&b);
+		taken += retry_budget_withdraw(&b);
 	}
 	ck_assert_int_eq(taken, 10 + 100);
 }
@@ -89,85 +89,85 @@
 
 START_TEST(only_what_surely_did_not_run_or_may_repeat_is_retried)
 {
-	ck_assert(rt_may_retry(VERDICT_NOT_RUN, false));
-	ck_assert(rt_may_retry(VERDICT_NOT_RUN, true));
-	ck_assert(!rt_may_retry(VERDICT_MAY_HAVE_RUN, false));
-	ck_assert(rt_may_retry(VERDICT_MAY_HAVE_RUN, true));
-	ck_assert(!rt_may_retry(VERDICT_RAN, false));
-	ck_assert(!rt_may_retry(VERDICT_RAN, true));
+	ck_assert(retry_allowed(VERDICT_NOT_RUN, false));
+	ck_assert(retry_allowed(VERDICT_NOT_RUN, true));
+	ck_assert(!retry_allowed(VERDICT_MAY_HAVE_RUN, false));
+	ck_assert(retry_allowed(VERDICT_MAY_HAVE_RUN, true));
+	ck_assert(!retry_allowed(VERDICT_RAN, false));
+	ck_assert(!retry_allowed(VERDICT_RAN, true));
 }
 END_TEST
 
 START_TEST(breaker_lets_one_probe_through_after_a_doubling_pause)
 {
-	rt_breaker_t b;
+	retry_breaker_t b;
 	int64_t now = 1000;
 	int64_t pause;
 	int64_t last = 0;
 
-	rt_breaker_init(&b);
-	rt_breaker_fail(&b, now);
-	rt_breaker_ok(&b);
-	rt_breaker_fail(&b, now);
-	rt_breaker_fail(&b, now);
-	ck_assert(rt_breaker_allow(&b, now)); /* not three in a row */
-	rt_breaker_fail(&b, now);
+	retry_breaker_init(&b);
+	retry_breaker_failure(&b, now);
+	retry_breaker_success(&b);
+	retry_breaker_failure(&b, now);
+	retry_breaker_failure(&b, now);
+	ck_assert(retry_breaker_allow(&b, now)); /* not three in a row */
+	retry_breaker_failure(&b, now);
 	for (int i = 0; i < 3; i++) {
-		for (pause = 0; !rt_breaker_allow(&b, now + pause); pause++)
+		for (pause = 0; !retry_breaker_allow(&b, now + pause); pause++)
 			ck_assert_int_lt(pause, 60000);
 		now += pause;
-		ck_assert(!rt_breaker_allow(&b, now)); /* the probe is out */
+		ck_assert(!retry_breaker_allow(&b, now)); /* the probe is out */
 		if (last)
 			ck_assert_int_eq(pause, 2 * last);
 		last = pause;
-		rt_breaker_fail(&b, now);
+		retry_breaker_failure(&b, now);
 	}
-	ck_assert(rt_breaker_allow(&b, now + 4 * last));
-	rt_breaker_ok(&b);
-	ck_assert(rt_breaker_allow(&b, now) && rt_breaker_allow(&b, now));
+	ck_assert(retry_breaker_allow(&b, now + 4 * last));
+	retry_breaker_success(&b);
+	ck_assert(retry_breaker_allow(&b, now) && retry_breaker_allow(&b, now));
 }
 END_TEST
 
-static pk_candidate_t candidate(int free_slots, int queued)
+static balance_candidate_t candidate(int free_slots, int queued)
 {
-	return (pk_candidate_t){.free_slots = free_slots,
-				.queued = queued,
-				.running = 8 - free_slots,
-				.slots = 8,
-				.same_zone = true,
-				.owned_here = true,
-				.usable = true,
-				.reported = 1};
+	return (balance_candidate_t){.free_slots = free_slots,
+				     .queued = queued,
+				     .running = 8 - free_slots,
+				     .slots = 8,
+				     .same_zone = true,
+				     .owned_here = true,
+				     .usable = true,
+				     .reported_at = 1};
 }
 
 START_TEST(pick_prefers_room_zone_and_prefix)
 {
-	pk_candidate_t c[2] = {candidate(4, 0), candidate(2, 0)};
+	balance_candidate_t c[2] = {candidate(4, 0), candidate(2, 0)};
 
-	ck_assert_int_eq(pk_pick(c, 2, PK_TWO_CHOICES, 7, 1), 0);
-	c[0].sent_since = 3; /* sent by itself since the report */
-	ck_assert_int_eq(pk_pick(c, 2, PK_TWO_CHOICES, 7, 1), 1);
+	ck_assert_int_eq(balance_pick(c, 2, BALANCE_TWO_CHOICES, 7, 1), 0);
+	c[0].sent_since_report = 3; /* sent by itself since the report */
+	ck_assert_int_eq(balance_pick(c, 2, BALANCE_TWO_CHOICES, 7, 1), 1);
 	c[0] = c[1];
 	c[0].same_zone = false;
-	ck_assert_int_eq(pk_pick(c, 2, PK_LEAST_LOADED, 7, 1), 1);
+	ck_assert_int_eq(balance_pick(c, 2, BALANCE_LEAST_LOADED, 7, 1), 1);
 	c[0].same_zone = true;
 	c[0].prefix_known = true;
-	ck_assert_int_eq(pk_pick(c, 2, PK_LEAST_LOADED, 7, 1), 0);
+	ck_assert_int_eq(balance_pick(c, 2, BALANCE_LEAST_LOADED, 7, 1), 0);
 	c[0].free_slots = 0; /* a known prefix doesn't outweigh a queue */
 	c[0].queued = 2;
-	ck_assert_int_eq(pk_pick(c, 2, PK_LEAST_LOADED, 7, 1), 1);
+	ck_assert_int_eq(balance_pick(c, 2, BALANCE_LEAST_LOADED, 7, 1), 1);
 	c[1].usable = false;
-	ck_assert_int_eq(pk_pick(c, 2, PK_TWO_CHOICES, 7, 1), 0);
+	ck_assert_int_eq(balance_pick(c, 2, BALANCE_TWO_CHOICES, 7, 1), 0);
 	c[0].usable = false;
-	ck_assert_int_eq(pk_pick(c, 2, PK_TWO_CHOICES, 7, 1), -1);
-	ck_assert_int_eq(pk_pick(c, 0, PK_RANDOM, 7, 1), -1);
+	ck_assert_int_eq(balance_pick(c, 2, BALANCE_TWO_CHOICES, 7, 1), -1);
+	ck_assert_int_eq(balance_pick(c, 0, BALANCE_RANDOM, 7, 1), -1);
 }
 END_TEST
 
 START_TEST(pick_spreads_and_never_takes_an_unusable_one)
 {
 	uint64_t rnd = seed();
-	pk_candidate_t c[18];
+	balance_candidate_t c[18];
 	int hits[18] = {0};
 
 	for (int i = 0; i < 18; i++) {
@@ -175,7 +175,8 @@
 		c[i].usable = i % 3 != 0;
 	}
 	for (int i = 0; i < ROUNDS; i++) {
-		int at = pk_pick(c, 18, i % 3 ? PK_TWO_CHOICES : PK_RANDOM, rd_next(&rnd), 1);
+		int at = balance_pick(c, 18, i % 3 ? BALANCE_TWO_CHOICES : BALANCE_RANDOM,
+				      prng_next(&rnd), 1);
 
 		ck_assert_int_ge(at, 0);
 		ck_assert(c[at].usable);
--- a/tests/unit/test_raft.c
+++ b/tests/unit/test_raft.c
@@ -25,21 +25,21 @@
 static void tick(sim_node_t *n, unsigned ticks)
 {
 	for (unsigned i = 0; i < ticks; i++)
-		rf_tick(n->rf);
+		raft_tick(n->rf);
 }
 
-static rf_view_t view(const sim_node_t *n)
+static raft_status_t view(const sim_node_t *n)
 {
-	rf_view_t v;
+	raft_status_t v;
 
-	rf_view(n->rf, &v);
+	raft_get_status(n->rf, &v);
 	return v;
 }
 
 static sim_node_t *leader(void)
 {
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		if (s->nodes[i].rf && rf_role(s->nodes[i].rf) == RF_LEADER)
+		if (s->nodes[i].rf && raft_role(s->nodes[i].rf) == RAFT_LEADER)
 			return &s->nodes[i];
 	}
 	return NULL;
@@ -50,14 +50,14 @@
 {
 	tick(&s->nodes[slot], 2 * ELECTION_TICKS);
 	sim_settle(s);
-	ck_assert_int_eq(rf_role(s->nodes[slot].rf), RF_LEADER);
+	ck_assert_int_eq(raft_role(s->nodes[slot].rf), RAFT_LEADER);
 	return &s->nodes[slot];
 }
 
 static uint64_t propose(sim_node_t *n)
 {
 	sim_cmd_t cmd = {.op = ++s->next_op};
-	uint64_t index = rf_propose(n->rf, (str_t){(const char *)&cmd, sizeof(cmd)});
+	uint64_t index = raft_propose(n->rf, (str_t){(const char *)&cmd, sizeof(cmd)});
 
 	ck_assert_uint_ne(index, 0);
 	sim_call_begin(s, n, false, cmd.op, index, 0);
@@ -112,16 +112,16 @@
 {
 	sim_node_t *l = elect(0);
 	uint64_t term = view(l).term;
-	rf_msg_t vote = {.type = RF_VOTE,
-			 .from = s->nodes[1].id,
-			 .to = s->nodes[2].id,
-			 .term = term + 1,
-			 .index = 100,
-			 .log_term = term};
+	raft_msg_t vote = {.type = RAFT_VOTE,
+			   .from = s->nodes[1].id,
+			   .to = s->nodes[2].id,
+			   .term = term + 1,
+			   .index = 100,
+			   .log_term = term};
 
 	tick(&s->nodes[1], 2 * ELECTION_TICKS);
 	sim_settle(s);
-	rf_receive(s->nodes[2].rf, &vote);
+	raft_receive(s->nodes[2].rf, &vote);
 	sim_settle(s);
 	ck_assert_uint_eq(view(&s->nodes[2]).term, term);
 	ck_assert_ptr_eq(leader(), l);
@@ -134,27 +134,27 @@
 
 	l->island = 1;
 	tick(l, ELECTION_TICKS + 1);
-	ck_assert_int_ne(rf_role(l->rf), RF_LEADER);
+	ck_assert_int_ne(raft_role(l->rf), RAFT_LEADER);
 }
 END_TEST
 
 START_TEST(learner_is_promoted_only_when_synced)
 {
 	sim_node_t *l = elect(0);
-	gr_peer_t p = {.id = s->nodes[4].id};
+	group_peer_t p = {.id = s->nodes[4].id};
 	uint64_t index;
 
 	propose(l);
 	sim_settle(s);
 	s->nodes[4].island = 1;
-	ck_assert_int_eq(rf_add_learner(l->rf, &p, &index), ST_OK);
+	ck_assert_int_eq(raft_add_learner(l->rf, &p, &index), STATUS_OK);
 	sim_settle(s);
 	ck_assert_uint_ge(view(l).commit, index);
-	ck_assert_int_eq(rf_promote(l->rf, p.id, &index), ST_LIMIT);
+	ck_assert_int_eq(raft_promote(l->rf, p.id, &index), STATUS_LIMIT);
 	s->nodes[4].island = 0;
 	tick(l, 2);
 	sim_settle(s);
-	ck_assert_int_eq(rf_promote(l->rf, p.id, &index), ST_OK);
+	ck_assert_int_eq(raft_promote(l->rf, p.id, &index), STATUS_OK);
 	sim_settle(s);
 	ck_assert_uint_eq(view(&s->nodes[4]).last, view(l).last);
 }
@@ -163,10 +163,10 @@
 START_TEST(vote_leaves_only_after_its_sync)
 {
 	sim_node_t *n = &s->nodes[2];
-	rf_msg_t vote = {
-		.type = RF_VOTE, .from = s->nodes[1].id, .to = n->id, .term = 5, .index = 1};
+	raft_msg_t vote = {
+		.type = RAFT_VOTE, .from = s->nodes[1].id, .to = n->id, .term = 5, .index = 1};
 
-	rf_receive(n->rf, &vote);
+	raft_receive(n->rf, &vote);
 	ck_assert_uint_eq(count_packets(2), 0);
 	sim_node_sync(n, SIZE_MAX);
 	ck_assert_uint_eq(count_packets(2), 1);
@@ -179,7 +179,7 @@
 	sim_node_t *l = elect(0);
 	uint64_t index = propose(l);
 
-	rf_flush(l->rf);
+	raft_flush(l->rf);
 	for (int i = 0; i < 50; i++)
 		sim_deliver(s);
 	ck_assert_uint_lt(view(l).commit, index);
@@ -198,7 +198,7 @@
 	sim_node_t *l = elect(0);
 	uint64_t index = propose(l);
 
-	rf_flush(l->rf);
+	raft_flush(l->rf);
 	while (s->npackets)
 		sim_deliver(s);
 	sim_node_sync(&s->nodes[1], SIZE_MAX);
@@ -221,7 +221,7 @@
 	sim_settle(s);
 	old->island = 1;
 	sim_call_begin(s, old, true, 1000, 0, 0);
-	ck_assert(rf_read(old->rf, 1000));
+	ck_assert(raft_read_index(old->rf, 1000));
 	sim_settle(s);
 	ck_assert_uint_eq(res.reads, 0);
 	tick(&s->nodes[2], ELECTION_TICKS);
@@ -234,7 +234,7 @@
 	ck_assert_uint_eq(res.reads, 0);
 	ck_assert_uint_eq(s->ncalls, 0); /* it was told that leadership was lost */
 	sim_call_begin(s, now, true, 1001, 0, 0);
-	ck_assert(rf_read(now->rf, 1001));
+	ck_assert(raft_read_index(now->rf, 1001));
 	sim_settle(s);
 	ck_assert_uint_eq(res.reads, 1);
 }
@@ -243,11 +243,11 @@
 START_TEST(replaced_disk_is_not_the_old_voter)
 {
 	sim_node_t *l = elect(0);
-	rf_msg_t vote = {.type = RF_VOTE, .from = l->id, .to = s->nodes[1].id, .term = 50};
+	raft_msg_t vote = {.type = RAFT_VOTE, .from = l->id, .to = s->nodes[1].id, .term = 50};
 	uint64_t index;
 
 	sim_lose_disk(s, &s->nodes[1]);
-	rf_receive(s->nodes[1].rf, &vote); /* for the id that the address had before */
+	raft_receive(s->nodes[1].rf, &vote); /* for the id that the address had before */
 	ck_assert_uint_eq(view(&s->nodes[1]).term, 0);
 	sim_node_stop(&s->nodes[2]);
 	index = propose(l);
@@ -258,7 +258,7 @@
 	ck_assert_uint_lt(view(l).commit, index);
 	ck_assert_uint_eq(view(&s->nodes[1]).last, 0);
 	tick(l, ELECTION_TICKS);
-	ck_assert_int_ne(rf_role(l->rf), RF_LEADER);
+	ck_assert_int_ne(raft_role(l->rf), RAFT_LEADER);
 }
 END_TEST
 
@@ -267,8 +267,8 @@
 	sim_node_t *l = elect(0);
 
 	propose(l);
-	ck_assert(rf_transfer(l->rf));
-	ck_assert_uint_eq(rf_propose(l->rf, STR("x")), 0);
+	ck_assert(raft_transfer_leadership(l->rf));
+	ck_assert_uint_eq(raft_propose(l->rf, STR("x")), 0);
 	sim_settle(s);
 	ck_assert_ptr_nonnull(leader());
 	ck_assert_ptr_ne(leader(), l);
@@ -279,7 +279,7 @@
 START_TEST(learner_catches_up_by_a_snapshot)
 {
 	sim_node_t *l = elect(0);
-	gr_peer_t p = {.id = s->nodes[4].id};
+	group_peer_t p = {.id = s->nodes[4].id};
 	uint64_t index;
 
 	for (int i = 0; i < 2; i++) {
@@ -288,7 +288,7 @@
 		sim_node_snapshot(l);
 	}
 	ck_assert_uint_gt(view(l).base, 1);
-	ck_assert_int_eq(rf_add_learner(l->rf, &p, &index), ST_OK);
+	ck_assert_int_eq(raft_add_learner(l->rf, &p, &index), STATUS_OK);
 	for (int i = 0; i < 4; i++) {
 		sim_settle(s);
 		tick(l, 1);
@@ -304,26 +304,26 @@
 START_TEST(members_change_one_at_a_time)
 {
 	sim_node_t *l = elect(0);
-	gr_peer_t first = {.id = s->nodes[4].id};
-	gr_peer_t second = {.id = s->nodes[5].id};
+	group_peer_t first = {.id = s->nodes[4].id};
+	group_peer_t second = {.id = s->nodes[5].id};
 	uint64_t index;
 
-	ck_assert_int_eq(rf_add_learner(l->rf, &first, &index), ST_OK);
-	ck_assert_int_eq(rf_add_learner(l->rf, &second, &index), ST_LIMIT);
+	ck_assert_int_eq(raft_add_learner(l->rf, &first, &index), STATUS_OK);
+	ck_assert_int_eq(raft_add_learner(l->rf, &second, &index), STATUS_LIMIT);
 	sim_settle(s);
-	ck_assert_int_eq(rf_add_learner(l->rf, &second, &index), ST_OK);
+	ck_assert_int_eq(raft_add_learner(l->rf, &second, &index), STATUS_OK);
 	sim_settle(s);
 	tick(l, 2);
 	sim_settle(s);
 	/* A new leader first commits an entry of its own term. */
-	ck_assert(rf_transfer(l->rf));
-	for (unsigned i = 0; rf_role(l->rf) == RF_LEADER || !leader(); i++) {
+	ck_assert(raft_transfer_leadership(l->rf));
+	for (unsigned i = 0; raft_role(l->rf) == RAFT_LEADER || !leader(); i++) {
 		sim_deliver(s);
 		sim_node_sync(&s->nodes[i % 3], SIZE_MAX);
 	}
-	ck_assert_int_eq(rf_remove(leader()->rf, second.id, &index), ST_LIMIT);
+	ck_assert_int_eq(raft_remove(leader()->rf, second.id, &index), STATUS_LIMIT);
 	sim_settle(s);
-	ck_assert_int_eq(rf_remove(leader()->rf, second.id, &index), ST_OK);
+	ck_assert_int_eq(raft_remove(leader()->rf, second.id, &index), STATUS_OK);
 	sim_settle(s);
 }
 END_TEST
@@ -338,8 +338,8 @@
 		tick(l, 1);
 		sim_settle(s);
 	}
-	ck_assert_int_eq(rf_remove(l->rf, s->nodes[2].id, &index), ST_LIMIT);
-	ck_assert_int_eq(rf_remove(l->rf, s->ids[1].id, &index), ST_OK);
+	ck_assert_int_eq(raft_remove(l->rf, s->nodes[2].id, &index), STATUS_LIMIT);
+	ck_assert_int_eq(raft_remove(l->rf, s->ids[1].id, &index), STATUS_OK);
 	sim_settle(s);
 	ck_assert_uint_ge(view(l).commit, index);
 }
@@ -350,9 +350,9 @@
 	sim_node_t *l = elect(0);
 	uint64_t index;
 
-	ck_assert_int_eq(rf_remove(l->rf, l->id, &index), ST_OK);
+	ck_assert_int_eq(raft_remove(l->rf, l->id, &index), STATUS_OK);
 	sim_settle(s);
-	ck_assert_int_ne(rf_role(l->rf), RF_LEADER);
+	ck_assert_int_ne(raft_role(l->rf), RAFT_LEADER);
 	tick(&s->nodes[2], ELECTION_TICKS);
 	elect(1);
 }
@@ -362,27 +362,28 @@
 {
 	sim_node_t *l = elect(0);
 	uint64_t old = propose(l);
-	rf_msg_t ack = {.type = RF_APPEND_RESP, .from = s->nodes[1].id, .to = l->id, .index = old};
+	raft_msg_t ack = {
+		.type = RAFT_APPEND_RESP, .from = s->nodes[1].id, .to = l->id, .index = old};
 
 	l->island = 1;
 	sim_settle(s);
-	rf_step_down(l->rf);
+	raft_step_down(l->rf);
 	tick(&s->nodes[1], ELECTION_TICKS);
 	tick(&s->nodes[2], ELECTION_TICKS);
 	drop_packets();
 	l->island = 0;
 	tick(l, 2 * ELECTION_TICKS);
-	while (rf_role(l->rf) != RF_LEADER) {
+	while (raft_role(l->rf) != RAFT_LEADER) {
 		sim_deliver(s);
 		for (int i = 0; i < 3; i++)
 			sim_node_sync(&s->nodes[i], SIZE_MAX);
 	}
 	ack.term = view(l).term;
 	ack.index = old;
-	rf_receive(l->rf, &ack);
+	raft_receive(l->rf, &ack);
 	ck_assert_uint_lt(view(l).commit, old);
 	ack.index = view(l).last;
-	rf_receive(l->rf, &ack);
+	raft_receive(l->rf, &ack);
 	sim_node_sync(l, SIZE_MAX);
 	ck_assert_uint_gt(view(l).commit, old);
 }
@@ -393,7 +394,7 @@
 	sim_node_t *l = elect(0);
 	sim_node_t *f = &s->nodes[1];
 	uint64_t first = propose(l);
-	rf_msg_t snap = {.type = RF_SNAP, .from = l->id, .to = f->id, .term = view(l).term};
+	raft_msg_t snap = {.type = RAFT_SNAPSHOT, .from = l->id, .to = f->id, .term = view(l).term};
 	uint64_t last;
 
 	last = propose(l);
@@ -401,7 +402,7 @@
 	ck_assert_uint_lt(view(f).commit, first);
 	snap.index = first;
 	snap.log_term = view(l).term;
-	rf_receive(f->rf, &snap);
+	raft_receive(f->rf, &snap);
 	ck_assert_uint_eq(view(f).last, last);
 	ck_assert_uint_eq(view(f).commit, first);
 	sim_settle(s);
@@ -413,11 +414,11 @@
 	sim_node_t *l = elect(0);
 	uint64_t index;
 
-	ck_assert_int_eq(rf_remove(l->rf, s->nodes[2].id, &index), ST_OK);
+	ck_assert_int_eq(raft_remove(l->rf, s->nodes[2].id, &index), STATUS_OK);
 	sim_settle(s);
 	sim_node_stop(&s->nodes[2]);
 	l->island = 1;
-	ck_assert_int_eq(rf_remove(l->rf, l->id, &index), ST_OK);
+	ck_assert_int_eq(raft_remove(l->rf, l->id, &index), STATUS_OK);
 	sim_settle(s);
 	tick(l, ELECTION_TICKS + 1);
 	tick(&s->nodes[1], ELECTION_TICKS);
@@ -428,7 +429,7 @@
 		sim_settle(s);
 	}
 	ck_assert_ptr_eq(leader(), &s->nodes[1]);
-	ck_assert_uint_eq(view(&s->nodes[1]).conf.n, 1);
+	ck_assert_uint_eq(view(&s->nodes[1]).members.n, 1);
 }
 END_TEST
 
--- a/tests/unit/test_rpc.c
+++ b/tests/unit/test_rpc.c
@@ -5,10 +5,10 @@
 #include <stdlib.h>
 #include <sys/socket.h>
 #include <unistd.h>
-#include "base/mx.h"
-#include "base/cf.h"
-#include "base/rp.h"
-#include "proto/px.h"
+#include "base/metric.h"
+#include "base/toml.h"
+#include "base/rpc.h"
+#include "proto/wire.h"
 #include "suite_kit.h"
 
 #define ADDR	"127.0.10.1:7311"
@@ -16,53 +16,54 @@
 
 static void on_status(void *ctx, const void *arg, void *res)
 {
-	aw_text_t *t = res;
+	wire_text_t *t = res;
 
-	t->text = px_copy(STR("up"));
+	t->text = wire_copy(STR("up"));
 }
 
 static void on_events(void *ctx, const void *arg, void *res)
 {
-	const aw_events_arg_t *a = arg;
-	aw_text_t *t = res;
+	const wire_events_arg_t *a = arg;
+	wire_text_t *t = res;
 
-	clk_sleep_ms(20);
-	t->text = px_copy(px_str(a->needle));
+	clock_sleep_ms(20);
+	t->text = wire_copy(wire_str(a->needle));
 }
 
-static const rp_proc_t procs[] = {
-	{AUBURN_STATUS, rp_xdr_void, 1, PX(aw_text_t), sizeof(aw_text_t), on_status},
-	{AUBURN_EVENTS, PX(aw_events_arg_t), sizeof(aw_events_arg_t), PX(aw_text_t),
-	 sizeof(aw_text_t), on_events},
+static const rpc_proc_t procs[] = {
+	{AUBURN_STATUS, rpc_xdr_void, 1, XDR_PROC(wire_text_t), sizeof(wire_text_t), on_status},
+	{AUBURN_EVENTS, XDR_PROC(wire_events_arg_t), sizeof(wire_events_arg_t),
+	 XDR_PROC(wire_text_t), sizeof(wire_text_t), on_events},
 	{0},
 };
 
 static void serve(void)
 {
-	rp_server_options_t o = {ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1, procs, NULL};
+	rpc_server_options_t o = {ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1, procs, NULL};
 
-	ck_assert_msg(rp_serve(&o) == ST_OK, "%s", st_message());
+	ck_assert_msg(rpc_serve(&o) == STATUS_OK, "%s", status_message());
 }
 
 static void *client_thread(void *p)
 {
-	rp_client_t *c = rp_client_new(ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1);
+	rpc_client_t *c = rpc_client_new(ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1);
 	long *good = p;
 
 	for (int i = 0; i < 10; i++) {
 		char text[32];
-		aw_events_arg_t arg = {{0}, 1};
-		aw_text_t res = {0};
+		wire_events_arg_t arg = {{0}, 1};
+		wire_text_t res = {0};
 
 		snprintf(text, sizeof(text), "%p-%d", p, i);
-		arg.needle = px_bytes(str_c(text));
-		if (rp_call(c, AUBURN_EVENTS, PX(aw_events_arg_t), &arg, PX(aw_text_t), &res,
-			    clk_now_ms() + CALL_MS) == ST_OK &&
-		    str_eq(px_str(res.text), str_c(text)))
+		arg.needle = wire_bytes(str_c(text));
+		if (rpc_client_call(c, AUBURN_EVENTS, XDR_PROC(wire_events_arg_t), &arg,
+				    XDR_PROC(wire_text_t), &res,
+				    clock_now_ms() + CALL_MS) == STATUS_OK &&
+		    str_eq(wire_str(res.text), str_c(text)))
 			++*good;
-		px_free(PX(aw_text_t), &res);
+		wire_free(XDR_PROC(wire_text_t), &res);
 	}
-	rp_client_free(c);
+	rpc_client_free(c);
 	return NULL;
 }
 
@@ -84,8 +85,8 @@
 START_TEST(frozen_peer_stalls_nobody)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(7311)};
-	rp_client_t *c = rp_client_new(ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1);
-	aw_text_t res = {0};
+	rpc_client_t *c = rpc_client_new(ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1);
+	wire_text_t res = {0};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
 	serve();
@@ -96,51 +97,51 @@
 			       "half",
 			       8),
 			 8);
-	ck_assert_int_eq(rp_call(c, AUBURN_STATUS, rp_xdr_void, NULL, PX(aw_text_t), &res,
-				 clk_now_ms() + CALL_MS),
-			 ST_OK);
-	px_free(PX(aw_text_t), &res);
+	ck_assert_int_eq(rpc_client_call(c, AUBURN_STATUS, rpc_xdr_void, NULL,
+					 XDR_PROC(wire_text_t), &res, clock_now_ms() + CALL_MS),
+			 STATUS_OK);
+	wire_free(XDR_PROC(wire_text_t), &res);
 	close(fd);
-	rp_client_free(c);
+	rpc_client_free(c);
 }
 END_TEST
 
 START_TEST(unreached_is_told_from_timeout)
 {
-	rp_client_t *c = rp_client_new("127.0.10.1:7312", AUBURN_CONTROL, AUBURN_CONTROL_V1);
-	aw_text_t res = {0};
+	rpc_client_t *c = rpc_client_new("127.0.10.1:7312", AUBURN_CONTROL, AUBURN_CONTROL_V1);
+	wire_text_t res = {0};
 
-	ck_assert_int_eq(rp_call(c, AUBURN_STATUS, rp_xdr_void, NULL, PX(aw_text_t), &res,
-				 clk_now_ms() + CALL_MS),
-			 ST_UNAVAILABLE);
-	rp_client_free(c);
+	ck_assert_int_eq(rpc_client_call(c, AUBURN_STATUS, rpc_xdr_void, NULL,
+					 XDR_PROC(wire_text_t), &res, clock_now_ms() + CALL_MS),
+			 STATUS_UNAVAILABLE);
+	rpc_client_free(c);
 }
 END_TEST
 
 START_TEST(histogram_quantiles_are_close)
 {
-	mx_t *m = mx_get(MX_HISTOGRAM, "t_us", NULL);
+	metric_t *m = metric_get(METRIC_HISTOGRAM, "t_us", NULL);
 
 	for (int i = 1; i <= 10000; i++)
-		mx_record(m, i);
-	ck_assert_int_ge(mx_quantile(m, 0.99), 9900 * 96 / 100);
-	ck_assert_int_le(mx_quantile(m, 0.99), 9900 * 104 / 100);
+		metric_record(m, i);
+	ck_assert_int_ge(metric_quantile(m, 0.99), 9900 * 96 / 100);
+	ck_assert_int_le(metric_quantile(m, 0.99), 9900 * 104 / 100);
 }
 END_TEST
 
 START_TEST(settings_name_line_and_key)
 {
-	AUTO_CF *c = NULL;
+	AUTO_TOML *c = NULL;
 	int64_t port = 0;
-	cf_key_t keys[] = {{"port", CF_INT, true, 1, 65535, &port}, {0}};
-
-	ck_assert_int_eq(cf_parse(STR("port = 70000\n"), "s.toml", &c), ST_OK);
-	ck_assert_int_eq(cf_read(c, cf_root(c), keys, NULL), ST_INVALID);
-	ck_assert_str_eq(st_message(), "s.toml:1: port: it must be 1 to 65535");
-	cf_free(c);
-	ck_assert_int_eq(cf_parse(STR("port = 7\nprot = 7\n"), "s.toml", &c), ST_OK);
-	ck_assert_int_eq(cf_read(c, cf_root(c), keys, NULL), ST_INVALID);
-	ck_assert_str_eq(st_message(), "s.toml:2: prot: unknown key");
+	toml_key_t keys[] = {{"port", TOML_INT, true, 1, 65535, &port}, {0}};
+
+	ck_assert_int_eq(toml_parse(STR("port = 70000\n"), "s.toml", &c), STATUS_OK);
+	ck_assert_int_eq(toml_read(c, toml_root(c), keys, NULL), STATUS_INVALID);
+	ck_assert_str_eq(status_message(), "s.toml:1: port: it must be 1 to 65535");
+	toml_free(c);
+	ck_assert_int_eq(toml_parse(STR("port = 7\nprot = 7\n"), "s.toml", &c), STATUS_OK);
+	ck_assert_int_eq(toml_read(c, toml_root(c), keys, NULL), STATUS_INVALID);
+	ck_assert_str_eq(status_message(), "s.toml:2: prot: unknown key");
 }
 END_TEST
 
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -5,22 +5,22 @@
 #include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
-#include "raft/rs_int.h"
+#include "raft/store_internal.h"
 #include "suite_kit.h"
 
 static char root[64];
 static char dir[96];
-static rs_t *s;
-static rs_state_t st;
+static store_t *s;
+static store_contents_t st;
 
 static status_t open_again(void)
 {
-	rs_options_t o = {.dir = dir, .new_id = 77, .segment_bytes = 4096};
+	store_options_t o = {.dir = dir, .new_id = 77, .segment_bytes = 4096};
 
-	rs_close(s);
-	rs_state_free(&st);
+	store_close(s);
+	store_contents_free(&st);
 	s = NULL;
-	return rs_open(&o, &s, &st);
+	return store_open(&o, &s, &st);
 }
 
 static int remove_one(const char *path, const struct stat *sb, int type, struct FTW *f)
@@ -35,29 +35,29 @@
 	snprintf(root, sizeof(root), "%s/auburn-rs-XXXXXX", tmp ? tmp : "/tmp");
 	ck_assert_ptr_nonnull(mkdtemp(root));
 	snprintf(dir, sizeof(dir), "%s/a/b", root);
-	ck_assert(!rs_exists(dir));
-	ck_assert_int_eq(open_again(), ST_OK);
-	ck_assert(rs_exists(dir));
-	ck_assert(st.fresh);
+	ck_assert(!store_exists(dir));
+	ck_assert_int_eq(open_again(), STATUS_OK);
+	ck_assert(store_exists(dir));
+	ck_assert(st.created);
 }
 
 static void teardown(void)
 {
-	rs_close(s);
-	rs_state_free(&st);
+	store_close(s);
+	store_contents_free(&st);
 	nftw(root, remove_one, 16, FTW_DEPTH | FTW_PHYS);
 }
 
 /* Appends and syncs the entry at index, of this term. */
 static void put(uint64_t index, uint64_t term, str_t data)
 {
-	rf_entry_t e = {.term = term, .kind = RF_COMMAND};
+	raft_entry_t e = {.term = term, .kind = RAFT_ENTRY_COMMAND};
 	uint64_t seq;
 
 	e.data.data_val = (char *)data.p;
 	e.data.data_len = (u_int)data.n;
-	rs_entries(s, index, index, &e, 1);
-	ck_assert_int_eq(rs_sync(s, &seq), ST_OK);
+	store_queue_entries(s, index, index, &e, 1);
+	ck_assert_int_eq(store_sync(s, &seq), STATUS_OK);
 	ck_assert_uint_eq(seq, index);
 }
 
@@ -65,8 +65,8 @@
 {
 	uint64_t seq;
 
-	rs_hard(s, 1, term, vote);
-	ck_assert_int_eq(rs_sync(s, &seq), ST_OK);
+	store_queue_hard_state(s, 1, term, vote);
+	ck_assert_int_eq(store_sync(s, &seq), STATUS_OK);
 }
 
 static void path_of(const char *name, char path[256])
@@ -114,8 +114,8 @@
 	put(1, 1, STR("a"));
 	put(2, 3, STR("bb"));
 	put(2, 3, STR("cc")); /* takes the place of the one before */
-	ck_assert_int_eq(open_again(), ST_OK);
-	ck_assert(!st.fresh);
+	ck_assert_int_eq(open_again(), STATUS_OK);
+	ck_assert(!st.created);
 	ck_assert_uint_eq(st.id, 77);
 	ck_assert_uint_eq(st.term, 3);
 	ck_assert_uint_eq(st.vote, 99);
@@ -132,12 +132,12 @@
 	whole = size_of(SEGMENT);
 	put(2, 1, STR("second"));
 	cut(SEGMENT, size_of(SEGMENT) - 9);
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert_uint_eq(st.nentries, 1);
 	ck_assert_uint_gt(st.cut_bytes, 0);
 	ck_assert_int_eq(size_of(SEGMENT), whole);
 	put(2, 1, STR("again"));
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert_uint_eq(st.nentries, 2);
 }
 END_TEST
@@ -151,10 +151,10 @@
 	at = size_of(SEGMENT);
 	put(2, 1, STR("second"));
 	put(3, 1, STR("third"));
-	flip(SEGMENT, at + (long)sizeof(rs_record_t) + 1);
-	ck_assert_int_eq(open_again(), ST_CORRUPT);
+	flip(SEGMENT, at + (long)sizeof(store_record_t) + 1);
+	ck_assert_int_eq(open_again(), STATUS_CORRUPT);
 	snprintf(want, sizeof(want), SEGMENT ": offset %ld", at);
-	ck_assert_msg(strstr(st_message(), want) != NULL, "%s", st_message());
+	ck_assert_msg(strstr(status_message(), want) != NULL, "%s", status_message());
 }
 END_TEST
 
@@ -165,9 +165,9 @@
 	put(1, 1, STR("first"));
 	at = size_of(SEGMENT);
 	put(2, 1, STR("second"));
-	rs_idle(s);
-	flip(SEGMENT, at + (long)sizeof(rs_record_t) + 1);
-	ck_assert_int_eq(open_again(), ST_CORRUPT);
+	store_write_sync_mark(s);
+	flip(SEGMENT, at + (long)sizeof(store_record_t) + 1);
+	ck_assert_int_eq(open_again(), STATUS_CORRUPT);
 }
 END_TEST
 
@@ -175,8 +175,8 @@
 {
 	put(1, 1, STR("first"));
 	flip(SEGMENT, 9);
-	ck_assert_int_eq(open_again(), ST_CORRUPT);
-	ck_assert(strstr(st_message(), SEGMENT ": offset 0") != NULL);
+	ck_assert_int_eq(open_again(), STATUS_CORRUPT);
+	ck_assert(strstr(status_message(), SEGMENT ": offset 0") != NULL);
 }
 END_TEST
 
@@ -186,33 +186,36 @@
 		put(i, 1, STR("some bytes that fill a segment"));
 	flip(SEGMENT, size_of(SEGMENT) - 1);
 	flip(SEGMENT, size_of(SEGMENT) - 20);
-	ck_assert_int_eq(open_again(), ST_CORRUPT);
+	ck_assert_int_eq(open_again(), STATUS_CORRUPT);
 }
 END_TEST
 
 START_TEST(broken_snapshot_gives_way_to_the_one_before)
 {
 	AUTO_BUF conf = {0};
-	rf_conf_t none = {0};
+	raft_members_t none = {0};
 
-	rf_conf_encode(&none, &conf);
+	raft_members_encode(&none, &conf);
 	for (uint64_t i = 1; i <= 20; i++)
 		put(i, 1, STR("x"));
-	ck_assert_int_eq(rs_snap_save(s, 5, 1, str_buf(&conf), STR("state at 5")), ST_OK);
-	ck_assert_int_eq(rs_snap_save(s, 9, 1, str_buf(&conf), STR("state at 9")), ST_OK);
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(store_save_snapshot(s, 5, 1, str_buf(&conf), STR("state at 5")),
+			 STATUS_OK);
+	ck_assert_int_eq(store_save_snapshot(s, 9, 1, str_buf(&conf), STR("state at 9")),
+			 STATUS_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert_uint_eq(st.snap_index, 9);
 	ck_assert_uint_eq(st.nentries, 11);
 	ck_assert_str_eq(st.snap.p, "state at 9");
 	cut("snap-0000000000000009", size_of("snap-0000000000000009") - 3);
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert(st.snap_broken);
 	ck_assert_uint_eq(st.snap_index, 5);
 	ck_assert_uint_eq(st.nentries, 15);
 	ck_assert_str_eq(st.snap.p, "state at 5");
-	ck_assert_int_eq(rs_snap_save(s, 12, 1, str_buf(&conf), STR("state at 12")), ST_OK);
+	ck_assert_int_eq(store_save_snapshot(s, 12, 1, str_buf(&conf), STR("state at 12")),
+			 STATUS_OK);
 	flip("snap-000000000000000c", size_of("snap-000000000000000c") - 20); /* in the state */
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert_uint_eq(st.snap_index, 5);
 	ck_assert_str_eq(st.snap.p, "state at 5");
 }
@@ -221,19 +224,19 @@
 START_TEST(segments_go_when_two_snapshots_hold_them)
 {
 	AUTO_BUF conf = {0};
-	rf_conf_t none = {0};
+	raft_members_t none = {0};
 	char path[256];
 
-	rf_conf_encode(&none, &conf);
+	raft_members_encode(&none, &conf);
 	put_hard(4, 5);
 	for (uint64_t i = 1; i <= 300; i++)
 		put(i, 4, STR("some bytes that fill a segment"));
-	ck_assert_int_eq(rs_snap_save(s, 250, 4, str_buf(&conf), STR("a")), ST_OK);
+	ck_assert_int_eq(store_save_snapshot(s, 250, 4, str_buf(&conf), STR("a")), STATUS_OK);
 	path_of(SEGMENT, path);
 	ck_assert_int_eq(access(path, F_OK), 0);
-	ck_assert_int_eq(rs_snap_save(s, 290, 4, str_buf(&conf), STR("b")), ST_OK);
+	ck_assert_int_eq(store_save_snapshot(s, 290, 4, str_buf(&conf), STR("b")), STATUS_OK);
 	ck_assert_int_ne(access(path, F_OK), 0);
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert_uint_eq(st.term, 4);
 	ck_assert_uint_eq(st.vote, 5);
 	ck_assert_uint_eq(st.snap_index, 290);
@@ -244,57 +247,60 @@
 START_TEST(received_snapshot_starts_the_log_anew)
 {
 	AUTO_BUF conf = {0};
-	rf_conf_t none = {0};
-	rf_chunk_t c = {.index = 50, .term = 2, .data = STR("half "), .last = false};
+	raft_members_t none = {0};
+	raft_snap_chunk_t c = {.index = 50, .term = 2, .data = STR("half "), .last = false};
 	uint64_t seq;
 
-	rf_conf_encode(&none, &conf);
-	c.conf = str_buf(&conf);
+	raft_members_encode(&none, &conf);
+	c.members = str_buf(&conf);
 	put(1, 1, STR("old"));
-	ck_assert_int_eq(rs_snap_receive(s, &c), ST_OK);
-	ck_assert_int_eq(rs_snap_receive(s, &(rf_chunk_t){.index = 50, .offset = 3}), ST_INVALID);
+	ck_assert_int_eq(store_receive_snapshot(s, &c), STATUS_OK);
+	ck_assert_int_eq(store_receive_snapshot(s, &(raft_snap_chunk_t){.index = 50, .offset = 3}),
+			 STATUS_INVALID);
 	c.offset = 5;
 	c.data = STR("and half");
 	c.last = true;
-	ck_assert_int_eq(rs_snap_receive(s, &c), ST_INVALID); /* its checksum is missing */
-	ck_assert_uint_eq(rs_snap_newest(s), 0);
+	ck_assert_int_eq(store_receive_snapshot(s, &c),
+			 STATUS_INVALID); /* its checksum is missing */
+	ck_assert_uint_eq(store_newest_snapshot(s), 0);
 	c.offset = 0;
 	c.data = STR("half and half");
-	c.crc = rs_crc(0, c.data.p, c.data.n);
-	ck_assert_int_eq(rs_snap_receive(s, &c), ST_OK);
+	c.crc = store_crc(0, c.data.p, c.data.n);
+	ck_assert_int_eq(store_receive_snapshot(s, &c), STATUS_OK);
 	/* The process ends before the log is begun anew: the next one does so. */
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert_str_eq(st.snap.p, "half and half");
 	ck_assert_uint_eq(st.nentries, 0);
 	put(51, 2, STR("new"));
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert_uint_eq(st.nentries, 1);
-	rs_reset(s, 52, 51, 2);
-	ck_assert_int_eq(rs_sync(s, &seq), ST_OK);
-	ck_assert_int_eq(open_again(), ST_CORRUPT); /* the log begins after 51, no snapshot there */
+	store_queue_reset(s, 52, 51, 2);
+	ck_assert_int_eq(store_sync(s, &seq), STATUS_OK);
+	ck_assert_int_eq(open_again(),
+			 STATUS_CORRUPT); /* the log begins after 51, no snapshot there */
 }
 END_TEST
 
 START_TEST(full_disk_acknowledges_nothing)
 {
-	rf_entry_t e = {.term = 1, .kind = RF_COMMAND};
+	raft_entry_t e = {.term = 1, .kind = RAFT_ENTRY_COMMAND};
 	char data[600] = {0};
 	uint64_t seq = 0;
-	status_t got = ST_OK;
+	status_t got = STATUS_OK;
 	uint64_t i;
 
 	setenv("AUBURN_DISK_FAULT", "full_after_bytes=8192", 1);
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	unsetenv("AUBURN_DISK_FAULT");
 	e.data.data_val = data;
 	e.data.data_len = sizeof(data);
-	for (i = 1; got == ST_OK && i < 100; i++) {
-		rs_entries(s, i, i, &e, 1);
-		got = rs_sync(s, &seq);
+	for (i = 1; got == STATUS_OK && i < 100; i++) {
+		store_queue_entries(s, i, i, &e, 1);
+		got = store_sync(s, &seq);
 	}
-	ck_assert_int_eq(got, ST_IO);
-	ck_assert_int_eq(rs_sync(s, &seq), ST_IO);
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(got, STATUS_IO);
+	ck_assert_int_eq(store_sync(s, &seq), STATUS_IO);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	ck_assert_uint_ge(st.nentries, i - 2);
 }
 END_TEST
@@ -304,13 +310,13 @@
 	uint64_t seq;
 
 	setenv("AUBURN_DISK_FAULT", "fsync_fail_after=1", 1);
-	ck_assert_int_eq(open_again(), ST_OK);
+	ck_assert_int_eq(open_again(), STATUS_OK);
 	unsetenv("AUBURN_DISK_FAULT");
 	put(1, 1, STR("a"));
-	rs_hard(s, 2, 2, 0);
-	ck_assert_int_eq(rs_sync(s, &seq), ST_IO);
-	rs_hard(s, 3, 3, 0);
-	ck_assert_int_eq(rs_sync(s, &seq), ST_IO);
+	store_queue_hard_state(s, 2, 2, 0);
+	ck_assert_int_eq(store_sync(s, &seq), STATUS_IO);
+	store_queue_hard_state(s, 3, 3, 0);
+	ck_assert_int_eq(store_sync(s, &seq), STATUS_IO);
 }
 END_TEST
 
@@ -333,13 +339,13 @@
 static void queue_any(model_t *m, uint64_t seq)
 {
 	char text[64];
-	rf_entry_t e = {.kind = RF_COMMAND};
+	raft_entry_t e = {.kind = RAFT_ENTRY_COMMAND};
 	uint64_t keep = m->n;
 
 	if (rand() % 5 == 0) {
 		m->vote = m->term == 0 || rand() % 2 ? 7 : m->vote;
 		m->term++;
-		rs_hard(s, seq, m->term, m->vote);
+		store_queue_hard_state(s, seq, m->term, m->vote);
 		return;
 	}
 	if (rand() % 6 == 0 && m->n > 0)
@@ -350,7 +356,7 @@
 	entry_text(m->base + keep + 1, e.term, text);
 	e.data.data_val = text;
 	e.data.data_len = (u_int)strlen(text);
-	rs_entries(s, seq, m->base + keep + 1, &e, 1);
+	store_queue_entries(s, seq, m->base + keep + 1, &e, 1);
 	m->terms[keep] = e.term;
 	m->n = keep + 1;
 }
@@ -388,15 +394,15 @@
 static void snapshot_model(model_t *m)
 {
 	AUTO_BUF conf = {0};
-	rf_conf_t none = {0};
+	raft_members_t none = {0};
 	uint64_t skip = m->n - (uint64_t)rand() % 3;
 
 	if (m->n < 3)
 		return;
-	rf_conf_encode(&none, &conf);
-	ck_assert_int_eq(
-		rs_snap_save(s, m->base + skip, m->terms[skip - 1], str_buf(&conf), STR("state")),
-		ST_OK);
+	raft_members_encode(&none, &conf);
+	ck_assert_int_eq(store_save_snapshot(s, m->base + skip, m->terms[skip - 1], str_buf(&conf),
+					     STR("state")),
+			 STATUS_OK);
 	memmove(m->terms, m->terms + skip, (m->n - skip) * sizeof(m->terms[0]));
 	m->base += skip;
 	m->n -= skip;
@@ -419,24 +425,24 @@
 
 		for (int i = rand() % 20; i >= 0; i--) {
 			queue_any(now, ++seq);
-			ck_assert_int_eq(rs_sync(s, &got), ST_OK);
+			ck_assert_int_eq(store_sync(s, &got), STATUS_OK);
 		}
 		if (rand() % 4 == 0)
 			snapshot_model(now);
 		if (rand() % 2)
-			rs_idle(s);
+			store_write_sync_mark(s);
 		number = s->number;
 		from = (long)s->size;
 		for (unsigned i = 1; i < n; i++) {
 			states[i] = states[i - 1];
 			queue_any(&states[i], ++seq);
 		}
-		ck_assert_int_eq(rs_sync(s, &got), ST_OK);
+		ck_assert_int_eq(store_sync(s, &got), STATUS_OK);
 		if (s->number == number)
 			tear(number, from);
 		else
 			states[0] = states[n - 1];
-		ck_assert_msg(open_again() == ST_OK, "%s", st_message());
+		ck_assert_msg(open_again() == STATUS_OK, "%s", status_message());
 		for (unsigned i = 0; i < n && !found; i++) {
 			found = matches(&states[i]);
 			if (found)
--- a/tests/unit/test_text.c
+++ b/tests/unit/test_text.c
@@ -1,7 +1,7 @@
 /* Unit tests of the operators' text. */
 #include <stdlib.h>
 #include <string.h>
-#include "state/tx.h"
+#include "state/config.h"
 #include "suite_kit.h"
 
 static const char good[] = "retention_s = 600\n"
@@ -25,36 +25,36 @@
 
 START_TEST(text_is_read)
 {
-	tx_text_t *t = NULL;
-	const tx_service_t *s;
+	config_t *t = NULL;
+	const config_service_t *s;
 
-	ck_assert_int_eq(tx_parse(str_c(good), &t), ST_OK);
+	ck_assert_int_eq(config_parse(str_c(good), &t), STATUS_OK);
 	ck_assert_int_eq(t->nservices, 2);
 	ck_assert_int_eq(t->retention_s, 600);
 	ck_assert_int_eq(t->address_ttl_s, 30);
-	s = tx_service(t, STR("sammandrag-llm"));
+	s = config_find_service(t, STR("sammandrag-llm"));
 	ck_assert_int_eq(s->slots, 16);
 	ck_assert(s->checks_fencing && s->repeatable);
 	ck_assert_str_eq(s->model, "m7");
 	ck_assert_str_eq(s->depends[0], "quotes");
-	s = tx_service(t, STR("quotes"));
-	ck_assert(s->kind == TX_PLAIN && !s->repeatable);
-	ck_assert_ptr_null(tx_service(t, STR("none")));
-	ck_assert_int_eq(tx_limit(t, STR("live-desk"))->share, 4);
-	ck_assert_int_eq(tx_limit(t, STR("paper"))->rate_per_s, 5);
-	tx_free(t);
+	s = config_find_service(t, STR("quotes"));
+	ck_assert(s->kind == CONFIG_PLAIN && !s->repeatable);
+	ck_assert_ptr_null(config_find_service(t, STR("none")));
+	ck_assert_int_eq(config_limit_for(t, STR("live-desk"))->share, 4);
+	ck_assert_int_eq(config_limit_for(t, STR("paper"))->rate_per_s, 5);
+	config_free(t);
 }
 END_TEST
 
 START_TEST(empty_text_has_defaults)
 {
-	tx_text_t *t = NULL;
+	config_t *t = NULL;
 
-	ck_assert_int_eq(tx_parse(STR(""), &t), ST_OK);
+	ck_assert_int_eq(config_parse(STR(""), &t), STATUS_OK);
 	ck_assert_int_eq(t->nservices, 0);
 	ck_assert_int_eq(t->retention_s, 86400);
-	ck_assert_int_gt(tx_limit(t, STR("x"))->rate_per_s, 0);
-	tx_free(t);
+	ck_assert_int_gt(config_limit_for(t, STR("x"))->rate_per_s, 0);
+	config_free(t);
 }
 END_TEST
 
@@ -87,19 +87,19 @@
 
 START_TEST(error_names_line_and_key)
 {
-	tx_text_t *t = NULL;
+	config_t *t = NULL;
 
-	ck_assert_int_eq(tx_parse(str_c(wrong[_i].text), &t), ST_INVALID);
+	ck_assert_int_eq(config_parse(str_c(wrong[_i].text), &t), STATUS_INVALID);
 	ck_assert_ptr_null(t);
-	ck_assert_msg(strncmp(st_message(), wrong[_i].message, strlen(wrong[_i].message)) == 0,
-		      "\"%s\" instead of \"%s\"", st_message(), wrong[_i].message);
+	ck_assert_msg(strncmp(status_message(), wrong[_i].message, strlen(wrong[_i].message)) == 0,
+		      "\"%s\" instead of \"%s\"", status_message(), wrong[_i].message);
 }
 END_TEST
 
 START_TEST(digest_tells_texts_apart)
 {
-	ck_assert(tx_digest(STR("a = 1")) == tx_digest(STR("a = 1")));
-	ck_assert(tx_digest(STR("a = 1")) != tx_digest(STR("a = 2")));
+	ck_assert(config_digest(STR("a = 1")) == config_digest(STR("a = 1")));
+	ck_assert(config_digest(STR("a = 1")) != config_digest(STR("a = 2")));
 }
 END_TEST
 
@@ -128,24 +128,24 @@
 
 START_TEST(routes_are_read)
 {
-	tx_text_t *t = NULL;
-	const ru_route_t *r;
+	config_t *t = NULL;
+	const route_spec_t *r;
 
-	ck_assert_int_eq(tx_parse(str_c(routed), &t), ST_OK);
+	ck_assert_int_eq(config_parse(str_c(routed), &t), STATUS_OK);
 	ck_assert_uint_eq(t->routes->nroutes, 2);
-	r = ru_match(t->routes, STR("desk.example"), STR("/brief/7"));
+	r = route_table_match(t->routes, STR("desk.example"), STR("/brief/7"));
 	ck_assert_str_eq(r->name, "brief");
-	ck_assert_int_eq(r->kind, RU_STREAM);
+	ck_assert_int_eq(r->kind, ROUTE_STREAM);
 	ck_assert_int_eq(r->objective_ms, 300);
 	ck_assert(r->resumable);
-	ck_assert_int_eq(r->patience_ms, 3200);
-	ck_assert_int_eq(t->routes->routes[1].patience_ms, 0);
+	ck_assert_int_eq(r->give_up_ms, 3200);
+	ck_assert_int_eq(t->routes->routes[1].give_up_ms, 0);
 	ck_assert_uint_eq(r->nshares, 2);
 	ck_assert_str_eq(r->shares[1].service, "llm-next");
 	ck_assert_int_eq(r->shares[1].weight, 10);
 	ck_assert_int_eq(t->routes->routes[1].retention_ms, 60000);
-	ck_assert_int_eq(ru_service(t->routes, STR("llm"))->slots, 6);
-	tx_free(t);
+	ck_assert_int_eq(route_table_service(t->routes, STR("llm"))->slots, 6);
+	config_free(t);
 }
 END_TEST
 
@@ -167,13 +167,13 @@
 {
 	AUTO_BUF b = {0};
 	const char *at = strstr(routed, route_faults[_i].was);
-	tx_text_t *t = NULL;
+	config_t *t = NULL;
 
 	buf_add(&b, (str_t){routed, (size_t)(at - routed)});
 	buf_add(&b, str_c(route_faults[_i].is));
 	buf_add(&b, str_c(at + strlen(route_faults[_i].was)));
-	ck_assert_int_eq(tx_parse(str_buf(&b), &t), ST_INVALID);
-	ck_assert_msg(strstr(st_message(), route_faults[_i].message), "%s", st_message());
+	ck_assert_int_eq(config_parse(str_buf(&b), &t), STATUS_INVALID);
+	ck_assert_msg(strstr(status_message(), route_faults[_i].message), "%s", status_message());
 }
 END_TEST
 
--- a/tools/lb_nodes.c
+++ b/tools/lb_nodes.c
@@ -33,7 +33,7 @@
 
 	n->state.n = 0;
 	buf_add(&n->state, snap);
-	return ST_OK;
+	return STATUS_OK;
 }
 
 static void on_send(void *ctx, const char *addr, unsigned group, str_t msg)
@@ -47,7 +47,7 @@
 			continue;
 		pthread_rwlock_rdlock(&n->lock);
 		if (n->g)
-			gr_receive(n->g, msg);
+			group_receive(n->g, msg);
 		pthread_rwlock_unlock(&n->lock);
 	}
 }
@@ -56,29 +56,29 @@
 {
 	lb_node_t *n = &lb_nodes[group][i];
 	char dir[128];
-	gr_t *g = NULL;
-	gr_options_t o = {.group = group,
-			  .dir = dir,
-			  .addr = lb_seeds[i],
-			  .zone = "z",
-			  .seeds = lb_seeds,
-			  .nseeds = nseeds,
-			  .bootstrap = nseeds > 0,
-			  .tick_ms = TICK_MS,
-			  .election_ms = ELECTION_MS,
-			  .snapshot_entries = snapshot_entries,
-			  .snapshot_bytes = 1ull << 40,
-			  .ctx = n,
-			  .apply = on_apply,
-			  .snapshot = on_snapshot,
-			  .restore = on_restore,
-			  .send = on_send};
+	group_t *g = NULL;
+	group_options_t o = {.group = group,
+			     .dir = dir,
+			     .addr = lb_seeds[i],
+			     .zone = "z",
+			     .seeds = lb_seeds,
+			     .nseeds = nseeds,
+			     .bootstrap = nseeds > 0,
+			     .tick_ms = TICK_MS,
+			     .election_ms = ELECTION_MS,
+			     .snapshot_entries = snapshot_entries,
+			     .snapshot_bytes = 1ull << 40,
+			     .ctx = n,
+			     .apply = on_apply,
+			     .snapshot = on_snapshot,
+			     .restore = on_restore,
+			     .send = on_send};
 
 	snprintf(dir, sizeof(dir), "%s/%u-%u", lb_root, group, i);
 	n->group = group;
 	n->applied = 0;
-	if (gr_open(&o, &g) != ST_OK) {
-		fprintf(stderr, "%s\n", st_message());
+	if (group_open(&o, &g) != STATUS_OK) {
+		fprintf(stderr, "%s\n", status_message());
 		exit(1);
 	}
 	pthread_rwlock_wrlock(&n->lock);
@@ -89,14 +89,14 @@
 void lb_stop(unsigned group, unsigned i)
 {
 	lb_node_t *n = &lb_nodes[group][i];
-	gr_t *g = n->g;
+	group_t *g = n->g;
 
 	if (!g)
 		return;
 	pthread_rwlock_wrlock(&n->lock);
 	n->g = NULL;
 	pthread_rwlock_unlock(&n->lock);
-	gr_close(g);
+	group_close(g);
 	buf_free(&n->state);
 }
 
@@ -116,32 +116,32 @@
 		exit(1);
 }
 
-gr_t *lb_wait_leader_but(unsigned group, const gr_t *except)
+group_t *lb_wait_leader_but(unsigned group, const group_t *except)
 {
-	deadline_t d = clk_now_ms() + WAIT_MS;
+	deadline_t d = clock_now_ms() + WAIT_MS;
 
-	while (clk_left_ms(d) > 0) {
+	while (clock_left_ms(d) > 0) {
 		for (unsigned i = 0; i < REPLICAS_MAX; i++) {
-			gr_status_t s;
+			group_status_t s;
 
 			if (!lb_nodes[group][i].g || lb_nodes[group][i].g == except)
 				continue;
-			gr_status(lb_nodes[group][i].g, &s);
-			if (s.leader && gr_barrier(lb_nodes[group][i].g, d) == ST_OK)
+			group_get_status(lb_nodes[group][i].g, &s);
+			if (s.leader && group_read_barrier(lb_nodes[group][i].g, d) == STATUS_OK)
 				return lb_nodes[group][i].g;
 		}
-		clk_sleep_ms(1);
+		clock_sleep_ms(1);
 	}
 	fprintf(stderr, "no leader\n");
 	exit(1);
 }
 
-gr_t *lb_wait_leader(unsigned group)
+group_t *lb_wait_leader(unsigned group)
 {
 	return lb_wait_leader_but(group, NULL);
 }
 
-void lb_cut(const gr_t *g, bool cut)
+void lb_cut(const group_t *g, bool cut)
 {
 	for (unsigned i = 0; i < REPLICAS_MAX; i++) {
 		if (lb_nodes[0][i].g == g)
--- a/tools/lb_nodes.h
+++ b/tools/lb_nodes.h
@@ -3,7 +3,7 @@
 #define AUBURN_LB_NODES_H
 
 #include <pthread.h>
-#include "raft/gr.h"
+#include "raft/group.h"
 
 #define REPLICAS_MAX 5
 #define GROUPS_MAX   16
@@ -12,7 +12,7 @@
 #define ELECTION_MS  1000
 
 typedef struct {
-	gr_t *g;
+	group_t *g;
 	pthread_rwlock_t lock; /* guards g against senders */
 	char addr[32];
 	unsigned group;
@@ -31,9 +31,9 @@
 /** Stops all replicas and empties lb_root. */
 void lb_clear(void);
 /** Waits until some replica leads and answers a barrier. */
-gr_t *lb_wait_leader(unsigned group);
-gr_t *lb_wait_leader_but(unsigned group, const gr_t *except);
+group_t *lb_wait_leader(unsigned group);
+group_t *lb_wait_leader_but(unsigned group, const group_t *except);
 /** Lets a replica of group 0 neither send nor receive. */
-void lb_cut(const gr_t *g, bool cut);
+void lb_cut(const group_t *g, bool cut);
 
 #endif
--- a/tools/log-bench.c
+++ b/tools/log-bench.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
-#include "base/mx.h"
+#include "base/metric.h"
 #include "lb_nodes.h"
 
 #define PROPOSERS_MAX	 512
@@ -13,10 +13,10 @@
 #define SNAPSHOT_LOAD_MS 6000
 
 typedef struct {
-	gr_t *g;
+	group_t *g;
 	unsigned bytes;
 	deadline_t end;
-	mx_t *us;
+	metric_t *us;
 	uint64_t done;
 	uint64_t failed;
 } proposer_t;
@@ -26,15 +26,15 @@
 	proposer_t *p = arg;
 	char *cmd = mem_new(p->bytes);
 
-	while (clk_left_ms(p->end) > 0) {
-		int64_t start_us = clk_now_us();
+	while (clock_left_ms(p->end) > 0) {
+		int64_t start_us = clock_now_us();
 
-		if (gr_propose(p->g, (str_t){cmd, p->bytes}, clk_now_ms() + WAIT_MS, NULL) !=
-		    ST_OK) {
+		if (group_propose(p->g, (str_t){cmd, p->bytes}, clock_now_ms() + WAIT_MS, NULL) !=
+		    STATUS_OK) {
 			p->failed++;
 			continue;
 		}
-		mx_record(p->us, clk_now_us() - start_us);
+		metric_record(p->us, clock_now_us() - start_us);
 		p->done++;
 	}
 	free(cmd);
@@ -49,8 +49,8 @@
 	unsigned ms;
 } load_t;
 
-static void print_load(const load_t *l, const proposer_t *p, mx_t *us, int64_t took_us,
-		       const gr_status_t *before, const gr_status_t *after)
+static void print_load(const load_t *l, const proposer_t *p, metric_t *us, int64_t took_us,
+		       const group_status_t *before, const group_status_t *after)
 {
 	uint64_t done = 0;
 	uint64_t failed = 0;
@@ -66,8 +66,8 @@
 	       "sync_mean_us=%lu sync_share=%.2f commits_per_sync=%.1f\n",
 	       l->replicas, l->groups, l->proposers, l->bytes, (long)(took_us / 1000),
 	       (unsigned long)done, (unsigned long)failed,
-	       (unsigned long)(done * 1000000 / (uint64_t)took_us), (long)mx_quantile(us, 0.5),
-	       (long)mx_quantile(us, 0.99), (unsigned long)syncs,
+	       (unsigned long)(done * 1000000 / (uint64_t)took_us), (long)metric_quantile(us, 0.5),
+	       (long)metric_quantile(us, 0.99), (unsigned long)syncs,
 	       (unsigned long)(syncs ? sync_us / syncs : 0),
 	       (double)sync_us / (double)took_us, /* of the first group's leader */
 	       syncs ? (double)done / l->groups / (double)syncs : 0.0);
@@ -79,52 +79,52 @@
 	static unsigned run;
 	static proposer_t p[PROPOSERS_MAX];
 	static pthread_t t[PROPOSERS_MAX];
-	gr_t *leaders[GROUPS_MAX];
-	gr_status_t before;
-	gr_status_t after;
+	group_t *leaders[GROUPS_MAX];
+	group_status_t before;
+	group_status_t after;
 	char label[32];
-	mx_t *us;
+	metric_t *us;
 	int64_t start_us;
 
 	snprintf(label, sizeof(label), "run=\"%u\"", run++);
-	us = mx_get(MX_HISTOGRAM, "commit_us", label);
+	us = metric_get(METRIC_HISTOGRAM, "commit_us", label);
 	for (unsigned g = 0; g < l->groups; g++) {
 		for (unsigned i = 0; i < l->replicas; i++)
 			lb_start(g, i, l->replicas, 1ull << 40);
 	}
 	for (unsigned g = 0; g < l->groups; g++)
 		leaders[g] = lb_wait_leader(g);
-	gr_status(leaders[0], &before);
-	start_us = clk_now_us();
+	group_get_status(leaders[0], &before);
+	start_us = clock_now_us();
 	for (unsigned i = 0; i < l->proposers; i++) {
 		p[i] = (proposer_t){
-			leaders[i % l->groups], l->bytes, clk_now_ms() + l->ms, us, 0, 0};
+			leaders[i % l->groups], l->bytes, clock_now_ms() + l->ms, us, 0, 0};
 		pthread_create(&t[i], NULL, propose_until, &p[i]);
 	}
 	for (unsigned i = 0; i < l->proposers; i++)
 		pthread_join(t[i], NULL);
-	start_us = clk_now_us() - start_us;
-	gr_status(leaders[0], &after);
+	start_us = clock_now_us() - start_us;
+	group_get_status(leaders[0], &after);
 	print_load(l, p, us, start_us, &before, &after);
 	lb_clear();
 }
 
-static void propose_some(gr_t *g, unsigned n)
+static void propose_some(group_t *g, unsigned n)
 {
 	for (unsigned i = 0; i < n; i++) {
-		if (gr_propose(g, STR("command"), clk_now_ms() + WAIT_MS, NULL) != ST_OK)
+		if (group_propose(g, STR("command"), clock_now_ms() + WAIT_MS, NULL) != STATUS_OK)
 			exit(1);
 	}
 }
 
 /* Waits until the leader's newest snapshot is beyond index. */
-static void wait_snapshot(gr_t *g, uint64_t index)
+static void wait_snapshot(group_t *g, uint64_t index)
 {
-	gr_status_t s;
+	group_status_t s;
 
 	do {
 		propose_some(g, 1);
-		gr_status(g, &s);
+		group_get_status(g, &s);
 	} while (s.snapshot_index <= index);
 }
 
@@ -141,33 +141,33 @@
 	free(fill);
 }
 
-static gr_t *join_learner(gr_t *leader, unsigned i)
+static group_t *join_learner(group_t *leader, unsigned i)
 {
-	gr_peer_t peer = {0};
-	gr_status_t s;
+	group_peer_t peer = {0};
+	group_status_t s;
 
 	lb_start(0, i, 0, 1ull << 40);
-	gr_status(lb_nodes[0][i].g, &s);
+	group_get_status(lb_nodes[0][i].g, &s);
 	peer.id = s.self;
 	snprintf(peer.addr, sizeof(peer.addr), "%s", lb_seeds[i]);
-	if (gr_add_learner(leader, &peer, clk_now_ms() + WAIT_MS) != ST_OK)
+	if (group_add_learner(leader, &peer, clock_now_ms() + WAIT_MS) != STATUS_OK)
 		exit(1);
 	return lb_nodes[0][i].g;
 }
 
 /* Lets an empty replica join and catch up; how long that took, in us. */
-static int64_t catch_up(gr_t *leader, gr_status_t *out)
+static int64_t catch_up(group_t *leader, group_status_t *out)
 {
-	int64_t start_us = clk_now_us();
-	gr_t *learner = join_learner(leader, 1);
-	gr_status_t s;
+	int64_t start_us = clock_now_us();
+	group_t *learner = join_learner(leader, 1);
+	group_status_t s;
 
 	do {
-		clk_sleep_ms(1);
-		gr_status(learner, &s);
-		gr_status(leader, out);
+		clock_sleep_ms(1);
+		group_get_status(learner, &s);
+		group_get_status(leader, out);
 	} while (s.applied < out->commit);
-	return clk_now_us() - start_us;
+	return clock_now_us() - start_us;
 }
 
 /* A replica with a snapshot of `bytes` starts again; then an empty one catches up from it. */
@@ -176,22 +176,22 @@
 	int64_t open_us;
 	int64_t lead_us;
 	int64_t catch_us;
-	gr_status_t ls;
-	gr_t *g;
+	group_status_t ls;
+	group_t *g;
 
 	lb_start(0, 0, 1, 20);
 	g = lb_wait_leader(0);
-	gr_with_state(g, set_state, &bytes);
+	group_with_state(g, set_state, &bytes);
 	wait_snapshot(g, 0);
-	gr_status(g, &ls);
+	group_get_status(g, &ls);
 	wait_snapshot(g, ls.snapshot_index);
 	lb_stop(0, 0);
-	open_us = clk_now_us();
+	open_us = clock_now_us();
 	lb_start(0, 0, 1, 1ull << 40);
-	lead_us = clk_now_us();
+	lead_us = clock_now_us();
 	open_us = lead_us - open_us;
 	g = lb_wait_leader(0);
-	lead_us = clk_now_us() - lead_us;
+	lead_us = clock_now_us() - lead_us;
 	propose_some(g, 10);
 	catch_us = catch_up(g, &ls);
 	printf("measure=state bytes=%zu open_ms=%.1f election_ms=%.1f catch_up_ms=%.1f "
@@ -209,30 +209,30 @@
 	proposer_t p[8];
 	pthread_t t[8];
 	char label[32];
-	gr_status_t s;
-	gr_t *g;
-	mx_t *us;
+	group_status_t s;
+	group_t *g;
+	metric_t *us;
 
 	snprintf(label, sizeof(label), "run=\"%u\"", run++);
-	us = mx_get(MX_HISTOGRAM, "snapshot_commit_us", label);
+	us = metric_get(METRIC_HISTOGRAM, "snapshot_commit_us", label);
 	for (unsigned i = 0; i < 3; i++)
 		lb_start(0, i, 3, 2000);
 	g = lb_wait_leader(0);
 	for (unsigned i = 0; i < 3; i++)
-		gr_with_state(lb_nodes[0][i].g, set_state, &bytes);
+		group_with_state(lb_nodes[0][i].g, set_state, &bytes);
 	for (unsigned i = 0; i < 8; i++) {
-		p[i] = (proposer_t){g, 256, clk_now_ms() + SNAPSHOT_LOAD_MS, us, 0, 0};
+		p[i] = (proposer_t){g, 256, clock_now_ms() + SNAPSHOT_LOAD_MS, us, 0, 0};
 		pthread_create(&t[i], NULL, propose_until, &p[i]);
 	}
 	for (unsigned i = 0; i < 8; i++)
 		pthread_join(t[i], NULL);
-	gr_status(g, &s);
+	group_get_status(g, &s);
 	printf("measure=snapshots replicas=3 proposers=8 bytes=256 state_bytes=%zu "
 	       "commits_per_s=%lu "
 	       "p50_us=%ld p99_us=%ld p999_us=%ld max_us=%ld leads=%d\n",
 	       bytes, (unsigned long)(s.commands * 1000 / SNAPSHOT_LOAD_MS),
-	       (long)mx_quantile(us, 0.5), (long)mx_quantile(us, 0.99),
-	       (long)mx_quantile(us, 0.999), (long)mx_quantile(us, 1.0), s.leader);
+	       (long)metric_quantile(us, 0.5), (long)metric_quantile(us, 0.99),
+	       (long)metric_quantile(us, 0.999), (long)metric_quantile(us, 1.0), s.leader);
 	fflush(stdout);
 	lb_clear();
 }
@@ -244,27 +244,27 @@
 	int64_t catch_us;
 	proposer_t p[64];
 	pthread_t t[64];
-	mx_t *us = mx_get(MX_HISTOGRAM, "fill_us", NULL);
-	gr_status_t s = {0};
-	gr_status_t ls;
-	gr_t *g;
+	metric_t *us = metric_get(METRIC_HISTOGRAM, "fill_us", NULL);
+	group_status_t s = {0};
+	group_status_t ls;
+	group_t *g;
 
 	lb_start(0, 0, 1, 1ull << 40);
 	g = lb_wait_leader(0);
 	while (s.applied < entries) {
 		for (unsigned i = 0; i < 64; i++) {
-			p[i] = (proposer_t){g, 128, clk_now_ms() + 50, us, 0, 0};
+			p[i] = (proposer_t){g, 128, clock_now_ms() + 50, us, 0, 0};
 			pthread_create(&t[i], NULL, propose_until, &p[i]);
 		}
 		for (unsigned i = 0; i < 64; i++)
 			pthread_join(t[i], NULL);
-		gr_status(g, &s);
+		group_get_status(g, &s);
 	}
 	catch_us = catch_up(g, &ls);
 	lb_stop(0, 0);
-	open_us = clk_now_us();
+	open_us = clock_now_us();
 	lb_start(0, 0, 1, 1ull << 40);
-	open_us = clk_now_us() - open_us;
+	open_us = clock_now_us() - open_us;
 	printf("measure=entries entries=%lu bytes=128 catch_up_ms=%.1f open_ms=%.1f\n",
 	       (unsigned long)ls.commit, (double)catch_us / 1000, (double)open_us / 1000);
 	fflush(stdout);
@@ -285,19 +285,19 @@
 	for (unsigned i = 0; i < 3; i++)
 		lb_start(0, i, 3, 1ull << 40);
 	for (unsigned i = 0; i < FAILOVERS; i++) {
-		gr_t *old = lb_wait_leader(0);
-		int64_t start_ms = clk_now_ms();
+		group_t *old = lb_wait_leader(0);
+		int64_t start_ms = clock_now_ms();
 
 		if (planned)
-			gr_step_down(old, clk_now_ms() + WAIT_MS);
+			group_step_down(old, clock_now_ms() + WAIT_MS);
 		else
 			lb_cut(old, true);
-		while (gr_propose(lb_wait_leader_but(0, old), STR("x"), clk_now_ms() + WAIT_MS,
-				  NULL) != ST_OK)
+		while (group_propose(lb_wait_leader_but(0, old), STR("x"), clock_now_ms() + WAIT_MS,
+				     NULL) != STATUS_OK)
 			;
-		ms[i] = clk_now_ms() - start_ms;
+		ms[i] = clock_now_ms() - start_ms;
 		lb_cut(old, false);
-		clk_sleep_ms(ELECTION_MS);
+		clock_sleep_ms(ELECTION_MS);
 	}
 	qsort(ms, FAILOVERS, sizeof(ms[0]), compare_ms);
 	printf("measure=failover how=%s election_ms=%d runs=%d p50_ms=%ld max_ms=%ld\n",
