--- a/src/client/control_client.c
+++ b/src/client/control_client.c
@@ -5,29 +5,30 @@
 #include <stdlib.h>
 #include "base/rpc.h"
 
-/* A control process that doesn't answer within this is passed over for another. */
-#define TRY_MAX_MS 700
-#define PAUSE_MS   20
-/* How long calls go on through another process after the leader itself wasn't reached. */
+/* A control process that has not answered within this time is skipped. */
+#define ATTEMPT_MAX_MS 700
+#define RETRY_PAUSE_MS 20
+/* After the leader could not be reached directly, calls ask other processes to forward them for
+ * this long. */
 #define FORWARD_MS   5000
 #define POOL_MAX     64
 #define GROUPS_MAX   64
 #define CONTROLS_MAX 18
 
-/* Idle connections to one control process. */
+/* Pool of idle connections to one control process. */
 typedef struct {
 	char *addr;
 	rpc_client_t *idle[POOL_MAX];
 	size_t n;
 } pool_t;
 
-struct cc {
+struct control_client {
 	pthread_mutex_t lock;
 	pool_t pools[CONTROLS_MAX];
 	size_t n;
 	unsigned groups;
-	size_t leader[GROUPS_MAX + 1]; /* guess for each group */
-	deadline_t forward[GROUPS_MAX + 1];
+	size_t leader[GROUPS_MAX + 1]; /* assumed leader of each group, an index into pools */
+	deadline_t forward_until[GROUPS_MAX + 1];
 };
 
 control_client_t *control_client_new(const char *const *addrs, size_t n, unsigned ledger_groups)
@@ -71,7 +72,7 @@
 	return wire_ledger_group(caller, key, c->groups);
 }
 
-static rpc_client_t *take(control_client_t *c, size_t i)
+static rpc_client_t *take_connection(control_client_t *c, size_t i)
 {
 	rpc_client_t *r = NULL;
 
@@ -82,7 +83,7 @@
 	return r ? r : rpc_client_new(c->pools[i].addr, AUBURN_CONTROL, AUBURN_CONTROL_V1);
 }
 
-static void give(control_client_t *c, size_t i, rpc_client_t *r)
+static void return_connection(control_client_t *c, size_t i, rpc_client_t *r)
 {
 	pthread_mutex_lock(&c->lock);
 	if (c->pools[i].n < POOL_MAX) {
@@ -93,18 +94,18 @@
 	rpc_client_free(r);
 }
 
-static status_t call(control_client_t *c, size_t i, unsigned proc, xdrproc_t xa, const void *arg,
-		     xdrproc_t xr, void *res, deadline_t deadline)
+static status_t call_control(control_client_t *c, size_t i, unsigned proc, xdrproc_t xa,
+			     const void *arg, xdrproc_t xr, void *res, deadline_t deadline)
 {
-	deadline_t cap = clock_now_ms() + TRY_MAX_MS;
-	rpc_client_t *r = take(c, i);
+	deadline_t cap = clock_now_ms() + ATTEMPT_MAX_MS;
+	rpc_client_t *r = take_connection(c, i);
 	status_t st = rpc_client_call(r, proc, xa, arg, xr, res, deadline < cap ? deadline : cap);
 
-	give(c, i, r);
+	return_connection(c, i, r);
 	return st;
 }
 
-static size_t leader_of(control_client_t *c, unsigned group)
+static size_t get_leader_index(control_client_t *c, unsigned group)
 {
 	size_t i;
 
@@ -120,31 +121,32 @@
 {
 	for (size_t i = 0; i < c->n; i++) {
 		if (str_eq(str_c(c->pools[i].addr), str_c(addr)))
-			return call(c, i, proc, xdr_arg, arg, xdr_res, res, deadline);
+			return call_control(c, i, proc, xdr_arg, arg, xdr_res, res, deadline);
 	}
-	return status_fail(STATUS_UNAVAILABLE, "%s is no known control process", addr);
+	return status_fail(STATUS_UNAVAILABLE, "unknown control process %s", addr);
 }
 
-/* True while calls of the group are to be passed on by processes that don't lead it. */
-static bool forwards(control_client_t *c, unsigned group)
+/* True while calls of the group ask processes that do not lead it to forward them. */
+static bool is_forwarding(control_client_t *c, unsigned group)
 {
 	bool on;
 
 	pthread_mutex_lock(&c->lock);
-	on = clock_now_ms() < c->forward[group];
+	on = clock_now_ms() < c->forward_until[group];
 	pthread_mutex_unlock(&c->lock);
 	return on;
 }
 
-static void start_forward(control_client_t *c, unsigned group)
+static void start_forwarding(control_client_t *c, unsigned group)
 {
 	pthread_mutex_lock(&c->lock);
-	c->forward[group] = clock_now_ms() + FORWARD_MS;
+	c->forward_until[group] = clock_now_ms() + FORWARD_MS;
 	pthread_mutex_unlock(&c->lock);
 }
 
-/* Follows a hint, or goes on to the next one. False when there is no hint to follow. */
-static bool move_on(control_client_t *c, unsigned group, size_t tried, str_t hint)
+/* Makes the hinted process the assumed leader, or the next one in order. Returns false without a
+ * usable hint. */
+static bool advance_leader(control_client_t *c, unsigned group, size_t tried, str_t hint)
 {
 	size_t next = (tried + 1) % c->n;
 	bool hinted = false;
@@ -162,23 +164,23 @@
 	return hinted;
 }
 
-/* Sends to the group's leader until it answers or the deadline passes. */
-static status_t exec(control_client_t *c, unsigned group, unsigned proc, str_t payload,
-		     wire_exec_res_t *res, deadline_t deadline)
+/* Sends the request to the group's leader and retries until an answer or the deadline. */
+static status_t exec_on_leader(control_client_t *c, unsigned group, unsigned proc, str_t payload,
+			       wire_exec_res_t *res, deadline_t deadline)
 {
-	status_t end = STATUS_UNAVAILABLE;
+	status_t result = STATUS_UNAVAILABLE;
 
 	while (clock_left_ms(deadline) > 0) {
-		size_t i = leader_of(c, group);
-		wire_exec_arg_t arg = {group, (u_int)clock_left_ms(deadline), forwards(c, group),
-				       wire_bytes(payload)};
+		size_t i = get_leader_index(c, group);
+		wire_exec_arg_t arg = {group, (u_int)clock_left_ms(deadline),
+				       is_forwarding(c, group), wire_bytes(payload)};
 		status_t st;
 
-		if (arg.wait_ms > TRY_MAX_MS)
-			arg.wait_ms = TRY_MAX_MS;
+		if (arg.wait_ms > ATTEMPT_MAX_MS)
+			arg.wait_ms = ATTEMPT_MAX_MS;
 		*res = (wire_exec_res_t){0};
-		st = call(c, i, proc, XDR_PROC(wire_exec_arg_t), &arg, XDR_PROC(wire_exec_res_t),
-			  res, deadline);
+		st = call_control(c, i, proc, XDR_PROC(wire_exec_arg_t), &arg,
+				  XDR_PROC(wire_exec_res_t), res, deadline);
 		if (st == STATUS_OK)
 			st = (status_t)res->status;
 		if (st == STATUS_OK)
@@ -186,14 +188,15 @@
 		if (st == STATUS_INVALID || st == STATUS_LIMIT)
 			return status_fail(st, "%.*s", STR_ARG(wire_str(res->message)));
 		if (st == STATUS_TIMEOUT || st == STATUS_IO)
-			end = STATUS_TIMEOUT;
+			result = STATUS_TIMEOUT;
 		if (st == STATUS_TIMEOUT || st == STATUS_UNAVAILABLE)
-			start_forward(c, group);
-		if (!move_on(c, group, i, wire_str(res->leader)))
-			clock_sleep_ms(PAUSE_MS);
+			start_forwarding(c, group);
+		if (!advance_leader(c, group, i, wire_str(res->leader)))
+			clock_sleep_ms(RETRY_PAUSE_MS);
 		wire_free(XDR_PROC(wire_exec_res_t), res);
 	}
-	return status_fail(end, "no answer from the leader of group %u in time", group);
+	return status_fail(result, "the leader of group %u did not answer before the deadline",
+			   group);
 }
 
 static status_t exec_typed(control_client_t *c, unsigned group, unsigned proc, xdrproc_t xcmd,
@@ -205,7 +208,7 @@
 	status_t st;
 
 	wire_encode(&payload, xcmd, cmd);
-	st = exec(c, group, proc, str_buf(&payload), &er, deadline);
+	st = exec_on_leader(c, group, proc, str_buf(&payload), &er, deadline);
 	if (st == STATUS_OK)
 		st = wire_decode(wire_str(er.payload), xres, res, res_size);
 	wire_free(XDR_PROC(wire_exec_res_t), &er);
@@ -277,29 +280,30 @@
 	status_t st = STATUS_UNAVAILABLE;
 
 	while (clock_left_ms(deadline) > 0) {
-		size_t i = leader_of(c, 0);
+		size_t i = get_leader_index(c, 0);
 		wire_heartbeat_arg_t a = *arg;
 
-		a.forward = forwards(c, 0);
+		a.forward = is_forwarding(c, 0);
 		*res = (wire_heartbeat_res_t){0};
-		st = call(c, i, AUBURN_HEARTBEAT, XDR_PROC(wire_heartbeat_arg_t), &a,
-			  XDR_PROC(wire_heartbeat_res_t), res, deadline);
+		st = call_control(c, i, AUBURN_HEARTBEAT, XDR_PROC(wire_heartbeat_arg_t), &a,
+				  XDR_PROC(wire_heartbeat_res_t), res, deadline);
 		if (st == STATUS_OK && res->status == STATUS_OK)
 			return STATUS_OK;
 		if (st != STATUS_OK)
-			start_forward(c, 0);
-		if (!move_on(c, 0, i, wire_str(res->leader)))
-			clock_sleep_ms(PAUSE_MS);
+			start_forwarding(c, 0);
+		if (!advance_leader(c, 0, i, wire_str(res->leader)))
+			clock_sleep_ms(RETRY_PAUSE_MS);
 		wire_free(XDR_PROC(wire_heartbeat_res_t), res);
 	}
-	return status_fail(STATUS_UNAVAILABLE, "no control process renewed the lease in time");
+	return status_fail(STATUS_UNAVAILABLE,
+			   "no control process renewed the lease before the deadline");
 }
 
-static status_t fetch_text(control_client_t *c, size_t i, unsigned proc, xdrproc_t xa,
-			   const void *arg, buf_t *out, deadline_t deadline)
+static status_t call_for_text(control_client_t *c, size_t i, unsigned proc, xdrproc_t xa,
+			      const void *arg, buf_t *out, deadline_t deadline)
 {
 	wire_text_t t = {0};
-	status_t st = call(c, i, proc, xa, arg, XDR_PROC(wire_text_t), &t, deadline);
+	status_t st = call_control(c, i, proc, xa, arg, XDR_PROC(wire_text_t), &t, deadline);
 
 	if (st == STATUS_OK)
 		buf_add(out, wire_str(t.text));
@@ -309,7 +313,7 @@
 
 status_t control_client_status(control_client_t *c, size_t i, buf_t *out, deadline_t deadline)
 {
-	return fetch_text(c, i, AUBURN_STATUS, rpc_xdr_void, NULL, out, deadline);
+	return call_for_text(c, i, AUBURN_STATUS, rpc_xdr_void, NULL, out, deadline);
 }
 
 status_t control_client_events(control_client_t *c, size_t i, str_t needle, unsigned max,
@@ -317,5 +321,5 @@
 {
 	wire_events_arg_t arg = {wire_bytes(needle), max};
 
-	return fetch_text(c, i, AUBURN_EVENTS, XDR_PROC(wire_events_arg_t), &arg, out, deadline);
+	return call_for_text(c, i, AUBURN_EVENTS, XDR_PROC(wire_events_arg_t), &arg, out, deadline);
 }
--- a/src/client/delta.c
+++ b/src/client/delta.c
@@ -4,10 +4,10 @@
 #include <stdlib.h>
 #include "proto/wire.h"
 
-/** Room for what deflate adds to bytes that don't shrink. */
+/** Output space for deflate's overhead on incompressible input. */
 #define DEFLATE_MARGIN(n) ((n) / 16 + 1024)
 
-/* ---- the change, packed ---- */
+/* ---- compression ---- */
 
 static status_t deflate(str_t in, buf_t *out)
 {
@@ -26,7 +26,7 @@
 	z->next_out = to;
 	z->avail_out = (uint32_t)room;
 	if (isal_deflate_stateless(z) != COMP_OK)
-		return status_fail(STATUS_LIMIT, "%zu bytes could not be deflated", in.n);
+		return status_fail(STATUS_LIMIT, "compressing %zu bytes of routes failed", in.n);
 	buf_add(out, (str_t){(const char *)to, z->total_out});
 	return STATUS_OK;
 }
@@ -41,14 +41,14 @@
 	z->next_out = (uint8_t *)out;
 	z->avail_out = size;
 	if (isal_inflate_stateless(z) != ISAL_DECOMP_OK || z->total_out != size)
-		return status_fail(STATUS_CORRUPT, "a change of routes doesn't unpack to %u bytes",
+		return status_fail(STATUS_CORRUPT, "route delta does not decompress to %u bytes",
 				   size);
 	return STATUS_OK;
 }
 
-/* ---- from routes to a change; the message borrows from them ---- */
+/* ---- encoding: route tables to a delta; the message borrows their strings ---- */
 
-static link_route_t put_of(const route_spec_t *t, link_share_t *shares)
+static link_route_t encode_route(const route_spec_t *t, link_share_t *shares)
 {
 	for (size_t i = 0; i < t->nshares; i++)
 		shares[i] = (link_share_t){wire_bytes(str_c(t->shares[i].service)),
@@ -81,8 +81,9 @@
 	return n;
 }
 
-static void fill_put(const route_table_t *base, const route_table_t *r, link_routes_t *m,
-		     link_share_t *shares)
+/* Adds the routes of r that base lacks, or has with other contents. */
+static void encode_changed(const route_table_t *base, const route_table_t *r, link_routes_t *m,
+			   link_share_t *shares)
 {
 	for (size_t i = 0; i < r->nroutes; i++) {
 		const route_spec_t *t = &r->routes[i];
@@ -91,12 +92,13 @@
 
 		if (old && route_spec_eq(old, t))
 			continue;
-		m->put.put_val[m->put.put_len++] = put_of(t, shares);
+		m->put.put_val[m->put.put_len++] = encode_route(t, shares);
 		shares += t->nshares;
 	}
 }
 
-static void fill_removed(const route_table_t *base, const route_table_t *r, link_routes_t *m)
+/* Adds the keys of the routes of base that r lacks. */
+static void encode_removed(const route_table_t *base, const route_table_t *r, link_routes_t *m)
 {
 	for (size_t i = 0; base && i < base->nroutes; i++) {
 		const route_spec_t *t = &base->routes[i];
@@ -107,7 +109,7 @@
 	}
 }
 
-static void fill_services(const route_table_t *r, link_routes_t *m)
+static void encode_services(const route_table_t *r, link_routes_t *m)
 {
 	for (size_t i = 0; i < r->nservices; i++) {
 		const route_service_t *s = &r->services[i];
@@ -137,17 +139,18 @@
 		.removed = {0, removed},
 	};
 
-	fill_services(r, &m);
-	fill_put(base, r, &m, shares);
-	fill_removed(base, r, &m);
+	encode_services(r, &m);
+	encode_changed(base, r, &m, shares);
+	encode_removed(base, r, &m);
 	wire_encode(&plain, XDR_PROC(link_routes_t), &m);
 	if (plain.n > DELTA_SIZE_MAX)
-		return status_fail(STATUS_LIMIT, "a change of routes of %zu bytes", plain.n);
+		return status_fail(STATUS_LIMIT, "route delta of %zu bytes exceeds the limit",
+				   plain.n);
 	*size = (uint32_t)plain.n;
 	return deflate(str_buf(&plain), out);
 }
 
-/* ---- from a change to routes ---- */
+/* ---- decoding: a delta to a route table ---- */
 
 static void copy_route(route_spec_t *to, const route_spec_t *from)
 {
@@ -161,7 +164,7 @@
 						from->shares[i].weight};
 }
 
-static void take_put(route_spec_t *to, const link_route_t *m)
+static void decode_route(route_spec_t *to, const link_route_t *m)
 {
 	*to = (route_spec_t){
 		.name = str_dup(wire_str(m->name)),
@@ -186,8 +189,8 @@
 						m->shares.shares_val[i].weight};
 }
 
-/* Marks the routes of base that the change removes or replaces. */
-static void mark_gone(const route_table_t *base, const link_routes_t *m, bool *gone)
+/* Marks the routes of base that the delta removes or replaces. */
+static void mark_replaced(const route_table_t *base, const link_routes_t *m, bool *replaced)
 {
 	const route_spec_t *t;
 
@@ -195,33 +198,34 @@
 		t = route_table_find(base, wire_str(m->removed.removed_val[i].host),
 				     wire_str(m->removed.removed_val[i].prefix));
 		if (t)
-			gone[t - base->routes] = true;
+			replaced[t - base->routes] = true;
 	}
 	for (u_int i = 0; i < m->put.put_len; i++) {
 		t = route_table_find(base, wire_str(m->put.put_val[i].host),
 				     wire_str(m->put.put_val[i].prefix));
 		if (t)
-			gone[t - base->routes] = true;
+			replaced[t - base->routes] = true;
 	}
 }
 
-static void take_routes(const route_table_t *base, const link_routes_t *m, route_table_t *r)
+/* Copies the routes of base that remain, and adds those of the delta. */
+static void decode_routes(const route_table_t *base, const link_routes_t *m, route_table_t *r)
 {
 	size_t n = base ? base->nroutes : 0;
-	AUTO_FREE bool *gone = mem_new((n + 1) * sizeof(*gone));
+	AUTO_FREE bool *replaced = mem_new((n + 1) * sizeof(*replaced));
 
 	if (base)
-		mark_gone(base, m, gone);
+		mark_replaced(base, m, replaced);
 	r->routes = mem_new((n + m->put.put_len + 1) * sizeof(*r->routes));
 	for (size_t i = 0; i < n; i++) {
-		if (!gone[i])
+		if (!replaced[i])
 			copy_route(&r->routes[r->nroutes++], &base->routes[i]);
 	}
 	for (u_int i = 0; i < m->put.put_len; i++)
-		take_put(&r->routes[r->nroutes++], &m->put.put_val[i]);
+		decode_route(&r->routes[r->nroutes++], &m->put.put_val[i]);
 }
 
-static void take_services(const link_routes_t *m, route_table_t *r)
+static void decode_services(const link_routes_t *m, route_table_t *r)
 {
 	r->services = mem_new((m->services.services_len + 1) * sizeof(*r->services));
 	for (u_int i = 0; i < m->services.services_len; i++) {
@@ -233,7 +237,7 @@
 	}
 }
 
-static status_t apply(str_t plain, const route_table_t *base, route_table_t **out)
+static status_t apply_delta(str_t plain, const route_table_t *base, route_table_t **out)
 {
 	route_table_t *r = route_table_new();
 	link_routes_t m;
@@ -243,8 +247,8 @@
 		r->version = m.label;
 		r->limits = (route_client_limits_t){m.header_bytes, m.body_bytes, m.header_ms,
 						    m.idle_ms};
-		take_services(&m, r);
-		take_routes(base, &m, r);
+		decode_services(&m, r);
+		decode_routes(base, &m, r);
 		st = route_table_build(r) == STATUS_OK ? STATUS_OK : STATUS_CORRUPT;
 	}
 	wire_free(XDR_PROC(link_routes_t), &m);
@@ -256,15 +260,16 @@
 	return st;
 }
 
-status_t delta_unpack(str_t change, uint32_t size, const route_table_t *base, route_table_t **out)
+status_t delta_unpack(str_t delta, uint32_t size, const route_table_t *base, route_table_t **out)
 {
 	AUTO_FREE char *plain = NULL;
 	status_t st;
 
 	*out = NULL;
 	if (size > DELTA_SIZE_MAX)
-		return status_fail(STATUS_CORRUPT, "a change of routes of %u bytes", size);
+		return status_fail(STATUS_CORRUPT, "route delta of %u bytes exceeds the limit",
+				   size);
 	plain = mem_new(size + 1);
-	st = inflate(change, size, plain);
-	return st == STATUS_OK ? apply((str_t){plain, size}, base, out) : st;
+	st = inflate(delta, size, plain);
+	return st == STATUS_OK ? apply_delta((str_t){plain, size}, base, out) : st;
 }
--- a/src/client/directory.c
+++ b/src/client/directory.c
@@ -12,11 +12,11 @@
 
 	platform_op_decode(&r->head, &op);
 	if (op.kind != PLATFORM_OP_ADDRESSES) {
-		http_reply(c, 404, STR(""), STR("no such call"));
+		http_reply(c, 404, STR(""), STR("unknown path"));
 		return;
 	}
 	if (n == 0) {
-		http_reply(c, 503, STR(""), STR("no entry is known"));
+		http_reply(c, 503, STR(""), STR("no entry available"));
 		return;
 	}
 	n = n < PLATFORM_ADDRESSES_MAX ? n : PLATFORM_ADDRESSES_MAX;
--- a/src/client/leader_link.c
+++ b/src/client/leader_link.c
@@ -9,10 +9,10 @@
 #include "base/rpc.h"
 #include "net/msgconn.h"
 
-/** A control process that doesn't answer a hello within this, in ms, is passed over. */
-#define HELLO_MS 150
-/** Pause before the next try after one that failed at once, in ms. */
-#define RETRY_MS     20
+/** A control process that does not answer a hello within this time, in ms, is skipped. */
+#define HELLO_TIMEOUT_MS 150
+/** Pause between connection attempts, in ms: an attempt may fail at once. */
+#define RECONNECT_MS 20
 #define CONTROLS_MAX 32
 
 typedef struct {
@@ -21,28 +21,28 @@
 	leader_link_reply_t reply;
 	void *ctx;
 	UT_hash_handle hh;
-} call_t;
+} pending_call_t;
 
-struct ll {
+struct leader_link {
 	leader_link_options_t o;
 	char controls[CONTROLS_MAX][LEADER_LINK_ADDR_BYTES];
-	size_t n;
-	size_t next;
+	size_t ncontrols;
+	size_t next_control;
 	char hint[LEADER_LINK_ADDR_BYTES];
-	char rpc[LEADER_LINK_ADDR_BYTES]; /* of the process that is tried or linked */
-	char addr[LEADER_LINK_ADDR_BYTES]; /* where it takes links */
+	char rpc_addr[LEADER_LINK_ADDR_BYTES]; /* of the process being tried or linked */
+	char link_addr[LEADER_LINK_ADDR_BYTES]; /* its link address */
 	msgconn_t *link;
 	bool up;
 	bool idle;
 	deadline_t down_since;
-	deadline_t tried;
+	deadline_t connect_started;
 	deadline_t retry_at;
-	deadline_t sent; /* when something was sent last */
-	deadline_t asked; /* when the oldest unacknowledged question was sent; 0: there is none */
+	deadline_t last_sent; /* when the last message was sent */
+	deadline_t unacked_since; /* when the oldest unacknowledged message was sent; 0: none */
 	uint64_t call_id;
-	call_t *calls;
+	pending_call_t *calls;
 	ev_timer tick;
-	deadline_t ticked; /* when it ran last */
+	deadline_t last_tick; /* when on_tick last ran */
 };
 
 const char *leader_link_call_name(link_call_kind_t kind)
@@ -72,12 +72,13 @@
 
 void leader_link_add_control(leader_link_t *l, str_t addr)
 {
-	for (size_t i = 0; i < l->n; i++) {
+	for (size_t i = 0; i < l->ncontrols; i++) {
 		if (str_eq(str_c(l->controls[i]), addr))
 			return;
 	}
-	if (l->n < CONTROLS_MAX && addr.n < sizeof(l->controls[0]))
-		snprintf(l->controls[l->n++], sizeof(l->controls[0]), "%.*s", STR_ARG(addr));
+	if (l->ncontrols < CONTROLS_MAX && addr.n < sizeof(l->controls[0]))
+		snprintf(l->controls[l->ncontrols++], sizeof(l->controls[0]), "%.*s",
+			 STR_ARG(addr));
 }
 
 void leader_link_hint(leader_link_t *l, str_t addr)
@@ -90,12 +91,12 @@
 
 str_t leader_link_leader(const leader_link_t *l)
 {
-	return l->up ? str_c(l->rpc) : (str_t){"", 0};
+	return l->up ? str_c(l->rpc_addr) : (str_t){"", 0};
 }
 
 size_t leader_link_controls(const leader_link_t *l, str_t *out, size_t max)
 {
-	size_t n = l->n < max ? l->n : max;
+	size_t n = l->ncontrols < max ? l->ncontrols : max;
 
 	for (size_t i = 0; i < n; i++)
 		out[i] = str_c(l->controls[i]);
@@ -118,7 +119,7 @@
 
 	wire_encode(&b, XDR_PROC(link_msg_t), m);
 	msgconn_send(l->link, str_buf(&b));
-	l->sent = clock_now_ms();
+	l->last_sent = clock_now_ms();
 }
 
 void leader_link_send(leader_link_t *l, const link_msg_t *m)
@@ -132,11 +133,11 @@
 	if (!l->up)
 		return;
 	send_msg(l, m);
-	if (!l->asked)
-		l->asked = l->sent;
+	if (!l->unacked_since)
+		l->unacked_since = l->last_sent;
 }
 
-static void greet(leader_link_t *l)
+static void send_hello(leader_link_t *l)
 {
 	link_msg_t m = {.kind = LINK_HELLO};
 
@@ -147,22 +148,22 @@
 void leader_link_resend_hello(leader_link_t *l)
 {
 	if (l->up)
-		greet(l);
+		send_hello(l);
 }
 
-static void end_call(leader_link_t *l, call_t *c, const link_reply_t *r)
+static void end_call(leader_link_t *l, pending_call_t *c, const link_reply_t *r)
 {
-	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): nodes are unlinked first */
 	HASH_DEL(l->calls, c);
 	if (c->reply)
 		c->reply(c->ctx, r, true);
 	free(c);
 }
 
-static void end_calls(leader_link_t *l, deadline_t due_by)
+static void expire_calls(leader_link_t *l, deadline_t due_by)
 {
-	call_t *c;
-	call_t *next;
+	pending_call_t *c;
+	pending_call_t *next;
 
 	HASH_ITER (hh, l->calls, c, next) {
 		if (c->deadline <= due_by)
@@ -170,7 +171,7 @@
 	}
 }
 
-static void drop(leader_link_t *l, const char *reason)
+static void drop_link(leader_link_t *l, const char *reason)
 {
 	bool was_up = l->up;
 
@@ -178,16 +179,16 @@
 		msgconn_close(l->link);
 	l->link = NULL;
 	l->up = false;
-	l->asked = 0;
-	l->retry_at = clock_now_ms() + RETRY_MS;
+	l->unacked_since = 0;
+	l->retry_at = clock_now_ms() + RECONNECT_MS;
 	if (!was_up)
 		return;
 	l->down_since = clock_now_ms();
-	log_event(LOG_LEVEL_WARN, "leader_lost", LOG_CSTR("addr", l->addr),
+	log_event(LOG_LEVEL_WARN, "leader_lost", LOG_CSTR("addr", l->link_addr),
 		  LOG_CSTR("reason", reason));
 	METRIC_INC("auburn_leader_lost_total");
 	l->o.down(l->o.ctx);
-	end_calls(l, DEADLINE_NEVER);
+	expire_calls(l, DEADLINE_NEVER);
 }
 
 static void on_welcome(leader_link_t *l, const link_welcome_t *w)
@@ -196,13 +197,13 @@
 
 	if (!w->leads) {
 		leader_link_hint(l, leader);
-		drop(l, "doesn't lead");
+		drop_link(l, "doesn't lead");
 		return;
 	}
 	if (l->up)
 		return;
 	l->up = true;
-	log_event(LOG_LEVEL_INFO, "leader_found", LOG_CSTR("addr", l->addr),
+	log_event(LOG_LEVEL_INFO, "leader_found", LOG_CSTR("addr", l->link_addr),
 		  LOG_INT("after_ms", clock_now_ms() - l->down_since));
 	l->o.up(l->o.ctx);
 }
@@ -210,7 +211,7 @@
 static void on_reply(leader_link_t *l, const link_reply_t *r)
 {
 	uint64_t id = r->id;
-	call_t *c;
+	pending_call_t *c;
 
 	HASH_FIND(hh, l->calls, &id, sizeof(id), c);
 	if (c)
@@ -222,10 +223,10 @@
 	leader_link_t *l = ctx;
 	link_msg_t m;
 
-	l->asked = 0;
+	l->unacked_since = 0;
 	if (wire_decode(s, XDR_PROC(link_msg_t), &m, sizeof(m)) != STATUS_OK) {
 		log_event(LOG_LEVEL_ERROR, "link_message_malformed", LOG_INT("bytes", s.n));
-		drop(l, "malformed message");
+		drop_link(l, "malformed message");
 	} else if (m.kind == LINK_WELCOME) {
 		on_welcome(l, &m.link_msg_t_u.welcome);
 	} else if (m.kind == LINK_REPLY) {
@@ -241,53 +242,55 @@
 	leader_link_t *l = ctx;
 
 	l->link = NULL;
-	drop(l, "closed");
+	drop_link(l, "closed");
 }
 
 static void on_open(void *ctx, msgconn_t *link)
 {
-	greet(ctx);
+	send_hello(ctx);
 }
 
-static void try_next(leader_link_t *l)
+static void connect_next(leader_link_t *l)
 {
 	msgconn_options_t o = {l->o.loop, l, on_message, on_closed, on_open};
 
 	if (l->hint[0]) {
-		snprintf(l->rpc, sizeof(l->rpc), "%s", l->hint);
+		snprintf(l->rpc_addr, sizeof(l->rpc_addr), "%s", l->hint);
 		l->hint[0] = 0;
 	} else {
-		snprintf(l->rpc, sizeof(l->rpc), "%s", l->controls[l->next++ % l->n]);
+		snprintf(l->rpc_addr, sizeof(l->rpc_addr), "%s",
+			 l->controls[l->next_control++ % l->ncontrols]);
 	}
-	l->tried = clock_now_ms();
-	l->retry_at = l->tried + RETRY_MS;
-	if (leader_link_make_addr(str_c(l->rpc), l->o.link_port, l->addr) == STATUS_OK)
-		l->link = msgconn_connect(l->addr, &o);
+	l->connect_started = clock_now_ms();
+	l->retry_at = l->connect_started + RECONNECT_MS;
+	if (leader_link_make_addr(str_c(l->rpc_addr), l->o.link_port, l->link_addr) == STATUS_OK)
+		l->link = msgconn_connect(l->link_addr, &o);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
 {
 	leader_link_t *l = w->data;
 	deadline_t now = clock_now_ms();
-	deadline_t seen;
-
-	/* What came during a pause of this process may not be read yet: it counts for no silence.
-	 */
-	seen = now < l->ticked + LEADER_LINK_TICK_MS ? now : l->ticked + LEADER_LINK_TICK_MS;
-	l->ticked = now;
-	end_calls(l, now);
+	deadline_t read_until;
+
+	/* Data that arrived while this process was paused may still be unread, so silence counts
+	 * only up to one tick after the previous tick. */
+	read_until =
+		now < l->last_tick + LEADER_LINK_TICK_MS ? now : l->last_tick + LEADER_LINK_TICK_MS;
+	l->last_tick = now;
+	expire_calls(l, now);
 	if (l->idle)
 		return;
-	if (l->up && seen - msgconn_last_received(l->link) > LEADER_LINK_SILENCE_MS)
-		drop(l, "silent");
-	else if (l->up && l->asked && seen - l->asked > LEADER_LINK_ACK_MS &&
-		 seen - msgconn_last_received(l->link) > LEADER_LINK_ACK_MS)
-		drop(l, "no answer");
-	else if (l->link && !l->up && seen - l->tried > HELLO_MS)
-		drop(l, "no answer");
-	if (!l->link && now >= l->retry_at && l->n > 0)
-		try_next(l);
-	if (l->up && now - l->sent >= LEADER_LINK_PING_MS)
+	if (l->up && read_until - msgconn_last_received(l->link) > LEADER_LINK_SILENCE_MS)
+		drop_link(l, "silent");
+	else if (l->up && l->unacked_since && read_until - l->unacked_since > LEADER_LINK_ACK_MS &&
+		 read_until - msgconn_last_received(l->link) > LEADER_LINK_ACK_MS)
+		drop_link(l, "no answer");
+	else if (l->link && !l->up && read_until - l->connect_started > HELLO_TIMEOUT_MS)
+		drop_link(l, "no answer");
+	if (!l->link && now >= l->retry_at && l->ncontrols > 0)
+		connect_next(l);
+	if (l->up && now - l->last_sent >= LEADER_LINK_PING_MS)
 		send_msg(l, &(link_msg_t){.kind = LINK_PING});
 }
 
@@ -300,7 +303,7 @@
 	for (size_t i = 0; i < o->ncontrols; i++)
 		leader_link_add_control(l, str_c(o->controls[i]));
 	ev_timer_init(&l->tick, on_tick, 0.0, LEADER_LINK_TICK_MS / 1000.0);
-	ev_set_priority(&l->tick, EV_MINPRI); /* behind the reads of its turn */
+	ev_set_priority(&l->tick, EV_MINPRI); /* after the reads of the same loop iteration */
 	l->tick.data = l;
 	ev_timer_start(o->loop, &l->tick);
 	return l;
@@ -309,17 +312,17 @@
 void leader_link_set_idle(leader_link_t *l, bool idle)
 {
 	if (idle && !l->idle && l->link)
-		drop(l, "leads itself");
+		drop_link(l, "leads itself");
 	if (!idle && l->idle)
 		l->down_since = clock_now_ms();
 	l->idle = idle;
 }
 
-void leader_link_call(leader_link_t *l, link_call_arg_t *what, deadline_t deadline,
+void leader_link_call(leader_link_t *l, link_call_arg_t *arg, deadline_t deadline,
 		      leader_link_reply_t reply, void *ctx)
 {
 	link_msg_t m = {.kind = LINK_CALL};
-	call_t *c;
+	pending_call_t *c;
 
 	if (!l->up) {
 		reply(ctx, NULL, false);
@@ -332,6 +335,6 @@
 	c->ctx = ctx;
 	HASH_ADD(hh, l->calls, id, sizeof(c->id), c);
 	m.link_msg_t_u.call.id = c->id;
-	m.link_msg_t_u.call.what = *what;
+	m.link_msg_t_u.call.what = *arg;
 	send_msg(l, &m);
 }
--- a/src/client/routes_decode.c
+++ b/src/client/routes_decode.c
@@ -4,8 +4,8 @@
 #include "platform/platform.h"
 #include "state/config.h"
 
-/* The platform's texts are JSON objects; no TOML document begins with a brace. */
-static bool is_platforms(str_t text)
+/* Configs of the platform are JSON objects; no TOML document begins with a brace. */
+static bool is_platform_format(str_t text)
 {
 	size_t i = 0;
 
@@ -19,7 +19,7 @@
 	config_t *t = NULL;
 	status_t st;
 
-	if (is_platforms(text))
+	if (is_platform_format(text))
 		return platform_config_decode(text, out);
 	*out = NULL;
 	st = config_parse(text, &t);
--- a/src/client/upstream_list.c
+++ b/src/client/upstream_list.c
@@ -5,15 +5,15 @@
 #include "net/timeout.h"
 #include "platform/platform.h"
 
-/** A read that takes longer, in ms, is given up: the next one follows a second later. */
-#define READ_MS	   1500
-#define CONNECT_MS 500
-/** Bytes of an answer to a call for one page: a page of some hundred replicas is below 100 KB. */
+/** Time limit for reading the whole list, in ms; the hub starts the next read a second later. */
+#define READ_TIMEOUT_MS	   1500
+#define CONNECT_TIMEOUT_MS 500
+/** Bytes of the response for one page; a page of a few hundred replicas is below 100 KB. */
 #define PAGE_BYTES_MAX (4U << 20)
-/** Replicas of a whole list: several times those of the size designed for. */
+/** Replicas in a whole list: several times the size that the system is designed for. */
 #define REPLICAS_MAX 20000
 
-struct ul {
+struct upstream_list {
 	upstream_list_options_t o;
 	http_call_t *call;
 	timeout_t timer;
@@ -24,7 +24,7 @@
 	bool failing;
 };
 
-static void stop(upstream_list_t *u)
+static void end_read(upstream_list_t *u)
 {
 	timeout_stop(&u->timer);
 	wire_free(XDR_PROC(link_view_t), &u->list);
@@ -32,14 +32,14 @@
 	u->call = NULL;
 }
 
-static void fail(upstream_list_t *u, const char *reason)
+static void fail_read(upstream_list_t *u, const char *reason)
 {
 	METRIC_INC("auburn_list_reads_failed_total");
 	if (!u->failing)
 		log_event(LOG_LEVEL_WARN, "list_lost", LOG_CSTR("addr", u->o.addr),
 			  LOG_CSTR("reason", reason), LOG_INT("status", u->status));
 	u->failing = true;
-	stop(u);
+	end_read(u);
 }
 
 static void read_page(upstream_list_t *u);
@@ -50,17 +50,17 @@
 
 	u->call = NULL;
 	if (how != HTTP_CALL_DONE || u->status != 200) {
-		fail(u, how == HTTP_CALL_TOO_LONG ? "page too long"
-			: how == HTTP_CALL_DONE	  ? "refused"
-						  : "connection broken");
+		fail_read(u, how == HTTP_CALL_TOO_LONG ? "page too long"
+			     : how == HTTP_CALL_DONE   ? "refused"
+						       : "connection broken");
 		return;
 	}
 	if (platform_list_decode(str_buf(&u->body), &u->list, &u->cursor) != STATUS_OK) {
-		fail(u, status_message());
+		fail_read(u, status_message());
 		return;
 	}
 	if (u->list.upstreams.upstreams_len > REPLICAS_MAX) {
-		fail(u, "too many replicas");
+		fail_read(u, "too many replicas");
 		return;
 	}
 	if (u->cursor.n) {
@@ -71,7 +71,7 @@
 		log_event(LOG_LEVEL_INFO, "list_regained", LOG_CSTR("addr", u->o.addr));
 	u->failing = false;
 	u->o.list(u->o.ctx, &u->list);
-	stop(u);
+	end_read(u);
 }
 
 static bool on_head(void *ctx, const http_head_t *h)
@@ -96,10 +96,11 @@
 				  &(http_call_options_t){
 					  .request = str_buf(&req),
 					  .addr = u->o.addr,
-					  /* A late copy of a page would be taken for the next. */
+					  /* A late response on a reused connection could be
+					   * mistaken for the next page. */
 					  .new_conn = true,
 					  .max_bytes = PAGE_BYTES_MAX,
-					  .connect_deadline = clock_now_ms() + CONNECT_MS,
+					  .connect_deadline = clock_now_ms() + CONNECT_TIMEOUT_MS,
 					  .ctx = u,
 					  .head = on_head,
 					  .body = on_body,
@@ -113,7 +114,7 @@
 
 	if (u->call)
 		http_call_cancel(u->call);
-	fail(u, "no answer");
+	fail_read(u, "no answer");
 }
 
 upstream_list_t *upstream_list_new(const upstream_list_options_t *o)
@@ -130,6 +131,6 @@
 	if (u->call)
 		return;
 	u->cursor.n = 0;
-	timeout_set(&u->timer, READ_MS);
+	timeout_set(&u->timer, READ_TIMEOUT_MS);
 	read_page(u);
 }
