--- a/src/control/hub.c
+++ b/src/control/hub.c
@@ -1,4 +1,4 @@
-/* The hub's thread: links, roles, and calls that others make on this process. */
+/* Event loop of the hub: links to other processes, the leader role, and calls on this process. */
 #include "control/hub.h"
 
 #include <stdlib.h>
@@ -7,15 +7,15 @@
 #include "base/log.h"
 #include "net/tcp.h"
 
-/** A linked process that says nothing for this long, in ms, is taken for lost. */
-#define PEER_SILENT_MS 700
-/** A new leader's first barrier may take this long, in ms. */
+/** Silence timeout of a linked process, in ms. */
+#define PEER_SILENCE_MS 700
+/** Time limit of a new leader's first read barrier, in ms. */
 #define BARRIER_MS   2000
 #define CALL_THREADS 3
-/** Control processes that aren't linked are told who leads on this period, in ms. */
+/** The leader announces itself to control processes without a link on this period, in ms. */
 #define ANNOUNCE_MS 500
 
-hub_peer_t *hub_peer(hub_t *h, uint64_t id)
+hub_peer_t *hub_find_peer(hub_t *h, uint64_t id)
 {
 	hub_peer_t *p;
 
@@ -41,7 +41,7 @@
 		to->reply(to->ctx, r);
 		return;
 	}
-	p = hub_peer(h, to->peer);
+	p = hub_find_peer(h, to->peer);
 	if (!p)
 		return;
 	r->id = to->call_id;
@@ -58,22 +58,22 @@
 	hub_reply(h, to, &r);
 }
 
-void hub_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what)
+void hub_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg)
 {
 	if (h->role != HUB_LEADER)
 		hub_reply_status(h, from,
-				 status_fail(STATUS_UNAVAILABLE, "this process doesn't lead"));
-	else if (what->kind == LINK_CALL_CONFIG_SUBMIT || what->kind == LINK_CALL_CONFIG_GET)
-		hub_config_handle_call(h, from, what);
-	else if (what->kind == LINK_CALL_RETIRE || what->kind == LINK_CALL_RETIRE_STATUS)
-		hub_retire_handle_call(h, from, what);
+				 status_fail(STATUS_UNAVAILABLE, "this process is not the leader"));
+	else if (arg->kind == LINK_CALL_CONFIG_SUBMIT || arg->kind == LINK_CALL_CONFIG_GET)
+		hub_config_handle_call(h, from, arg);
+	else if (arg->kind == LINK_CALL_RETIRE || arg->kind == LINK_CALL_RETIRE_STATUS)
+		hub_retire_handle_call(h, from, arg);
 	else
-		hub_lots_handle_call(h, from, what);
+		hub_lots_handle_call(h, from, arg);
 }
 
-/* ---- candidates for votes ---- */
+/* ---- candidates for voters ---- */
 
-static void note_candidates(hub_t *h)
+static void update_candidates(hub_t *h)
 {
 	pthread_mutex_lock(&h->lock);
 	h->ncandidates = 0;
@@ -90,9 +90,9 @@
 	pthread_mutex_unlock(&h->lock);
 }
 
-unsigned hub_candidates(control_t *cn, group_peer_t out[CONTROL_CANDIDATES_MAX])
+unsigned hub_candidates(control_t *ctl, group_peer_t out[CONTROL_CANDIDATES_MAX])
 {
-	hub_t *h = cn->hub;
+	hub_t *h = ctl->hub;
 	unsigned n;
 
 	pthread_mutex_lock(&h->lock);
@@ -102,14 +102,14 @@
 	return n;
 }
 
-bool hub_is_busy(const control_t *cn)
+bool hub_is_busy(const control_t *ctl)
 {
-	return cn->hub->busy;
+	return ctl->hub->busy;
 }
 
 /* ---- links ---- */
 
-static void peer_drop(hub_peer_t *p, const char *reason)
+static void remove_peer(hub_peer_t *p, const char *reason)
 {
 	hub_t *h = p->hub;
 
@@ -122,20 +122,20 @@
 		dispatch_entry_remove(h->dispatch, p->id, clock_now_ms());
 	h->view_changed = true;
 	free(p);
-	note_candidates(h);
+	update_candidates(h);
 }
 
 static void on_closed(void *ctx, msgconn_t *l)
 {
-	peer_drop(msgconn_data(l), "closed");
+	remove_peer(msgconn_data(l), "closed");
 }
 
-static void copy(char *out, size_t size, wire_bytes_t b)
+static void copy_bytes(char *out, size_t size, wire_bytes_t b)
 {
 	snprintf(out, size, "%.*s", STR_ARG(wire_str(b)));
 }
 
-static void welcome(hub_t *h, hub_peer_t *p)
+static void send_welcome(hub_t *h, hub_peer_t *p)
 {
 	link_msg_t m = {.kind = LINK_WELCOME};
 	group_status_t st;
@@ -153,14 +153,14 @@
 {
 	bool first = !p->registered;
 
-	copy(p->name, sizeof(p->name), m->name);
-	copy(p->addr, sizeof(p->addr), m->addr);
-	copy(p->zone, sizeof(p->zone), m->zone);
-	copy(p->rpc_addr, sizeof(p->rpc_addr), m->control);
+	copy_bytes(p->name, sizeof(p->name), m->name);
+	copy_bytes(p->addr, sizeof(p->addr), m->addr);
+	copy_bytes(p->zone, sizeof(p->zone), m->zone);
+	copy_bytes(p->rpc_addr, sizeof(p->rpc_addr), m->control);
 	p->replica = m->replica;
 	p->draining = m->draining;
 	if (first)
-		welcome(h, p);
+		send_welcome(h, p);
 	if (h->role != HUB_LEADER)
 		return;
 	if (first)
@@ -170,7 +170,7 @@
 		log_event(LOG_LEVEL_INFO, "peer_draining", LOG_CSTR("peer", p->name));
 	p->registered = true;
 	h->view_changed = true;
-	note_candidates(h);
+	update_candidates(h);
 	hub_dispatch_hello(h, p, m);
 	hub_routes_add_peer(h, p, &m->text);
 	if (first)
@@ -186,7 +186,7 @@
 	if (wire_decode(s, XDR_PROC(link_msg_t), &m, sizeof(m)) != STATUS_OK) {
 		log_event(LOG_LEVEL_ERROR, "link_message_malformed", LOG_CSTR("peer", p->name),
 			  LOG_INT("bytes", s.n));
-		peer_drop(p, "malformed message");
+		remove_peer(p, "malformed message");
 		msgconn_close(l);
 	} else if (m.kind == LINK_HELLO) {
 		on_hello(h, p, &m.link_msg_t_u.hello);
@@ -217,23 +217,24 @@
 		p->id = ++h->peer_id;
 		p->link = msgconn_from_fd(fd, &o);
 		msgconn_set_data(p->link, p);
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): nodes are unlinked first */
 		HASH_ADD(hh, h->peers, id, sizeof(p->id), p);
 	}
 }
 
-/* seen: until when what has come is read; what came during a pause of this process may not be. */
-static void watch_links(hub_t *h, deadline_t now, deadline_t seen)
+/* read_until: time up to which received data has been read; data that arrived while this process
+ * was paused may still be unread. */
+static void check_links(hub_t *h, deadline_t now, deadline_t read_until)
 {
 	hub_peer_t *p;
 	hub_peer_t *next;
 
-	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): nodes are unlinked first */
 	HASH_ITER (hh, h->peers, p, next) {
-		if (seen - msgconn_last_received(p->link) > PEER_SILENT_MS) {
+		if (read_until - msgconn_last_received(p->link) > PEER_SILENCE_MS) {
 			msgconn_t *l = p->link;
 
-			peer_drop(p, "silent");
+			remove_peer(p, "silent");
 			msgconn_close(l);
 		} else if (now - p->last_sent >= LEADER_LINK_PING_MS) {
 			hub_send(p, &(link_msg_t){.kind = LINK_PING});
@@ -241,7 +242,7 @@
 	}
 }
 
-static void drop_links(hub_t *h)
+static void close_links(hub_t *h)
 {
 	hub_peer_t *p;
 	hub_peer_t *next;
@@ -249,18 +250,14 @@
 	HASH_ITER (hh, h->peers, p, next) {
 		msgconn_t *l = p->link;
 
-		peer_drop(p, "no longer leads");
+		remove_peer(p, "leadership lost");
 		msgconn_close(l);
 	}
 }
 
-/* ---- announcements ---- */
+/* ---- announcements of the leader ---- */
 
-/*
- * Entries that have restarted know only the seeds. When these aren't members, because they were
- * replaced or lost their disks, nobody tells them who leads: so the leader does.
- */
-static void announce_closed(void *ctx, msgconn_t *l)
+static void on_announce_closed(void *ctx, msgconn_t *l)
 {
 	hub_t *h = ctx;
 
@@ -270,11 +267,12 @@
 	}
 }
 
-static void announce_message(void *ctx, msgconn_t *l, str_t s)
+/* Nothing is expected in return for an announcement. */
+static void on_announce_message(void *ctx, msgconn_t *l, str_t s)
 {
 }
 
-static void announce_open(void *ctx, msgconn_t *l)
+static void on_announce_open(void *ctx, msgconn_t *l)
 {
 	hub_t *h = ctx;
 	link_msg_t m = {.kind = LINK_WELCOME};
@@ -295,7 +293,7 @@
 	return str_eq(str_c(h->control->settings.listen), control);
 }
 
-static void announce_end(hub_t *h)
+static void close_announce_links(hub_t *h)
 {
 	for (size_t i = 0; i < h->nannounce_links; i++) {
 		if (h->announce_links[i])
@@ -304,16 +302,22 @@
 	h->nannounce_links = 0;
 }
 
-static void announce(hub_t *h, deadline_t now)
+/*
+ * An entry that has restarted knows only the seeds. If the seeds are no longer members, because
+ * they were replaced or lost their disks, none of them can name the leader to the entry. The leader
+ * therefore announces itself to the known control processes that are not linked to it.
+ */
+static void announce_leader(hub_t *h, deadline_t now)
 {
-	msgconn_options_t o = {h->loop, h, announce_message, announce_closed, announce_open};
+	msgconn_options_t o = {h->loop, h, on_announce_message, on_announce_closed,
+			       on_announce_open};
 	str_t controls[HUB_ANNOUNCE_MAX];
 	size_t n;
 
 	if (now < h->next_announce)
 		return;
 	h->next_announce = now + ANNOUNCE_MS;
-	announce_end(h);
+	close_announce_links(h);
 	n = leader_link_controls(h->leader_link, controls, HUB_ANNOUNCE_MAX);
 	for (size_t i = 0; i < n; i++) {
 		char addr[LEADER_LINK_ADDR_BYTES];
@@ -329,7 +333,7 @@
 
 /* ---- roles ---- */
 
-static void lead_begin(hub_t *h)
+static void start_leading(hub_t *h)
 {
 	log_event(LOG_LEVEL_INFO, "dispatch_begins", LOG_INT("term", h->term));
 	leader_link_set_idle(h->leader_link, true);
@@ -338,7 +342,7 @@
 	hub_view_start_leading(h);
 }
 
-static void lead_end(hub_t *h)
+static void stop_leading(hub_t *h)
 {
 	bool led = h->role == HUB_LEADER;
 
@@ -346,56 +350,58 @@
 	if (!led)
 		return;
 	log_event(LOG_LEVEL_WARN, "dispatch_ends", LOG_INT("term", h->term));
-	announce_end(h);
+	close_announce_links(h);
 	hub_lots_stop_leading(h);
 	hub_dispatch_stop_leading(h);
 	hub_routes_stop_leading(h);
-	drop_links(h);
+	close_links(h);
 	leader_link_set_idle(h->leader_link, false);
 }
 
 typedef struct {
-	worker_task_t job;
+	worker_task_t task;
 	hub_t *h;
 	uint64_t term;
 	status_t st;
-} start_t;
+} barrier_task_t;
 
-static void start_work(worker_task_t *j)
+static void barrier_work(worker_task_t *task)
 {
-	start_t *s = (start_t *)j;
+	barrier_task_t *s = (barrier_task_t *)task;
 
 	s->st = group_read_barrier(s->h->control->groups[0].raft, clock_now_ms() + BARRIER_MS);
 }
 
-static void start_done(worker_task_t *j)
+static void barrier_done(worker_task_t *task)
 {
-	start_t *s = (start_t *)j;
+	barrier_task_t *s = (barrier_task_t *)task;
 	hub_t *h = s->h;
 
 	if (h->role == HUB_STARTING && h->term == s->term) {
 		h->role = s->st == STATUS_OK ? HUB_LEADER : HUB_FOLLOWER;
 		if (h->role == HUB_LEADER)
-			lead_begin(h);
+			start_leading(h);
 	}
 	free(s);
 }
 
-static void check_role(hub_t *h)
+/* Follows the Raft role. A new leader dispatches only after a read barrier, when it has applied all
+ * commands of its predecessors. */
+static void update_role(hub_t *h)
 {
 	group_status_t st;
-	start_t *s;
+	barrier_task_t *s;
 
 	group_get_status(h->control->groups[0].raft, &st);
 	if (h->role != HUB_FOLLOWER && (!st.leader || st.term != h->term))
-		lead_end(h);
+		stop_leading(h);
 	if (h->role != HUB_FOLLOWER || !st.leader)
 		return;
 	h->role = HUB_STARTING;
 	h->term = st.term;
 	s = mem_new(sizeof(*s));
-	*s = (start_t){.job = {start_work, start_done, NULL}, .h = h, .term = st.term};
-	worker_pool_submit(h->call_workers, &s->job);
+	*s = (barrier_task_t){.task = {barrier_work, barrier_done, NULL}, .h = h, .term = st.term};
+	worker_pool_submit(h->call_workers, &s->task);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
@@ -405,34 +411,35 @@
 
 	h->busy = (h->operators && http_server_pending(h->operators)) ||
 		  (h->directory && http_server_pending(h->directory));
-	check_role(h);
-	watch_links(h, now, now < h->last_tick + HUB_TICK_MS ? now : h->last_tick + HUB_TICK_MS);
+	update_role(h);
+	check_links(h, now, now < h->last_tick + HUB_TICK_MS ? now : h->last_tick + HUB_TICK_MS);
 	h->last_tick = now;
 	if (h->role != HUB_LEADER)
 		return;
-	announce(h, now);
+	announce_leader(h, now);
 	hub_routes_tick(h, now);
 	hub_view_tick(h, now);
 	hub_lots_tick(h, now);
 	dispatch_tick(h->dispatch, now);
 }
 
-/* ---- the link to the leader ---- */
+/* ---- link to the leader ---- */
 
 typedef struct {
-	worker_task_t job;
+	worker_task_t task;
 	hub_t *h;
 	char **addrs;
 	size_t n;
-} controls_t;
+} add_controls_task_t;
 
-static void controls_work(worker_task_t *j)
+/* The worker has nothing to do: the task only moves the addresses to the hub's thread. */
+static void add_controls_work(worker_task_t *task)
 {
 }
 
-static void controls_done(worker_task_t *j)
+static void add_controls_done(worker_task_t *task)
 {
-	controls_t *c = (controls_t *)j;
+	add_controls_task_t *c = (add_controls_task_t *)task;
 
 	for (size_t i = 0; i < c->n; i++) {
 		leader_link_add_control(c->h->leader_link, str_c(c->addrs[i]));
@@ -442,17 +449,17 @@
 	free(c);
 }
 
-void hub_add_controls(control_t *cn, const toml_strs_t *addrs)
+void hub_add_controls(control_t *ctl, const toml_strs_t *addrs)
 {
-	controls_t *c = mem_new(sizeof(*c));
+	add_controls_task_t *c = mem_new(sizeof(*c));
 
-	c->job = (worker_task_t){controls_work, controls_done, NULL};
-	c->h = cn->hub;
+	c->task = (worker_task_t){add_controls_work, add_controls_done, NULL};
+	c->h = ctl->hub;
 	c->n = addrs->n;
 	c->addrs = mem_new((addrs->n + 1) * sizeof(*c->addrs));
 	for (size_t i = 0; i < addrs->n; i++)
 		c->addrs[i] = str_dup(str_c(addrs->v[i]));
-	worker_pool_submit(cn->hub->call_workers, &c->job);
+	worker_pool_submit(ctl->hub->call_workers, &c->task);
 }
 
 static void fill_hello(void *ctx, link_hello_t *out)
@@ -477,11 +484,11 @@
 		hub_view_adopt(h, &m->link_msg_t_u.view);
 }
 
-static void on_link_change(void *ctx)
+static void ignore_link_change(void *ctx)
 {
 }
 
-static void *run(void *arg)
+static void *run_loop(void *arg)
 {
 	hub_t *h = arg;
 
@@ -505,12 +512,12 @@
 	return STATUS_OK;
 }
 
-status_t hub_start(control_t *cn)
+status_t hub_start(control_t *ctl)
 {
 	hub_t *h = mem_new(sizeof(*h));
 	pthread_t t;
 
-	h->control = cn;
+	h->control = ctl;
 	h->loop = ev_loop_new(EVFLAG_AUTO);
 	pthread_mutex_init(&h->lock, NULL);
 	h->http = http_client_new(h->loop);
@@ -518,25 +525,25 @@
 	h->call_workers = worker_pool_new(h->loop, CALL_THREADS);
 	h->leader_link = leader_link_new(&(leader_link_options_t){
 		.loop = h->loop,
-		.controls = (const char *const *)cn->settings.controls.v,
-		.ncontrols = cn->settings.controls.n,
-		.link_port = (unsigned)cn->settings.link_port,
+		.controls = (const char *const *)ctl->settings.controls.v,
+		.ncontrols = ctl->settings.controls.n,
+		.link_port = (unsigned)ctl->settings.link_port,
 		.ctx = h,
 		.hello = fill_hello,
 		.message = on_leader_message,
-		.up = on_link_change,
-		.down = on_link_change,
+		.up = ignore_link_change,
+		.down = ignore_link_change,
 	});
 	hub_view_init(h);
 	if (listen_links(h) != STATUS_OK || hub_http_start(h) != STATUS_OK)
 		return STATUS_IO;
 	ev_timer_init(&h->tick, on_tick, 0.0, HUB_TICK_MS / 1000.0);
-	ev_set_priority(&h->tick, EV_MINPRI); /* behind the reads of its turn */
+	ev_set_priority(&h->tick, EV_MINPRI); /* after the reads of the same loop iteration */
 	h->tick.data = h;
 	ev_timer_start(h->loop, &h->tick);
-	cn->hub = h;
-	if (pthread_create(&t, NULL, run, h) != 0)
-		return status_fail(STATUS_IO, "no thread for the hub");
+	ctl->hub = h;
+	if (pthread_create(&t, NULL, run_loop, h) != 0)
+		return status_fail(STATUS_IO, "cannot create the hub thread");
 	pthread_detach(t);
 	return STATUS_OK;
 }
--- a/src/control/hub.h
+++ b/src/control/hub.h
@@ -1,8 +1,9 @@
 /**
- * The hub: the thread of a control process that serves links from entries, operators and callers
- * that look for an entry. While its process leads group 0 it also dispatches: it reads the list of
- * replicas, places online requests and items, and commits what becomes of lots. Otherwise it links
- * to the leader, passes calls on to it and keeps its view.
+ * The hub: the event-loop thread of a control process. It serves links from entries and other
+ * control processes, and HTTP calls of operators and of callers that look up entries. While its
+ * process leads group 0, the hub is also the dispatcher: it reads the upstream list, assigns online
+ * requests and items to slots, and commits the progress and results of lots. Otherwise it links to
+ * the leader, forwards calls to it and copies its view.
  */
 #ifndef AUBURN_HUB_H
 #define AUBURN_HUB_H
@@ -23,15 +24,15 @@
 #include "state/lots.h"
 #include "state/route_table.h"
 
-/** Roles are checked, links watched and what waits placed on this period, in ms. */
+/** Period of the checks of role and links, and of the dispatcher's tick, in ms. */
 #define HUB_TICK_MS 25
-/** The list of replicas is read on this period, in ms: it lags by about as much. */
+/** Period of reads of the upstream list, in ms: the list lags by about as much. */
 #define HUB_LIST_PERIOD_MS 1000
 
-/** Control processes that are told who leads. */
+/** Control processes that receive the leader's announcements. */
 #define HUB_ANNOUNCE_MAX 32
 
-/** Replicas, and entries, that one entry is told of. */
+/** Replicas, and likewise entries, in the view sent to one entry. */
 #define HUB_SHARE_MAX 64
 
 typedef struct hub hub_t;
@@ -41,64 +42,64 @@
 	hub_t *hub;
 	uint64_t id;
 	msgconn_t *link;
-	bool registered;
+	bool registered; /* its hello has arrived while this process leads */
 	bool draining;
 	char name[64];
-	char addr[32]; /* for callers; empty for a control process */
+	char addr[32]; /* ip:port for callers; empty for a control process */
 	char zone[32];
-	char rpc_addr[32]; /* ip:port of its RPC; empty for an entry */
+	char rpc_addr[32]; /* RPC address; empty for an entry */
 	uint64_t replica; /* id of its replica of group 0 */
 	deadline_t last_sent;
-	uint64_t sent_upstreams; /* digest of the share that it was told last; 0: none */
+	uint64_t sent_upstreams; /* digests of the share of the view sent last; 0: none */
 	uint64_t sent_entries;
 	uint64_t sent_controls;
 	UT_hash_handle hh;
 } hub_peer_t;
 
-/** Who made a call: another process, or a function of this one. */
+/** Origin of a call: a linked process, or a function of this process that gets the reply. */
 typedef struct {
 	uint64_t peer;
 	uint64_t call_id;
-	void (*reply)(void *ctx, const link_reply_t *r);
+	void (*reply)(void *ctx, const link_reply_t *r); /* NULL: a linked process */
 	void *ctx;
 } hub_origin_t;
 
 typedef struct hub_lot hub_lot_t;
 
-/** An item that isn't listed yet, as the dispatcher sees it. */
+/** An item without a committed result, and its place in the dispatcher. */
 typedef struct {
 	hub_lot_t *lot;
 	uint32_t index;
-	dispatch_item_t *dispatch_ref; /* NULL once it needs no further run */
-	uint64_t entry; /* that was told to run it last */
-	buf_t text; /* made by runs so far */
-	uint32_t events;
-	uint32_t saved_bytes; /* of the text, handed to the log */
+	dispatch_item_t *dispatch_ref; /* NULL once the item needs no further run */
+	uint64_t entry; /* which received the latest run */
+	buf_t text; /* output of all runs so far */
+	uint32_t events; /* contained in text */
+	uint32_t saved_bytes; /* part of text that was added to a commit */
 	uint32_t saved_events;
 	uint32_t failures;
-	uint32_t attempts_max; /* failures that its route allows */
+	uint32_t attempts_max; /* allowed by its route */
 } hub_item_t;
 
 struct hub_lot {
 	hub_t *hub;
 	char *id;
 	uint32_t nitems;
-	uint32_t unfinished; /* items with a run */
+	uint32_t unfinished; /* items that need a further run */
 	hub_item_t *items;
 	UT_hash_handle hh;
 };
 
-/** A read that waits for a result. */
+/** A read that waits for results of a lot. */
 typedef struct hub_waiter {
 	hub_origin_t origin;
 	char *lot;
-	uint32_t after;
+	uint32_t after; /* results before this position are known to the reader */
 	deadline_t deadline;
 	struct hub_waiter *prev;
 	struct hub_waiter *next;
 } hub_waiter_t;
 
-/** What is gathered for the next commit. */
+/** Commands gathered for the next commit, and the calls that wait for them. */
 typedef struct {
 	wire_lots_cmd_t cmd;
 	size_t opens_cap;
@@ -110,15 +111,15 @@
 	size_t bytes;
 } hub_batch_t;
 
-/** Routes that a change may be made on, and the newest. */
+/** Route tables held: the newest, and the bases of deltas. */
 #define HUB_RECENT_ROUTES (FANOUT_BASES + 1)
 
-/** The routes of a text, and the change from them to the newest once it was asked for. */
+/** The routes of a config, and the delta from them to the newest, made on first use. */
 typedef struct {
 	fanout_config_id_t config;
 	route_table_t *routes;
-	buf_t delta; /* packed; of the newest: all of it */
-	uint32_t delta_size; /* unpacked; 0: not made yet */
+	buf_t delta; /* compressed; of the newest routes: all of them */
+	uint32_t delta_size; /* uncompressed; 0: not made yet */
 } hub_routes_t;
 
 typedef enum { HUB_FOLLOWER, HUB_STARTING, HUB_LEADER } hub_role_t;
@@ -127,7 +128,7 @@
 	control_t *control;
 	struct ev_loop *loop;
 	ev_timer tick;
-	deadline_t last_tick; /* when it ran last */
+	deadline_t last_tick;
 	int listener;
 	ev_io accept_watcher;
 	http_server_t *operators;
@@ -135,116 +136,118 @@
 	http_client_t *http;
 	upstream_list_t *upstream_list;
 	leader_link_t *leader_link;
-	worker_pool_t *commit_worker; /* one thread: commits follow one another */
-	worker_pool_t
-		*call_workers; /* reads and changes of the text, which may wait out a partition */
+	worker_pool_t *commit_worker; /* one thread: commits are sequential */
+	worker_pool_t *call_workers; /* for calls that may block in a partition */
 	hub_role_t role;
-	uint64_t term; /* that it leads in */
+	uint64_t term; /* of the leadership */
 	hub_peer_t *peers;
 	uint64_t peer_id;
 	dispatch_t *dispatch;
-	deadline_t next_list_read; /* next read of the list */
-	deadline_t
-		last_list_read; /* when it was read last, here or by the leader before; 0: never */
-	link_view_t view; /* newest known: own list, or the leader's */
-	leaving_t *leaving_replicas; /* as entries told */
-	ring_point_t *upstream_ring; /* of the view's lists, for entries' shares of them */
+	deadline_t next_list_read;
+	deadline_t last_list_read; /* by this process or the previous leader; 0: never */
+	link_view_t view; /* newest known: the own list, or the leader's view */
+	leaving_t *leaving_replicas; /* reported by entries */
+	ring_point_t *upstream_ring; /* over the view's lists, to select the shares of entries */
 	ring_point_t *entry_ring;
 	bool rings_stale;
 	bool view_changed;
-	deadline_t next_view; /* changes are told then */
+	deadline_t next_view; /* earliest time of the next view */
 	hub_routes_t recent_routes[HUB_RECENT_ROUTES]; /* newest first */
-	route_table_t
-		*routes; /* in force here: the first of these; NULL until a text was decoded */
-	bool decoding; /* a newer text */
-	uint64_t config_seen; /* number of the newest text that was decoded, or couldn't be */
-	fanout_t *fan_out; /* of the routes, while this process leads */
+	route_table_t *routes; /* in force: recent_routes[0]; NULL: none yet */
+	bool decoding; /* a newer config */
+	uint64_t config_seen; /* number of the newest config that was decoded, or could not be */
+	fanout_t *fan_out; /* of route deltas; NULL while this process does not lead */
 	hub_lot_t *lots;
-	uint64_t last_lot_serial; /* serial of the newest lot that is dispatched */
-	deadline_t next_lots_sync; /* next look for lots that were given up */
+	uint64_t last_lot_serial; /* of the newest lot added to the dispatcher */
+	deadline_t next_lots_sync; /* next search for ended and expired lots */
 	hub_waiter_t *waiters;
 	hub_batch_t batch;
 	bool committing;
-	_Atomic bool busy; /* calls of operators or look-ups are under way; for other threads */
+	_Atomic bool busy; /* see hub_is_busy */
 	deadline_t next_announce;
-	msgconn_t *announce_links[HUB_ANNOUNCE_MAX]; /* links that only tell who leads */
+	msgconn_t *announce_links[HUB_ANNOUNCE_MAX]; /* links that only announce the leader */
 	size_t nannounce_links;
 	pthread_mutex_t lock; /* guards candidates */
 	group_peer_t candidates[CONTROL_CANDIDATES_MAX];
 	unsigned ncandidates;
 };
 
-/* cn_hub.c */
+/* hub.c */
 
 void hub_send(hub_peer_t *p, const link_msg_t *m);
-hub_peer_t *hub_peer(hub_t *h, uint64_t id);
-/** Answers a call; r->id is set here. */
+/** The linked process with this id; NULL if its link is lost. */
+hub_peer_t *hub_find_peer(hub_t *h, uint64_t id);
+/** Replies to a call; sets r->id. */
 void hub_reply(hub_t *h, const hub_origin_t *to, link_reply_t *r);
 void hub_reply_status(hub_t *h, const hub_origin_t *to, status_t st);
 
-/* cn_hub_view.c: the list of replicas, entries and control processes */
+/* hub_view.c: the view of replicas, entries and control processes */
 
 void hub_view_init(hub_t *h);
-/** Begins to lead with the replicas that the leader before knew. */
+/** Starts leading with the replicas of the previous leader's view. */
 void hub_view_start_leading(hub_t *h);
-/** A listed replica; NULL when it isn't listed. */
+/** A replica of the view; NULL if there is none with this id. */
 const link_upstream_t *hub_find_replica(const hub_t *h, str_t id);
-/** An entry has heard from a replica that it leaves. */
+/** Handles an entry's report that a replica is leaving. */
 void hub_view_note_leaving(hub_t *h, const hub_peer_t *p, const link_leaving_t *m);
 void hub_view_tick(hub_t *h, deadline_t now);
-/** Sends the newest view to one peer. */
+/** Sends the view, or for an entry its share of it, to one peer. */
 void hub_view_send(hub_t *h, hub_peer_t *p);
-/** Age of the list of upstreams; -1: it was never read. */
+/** Age of the upstream list; -1: never read. */
 int64_t hub_list_age_ms(const hub_t *h);
-/** Takes over the leader's view. */
+/** Copies the leader's view. */
 void hub_view_adopt(hub_t *h, const link_view_t *v);
 
-/* cn_hub_routes.c: the routes in force, decoded, and their way to the entries */
+/* hub_routes.c: decodes the routes in force and sends them to the entries */
 
 void hub_routes_start_leading(hub_t *h);
 void hub_routes_stop_leading(hub_t *h);
-/** Looks whether a newer text is in force, and sends routes on. */
+/** Starts decoding if a newer config is in force, and sends pending deltas. */
 void hub_routes_tick(hub_t *h, deadline_t now);
-/** An entry has linked or is lost; holds: the text whose routes it has. */
+/** Adds an entry to the fan-out. holds: the config whose routes the entry has. */
 void hub_routes_add_peer(hub_t *h, const hub_peer_t *p, const link_config_id_t *holds);
 void hub_routes_remove_peer(hub_t *h, const hub_peer_t *p);
-/** An entry says what it holds. */
+/** Handles an entry's report of the config whose routes it has. */
 void hub_routes_ack(hub_t *h, const hub_peer_t *p, const link_config_id_t *holds);
 
-/* cn_hub_dispatch.c: online requests and items at entries */
+/* hub_dispatch.c: online requests and items at entries */
 
 void hub_dispatch_start_leading(hub_t *h);
 void hub_dispatch_stop_leading(hub_t *h);
+/** Adds an entry to the dispatcher and adopts the runs that its hello lists. */
 void hub_dispatch_hello(hub_t *h, hub_peer_t *p, const link_hello_t *hello);
 void hub_dispatch_message(hub_t *h, hub_peer_t *p, const link_msg_t *m);
+/** Routes the items anew after a change of the config. */
 void hub_dispatch_reroute(hub_t *h);
-/** Starts on lots accepted since, and stops what was ended or given up. */
+/** Adds newly accepted lots to the dispatcher; stops items of ended and expired lots. */
 void hub_lots_sync(hub_t *h);
 
-/* cn_hub_lots.c: calls on lots, and their commits */
+/* hub_lots.c: calls on lots, and their commits */
 
-void hub_lots_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what);
+void hub_lots_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg);
+/** Adds an item's result to the next commit; dead: the item failed for good. */
 void hub_lots_add_result(hub_t *h, hub_item_t *it, bool dead, str_t text);
-/** Keeps what the item has made since it was kept last, with the next commit. */
+/** Adds the item's output since its last progress to the next commit. */
 void hub_lots_add_progress(hub_t *h, hub_item_t *it);
-/** Begins a commit of what was gathered, unless one is under way. */
+/** Starts the next commit unless one is in progress or nothing was gathered. */
 void hub_lots_commit(hub_t *h);
 void hub_lots_tick(hub_t *h, deadline_t now);
+/** Fails all calls that wait for results or for the next commit. */
 void hub_lots_stop_leading(hub_t *h);
 
-/* cn_hub_text.c: changes and reads of the operators' text */
+/* hub_config.c: changes and reads of the operators' config */
 
-void hub_config_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what);
+void hub_config_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg);
 
-/* cn_hub_retire.c: control processes that are to hold nothing any more */
+/* hub_retire.c: emptying control processes */
 
-void hub_retire_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what);
+void hub_retire_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg);
 
-/* cn_hub_http.c: operators and callers that look for an entry */
+/* hub_http.c: HTTP calls of operators and of callers that look up entries */
 
 status_t hub_http_start(hub_t *h);
 
-/* cn_hub.c: a call on this process while it leads */
-void hub_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what);
+/* hub.c: executes a call; fails with STATUS_UNAVAILABLE unless this process leads */
+void hub_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg);
 
 #endif
--- a/src/control/hub_dispatch.c
+++ b/src/control/hub_dispatch.c
@@ -1,20 +1,21 @@
-/* The leader's dispatcher: online requests and items at entries. */
+/* Connects the leader's dispatcher to the entries: slot requests, grants, runs of items. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/hub.h"
 
-/** A new leader holds items back for this long, in ms, until entries have told what they run:
- * longer than their search for a leader, shorter than the time after which they give up. */
+/** A new leader starts no items for this long, in ms, so that entries can report the items that
+ * they run: longer than an entry searches for the leader, shorter than the time after which an
+ * entry without a leader stops its items. */
 #define ADOPT_HOLD_MS 800
 
-/* ---- effects of the dispatcher ---- */
+/* ---- callbacks of the dispatcher ---- */
 
 static void on_grant(void *ctx, uint64_t entry, uint64_t request, str_t replica)
 {
 	link_msg_t m = {.kind = LINK_GRANT};
-	hub_peer_t *p = hub_peer(ctx, entry);
+	hub_peer_t *p = hub_find_peer(ctx, entry);
 	const link_upstream_t *u = hub_find_replica(ctx, replica);
 
 	if (!p)
@@ -29,13 +30,13 @@
 }
 
 static void log_refusal(hub_t *h, const hub_peer_t *p, uint64_t number, int64_t retry_ms,
-			dispatch_refusal_t why)
+			dispatch_refusal_t reason)
 {
 	dispatch_stats_t st;
 
 	dispatch_stats(h->dispatch, &st);
 	log_event(LOG_LEVEL_INFO, "place_refused", LOG_CSTR("entry", p->name),
-		  LOG_INT("number", number), LOG_CSTR("reason", dispatch_refusal_name(why)),
+		  LOG_INT("number", number), LOG_CSTR("reason", dispatch_refusal_name(reason)),
 		  LOG_INT("retry_ms", retry_ms), LOG_INT("replicas", st.replicas),
 		  LOG_INT("places", st.slots), LOG_INT("online", st.online),
 		  LOG_INT("items", st.items), LOG_INT("waiting", st.asks_waiting),
@@ -43,17 +44,17 @@
 }
 
 static void on_refuse(void *ctx, uint64_t entry, uint64_t request, int64_t retry_ms,
-		      dispatch_refusal_t why)
+		      dispatch_refusal_t reason)
 {
 	link_msg_t m = {.kind = LINK_REFUSE};
-	hub_peer_t *p = hub_peer(ctx, entry);
+	hub_peer_t *p = hub_find_peer(ctx, entry);
 
 	if (!p)
 		return;
 	m.link_msg_t_u.refuse.request = request;
 	m.link_msg_t_u.refuse.retry_ms = (int)retry_ms;
 	hub_send(p, &m);
-	log_refusal(ctx, p, request, retry_ms, why);
+	log_refusal(ctx, p, request, retry_ms, reason);
 	METRIC_INC("auburn_refused_total");
 }
 
@@ -63,11 +64,11 @@
 	hub_peer_t *p;
 	str_t replica;
 	bool sent;
-} run_t;
+} item_start_t;
 
-static void send_run(control_group_t *g, void *arg)
+static void send_item_run(control_group_t *g, void *arg)
 {
-	run_t *r = arg;
+	item_start_t *r = arg;
 	const lot_t *t = lots_find(g->lots, str_c(r->it->lot->id));
 	link_msg_t m = {.kind = LINK_ITEM_RUN};
 	link_item_run_t *x = &m.link_msg_t_u.run;
@@ -96,15 +97,16 @@
 	r->sent = true;
 }
 
-static void on_run(void *ctx, void *data, uint64_t entry, str_t replica)
+static void on_start_item(void *ctx, void *data, uint64_t entry, str_t replica)
 {
 	hub_t *h = ctx;
-	run_t r = {h, data, hub_peer(h, entry), replica, false};
+	item_start_t r = {h, data, hub_find_peer(h, entry), replica, false};
 
 	r.it->entry = entry;
 	if (r.p)
-		control_group_read(&h->control->groups[0], send_run, &r);
+		control_group_read(&h->control->groups[0], send_item_run, &r);
 	if (!r.sent) {
+		/* The entry is lost or the item finished: sync the lots on the next tick. */
 		h->next_lots_sync = 0;
 		return;
 	}
@@ -115,11 +117,11 @@
 	METRIC_INC("auburn_item_runs_total");
 }
 
-static void on_stop(void *ctx, void *data, uint64_t entry)
+static void on_stop_item(void *ctx, void *data, uint64_t entry)
 {
 	hub_t *h = ctx;
 	hub_item_t *it = data;
-	hub_peer_t *p = hub_peer(h, entry);
+	hub_peer_t *p = hub_find_peer(h, entry);
 	link_msg_t m = {.kind = LINK_ITEM_STOP};
 
 	if (!p)
@@ -134,8 +136,8 @@
 
 /* ---- lots ---- */
 
-/* Where an item goes by the text in force; no service when its route has gone. */
-static const char *route_item(hub_t *h, const lot_t *t, hub_item_t *it)
+/* Service of an item by the config in force; empty when its route was removed. */
+static const char *find_item_service(hub_t *h, const lot_t *t, hub_item_t *it)
 {
 	const lot_item_t *item = &t->items[it->index];
 	const route_spec_t *r = NULL;
@@ -151,7 +153,7 @@
 typedef struct {
 	hub_t *h;
 	deadline_t now;
-} sync_t;
+} new_lots_t;
 
 static hub_lot_t *lot_new(hub_t *h, const lot_t *t)
 {
@@ -165,9 +167,10 @@
 	return lot;
 }
 
-static void take_new(control_group_t *g, void *arg)
+/* Adds the lots accepted since the last call. */
+static void add_new_lots(control_group_t *g, void *arg)
 {
-	sync_t *s = arg;
+	new_lots_t *s = arg;
 	hub_t *h = s->h;
 	int64_t wall = clock_wall_ms();
 
@@ -193,13 +196,14 @@
 			it->events = it->saved_events = t->items[i].partial_events;
 			it->saved_bytes = t->items[i].partial_n;
 			it->dispatch_ref =
-				dispatch_item_add(h->dispatch, str_c(route_item(h, t, it)),
+				dispatch_item_add(h->dispatch, str_c(find_item_service(h, t, it)),
 						  s->now + t->due_wall_ms - wall, it);
 		}
 	}
 }
 
-static void item_finish(hub_item_t *it, bool ended)
+/* Removes an item from the dispatcher. ended: its run has ended, so no entry has to stop it. */
+static void finish_item(hub_item_t *it, bool ended)
 {
 	hub_lot_t *lot = it->lot;
 	dispatch_item_t *run = it->dispatch_ref;
@@ -225,35 +229,35 @@
 
 typedef struct {
 	const hub_lot_t *lot;
-	bool gone; /* ended or forgotten */
-	bool *listed;
-} look_t;
+	bool over; /* ended, or removed from the replicated state */
+	bool *finished;
+} lot_state_t;
 
-static void look(control_group_t *g, void *arg)
+static void read_lot_state(control_group_t *g, void *arg)
 {
-	look_t *l = arg;
+	lot_state_t *l = arg;
 	const lot_t *t = lots_find(g->lots, str_c(l->lot->id));
 
-	l->gone = !t || t->ended;
+	l->over = !t || t->ended;
 	for (uint32_t i = 0; t && i < t->nitems; i++)
-		l->listed[i] = t->items[i].state != LOT_ITEM_OPEN;
+		l->finished[i] = t->items[i].state != LOT_ITEM_OPEN;
 }
 
-/* Stops what the log says is over; frees lots that have nothing left. */
-static void drop_over(hub_t *h)
+/* Stops items that are finished in the replicated state; frees lots without unfinished items. */
+static void drop_finished(hub_t *h)
 {
 	hub_lot_t *lot;
 	hub_lot_t *next;
 
 	HASH_ITER (hh, h->lots, lot, next) {
-		look_t l = {.lot = lot, .listed = mem_new(lot->nitems + 1)};
+		lot_state_t l = {.lot = lot, .finished = mem_new(lot->nitems + 1)};
 
-		control_group_read(&h->control->groups[0], look, &l);
+		control_group_read(&h->control->groups[0], read_lot_state, &l);
 		for (uint32_t i = 0; i < lot->nitems; i++) {
-			if (l.gone || l.listed[i])
-				item_finish(&lot->items[i], false);
+			if (l.over || l.finished[i])
+				finish_item(&lot->items[i], false);
 		}
-		free(l.listed);
+		free(l.finished);
 		if (lot->unfinished == 0)
 			lot_free(h, lot);
 	}
@@ -261,21 +265,21 @@
 
 void hub_lots_sync(hub_t *h)
 {
-	sync_t s = {h, clock_now_ms()};
+	new_lots_t s = {h, clock_now_ms()};
 
-	control_group_read(&h->control->groups[0], take_new, &s);
-	drop_over(h);
+	control_group_read(&h->control->groups[0], add_new_lots, &s);
+	drop_finished(h);
 	dispatch_tick(h->dispatch, clock_now_ms());
 }
 
 typedef struct {
 	hub_t *h;
 	hub_lot_t *lot;
-} route_t;
+} reroute_t;
 
-static void set_services(control_group_t *g, void *arg)
+static void update_services(control_group_t *g, void *arg)
 {
-	route_t *r = arg;
+	reroute_t *r = arg;
 	const lot_t *t = lots_find(g->lots, str_c(r->lot->id));
 
 	for (uint32_t i = 0; t && i < t->nitems; i++) {
@@ -283,15 +287,15 @@
 
 		if (it->dispatch_ref)
 			dispatch_item_set_service(r->h->dispatch, it->dispatch_ref,
-						  str_c(route_item(r->h, t, it)));
+						  str_c(find_item_service(r->h, t, it)));
 	}
 }
 
-/* Items whose route has gone can't be run. */
+/* Updates the service of every item; waiting items whose route was removed fail. */
 void hub_dispatch_reroute(hub_t *h)
 {
 	for (hub_lot_t *lot = h->lots; lot; lot = lot->hh.next)
-		control_group_read(&h->control->groups[0], set_services, &(route_t){h, lot});
+		control_group_read(&h->control->groups[0], update_services, &(reroute_t){h, lot});
 	for (hub_lot_t *lot = h->lots; lot; lot = lot->hh.next) {
 		for (uint32_t i = 0; i < lot->nitems; i++) {
 			hub_item_t *it = &lot->items[i];
@@ -300,18 +304,18 @@
 			    !dispatch_item_has_service(it->dispatch_ref)) {
 				log_event(LOG_LEVEL_WARN, "item_dead", LOG_CSTR("lot", lot->id),
 					  LOG_INT("item", i),
-					  LOG_CSTR("reason", "its route was removed"));
+					  LOG_CSTR("reason", "route removed from the config"));
 				hub_lots_add_result(h, it, true, (str_t){"", 0});
-				item_finish(it, false);
+				finish_item(it, false);
 			}
 		}
 	}
 	hub_lots_commit(h);
 }
 
-/* ---- messages of entries ---- */
+/* ---- messages from entries ---- */
 
-static hub_item_t *find_item(hub_t *h, wire_bytes_t lot_id, u_int index)
+static hub_item_t *find_unfinished_item(hub_t *h, wire_bytes_t lot_id, u_int index)
 {
 	str_t id = wire_str(lot_id);
 	hub_lot_t *lot;
@@ -321,7 +325,9 @@
 									    : NULL;
 }
 
-static void adopt(hub_t *h, hub_peer_t *p, const link_run_t *r)
+/* Adopts a run that an entry reports. The entry stops an item that is finished or runs elsewhere.
+ */
+static void adopt_run(hub_t *h, hub_peer_t *p, const link_run_t *r)
 {
 	link_msg_t stop = {.kind = LINK_ITEM_STOP};
 	hub_item_t *it;
@@ -331,7 +337,7 @@
 				       clock_now_ms());
 		return;
 	}
-	it = find_item(h, r->job, r->item);
+	it = find_unfinished_item(h, r->job, r->item);
 	if (it && dispatch_item_is_adoptable(it->dispatch_ref, clock_now_ms())) {
 		it->entry = p->id;
 		dispatch_item_adopt(h->dispatch, it->dispatch_ref, p->id, wire_str(r->replica),
@@ -351,10 +357,10 @@
 	for (u_int i = 0; i < hello->leaving_replicas.leaving_replicas_len; i++)
 		hub_view_note_leaving(h, p, &hello->leaving_replicas.leaving_replicas_val[i]);
 	for (u_int i = 0; i < hello->runs.runs_len; i++)
-		adopt(h, p, &hello->runs.runs_val[i]);
+		adopt_run(h, p, &hello->runs.runs_val[i]);
 }
 
-static void on_ask(hub_t *h, hub_peer_t *p, const link_slot_request_t *m)
+static void on_slot_request(hub_t *h, hub_peer_t *p, const link_slot_request_t *m)
 {
 	deadline_t now = clock_now_ms();
 	dispatch_request_t a = {
@@ -373,39 +379,41 @@
 	for (u_int i = 0; i < m->avoid.avoid_len && i < DISPATCH_AVOID_MAX; i++)
 		a.avoid[a.navoid++] = wire_str(m->avoid.avoid_val[i]);
 	dispatch_request_add(h->dispatch, &a, now);
-	/* A request that waits for a place shows its entry that this process is there. */
+	/* The slot request may wait here: the ping shows its entry that the leader is alive. */
 	if (p->last_sent < now)
 		hub_send(p, &(link_msg_t){.kind = LINK_PING});
 }
 
-static void item_over(hub_t *h, hub_item_t *it, bool dead, str_t text, const char *reason)
+static void end_item(hub_t *h, hub_item_t *it, bool dead, str_t text, const char *reason)
 {
 	log_event(dead ? LOG_LEVEL_WARN : LOG_LEVEL_INFO, dead ? "item_dead" : "item_done",
 		  LOG_CSTR("lot", it->lot->id), LOG_INT("item", it->index),
 		  LOG_INT("events", it->events), LOG_INT("failures", it->failures),
 		  LOG_CSTR("reason", reason));
 	hub_lots_add_result(h, it, dead, text);
-	item_finish(it, true);
+	finish_item(it, true);
 	hub_lots_commit(h);
 }
 
 static void on_item_ended(hub_t *h, hub_peer_t *p, const link_item_ended_t *m)
 {
-	hub_item_t *it = find_item(h, m->job, m->item);
+	hub_item_t *it = find_unfinished_item(h, m->job, m->item);
 
+	/* A complete result counts from any entry, any other end only from that of the latest run.
+	 */
 	if (!it || (it->entry != p->id && m->end != LINK_ITEM_END_DONE))
 		return;
 	switch (m->end) {
 	case LINK_ITEM_END_DONE:
 		it->events = m->events;
-		item_over(h, it, false, wire_str(m->text), "complete");
+		end_item(h, it, false, wire_str(m->text), "complete");
 		return;
 	case LINK_ITEM_END_IMPOSSIBLE:
-		item_over(h, it, true, (str_t){"", 0}, "the replica says it can't be done");
+		end_item(h, it, true, (str_t){"", 0}, "replica reports the item as impossible");
 		return;
 	case LINK_ITEM_END_FAILED:
 		if (++it->failures >= it->attempts_max) {
-			item_over(h, it, true, (str_t){"", 0}, "failed at every attempt");
+			end_item(h, it, true, (str_t){"", 0}, "failed at every attempt");
 			return;
 		}
 		dispatch_item_avoid(it->dispatch_ref, wire_str(m->replica));
@@ -419,7 +427,7 @@
 		buf_add(&it->text, wire_str(m->text));
 		hub_lots_add_progress(h, it);
 	}
-	log_event(LOG_LEVEL_INFO, "item_back", LOG_CSTR("lot", it->lot->id),
+	log_event(LOG_LEVEL_INFO, "item_requeued", LOG_CSTR("lot", it->lot->id),
 		  LOG_INT("item", it->index),
 		  LOG_CSTR("outcome", dispatch_outcome_name((dispatch_outcome_t)m->outcome)),
 		  LOG_STR("replica", wire_str(m->replica)), LOG_INT("events", it->events),
@@ -430,7 +438,7 @@
 
 static void on_item_progress(hub_t *h, hub_peer_t *p, const link_item_progress_t *m)
 {
-	hub_item_t *it = find_item(h, m->job, m->item);
+	hub_item_t *it = find_unfinished_item(h, m->job, m->item);
 
 	if (!it || it->entry != p->id || m->from != it->events || m->events <= m->from)
 		return;
@@ -443,7 +451,7 @@
 {
 	switch (m->kind) {
 	case LINK_SLOT_REQUEST:
-		on_ask(h, p, &m->link_msg_t_u.ask);
+		on_slot_request(h, p, &m->link_msg_t_u.ask);
 		break;
 	case LINK_WITHDRAW:
 		dispatch_request_withdraw(h->dispatch, p->id, m->link_msg_t_u.request);
@@ -469,7 +477,7 @@
 
 void hub_dispatch_start_leading(hub_t *h)
 {
-	dispatch_callbacks_t cb = {h, on_grant, on_refuse, on_run, on_stop};
+	dispatch_callbacks_t cb = {h, on_grant, on_refuse, on_start_item, on_stop_item};
 
 	h->dispatch = dispatch_new(&cb, (uint64_t)clock_now_us());
 	h->last_lot_serial = 0;
@@ -480,7 +488,7 @@
 void hub_dispatch_stop_leading(hub_t *h)
 {
 	while (h->lots)
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): nodes are unlinked first */
 		lot_free(h, h->lots);
 	dispatch_free(h->dispatch);
 	h->dispatch = NULL;
--- a/src/control/hub_lots.c
+++ b/src/control/hub_lots.c
@@ -1,4 +1,4 @@
-/* Calls on lots, and the commits that they need. */
+/* Calls on batch lots, and the commits that record them. */
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -6,23 +6,24 @@
 #include "base/metric.h"
 #include "control/hub.h"
 
-/** A commit that takes longer, in ms, may still come to pass: its callers are told so. */
+/** Time limit of a commit, in ms. A commit that exceeds it may still be applied; its callers get a
+ * status that says so. */
 #define COMMIT_MS 2000
-/** Bytes gathered for one commit; more wait for the next. */
+/** A batch above this size accepts no further lots until the commit before it ends. */
 #define COMMIT_BYTES   (4U << 20)
 #define READ_BYTES_MAX 1000000
-/** Lots that were given up or forgotten are looked for on this period, in ms. */
+/** Ended and expired lots are searched for on this period, in ms. */
 #define SYNC_MS 500
-/** Items are given up that long after their retention, in ms, so that no clock sees it early. */
+/** Added to the retention time of an item, in ms, so that no clock drops the item early. */
 #define DROP_MARGIN_MS 5000
 #define BARRIER_MS     1000
-/** Part of the process's memory that lots may fill: a snapshot takes as much again while it is
- * written, and log, links and messages take the rest. */
+/** Percentage of memory_mib that lots may fill: writing a snapshot takes as much again, and log,
+ * links and messages take the rest. */
 #define LOTS_MEMORY_PERCENT 35
 #define MIB		    (1U << 20)
 
 typedef struct {
-	worker_task_t job;
+	worker_task_t task;
 	hub_t *h;
 	uint64_t term;
 	hub_batch_t batch;
@@ -32,9 +33,9 @@
 	wire_fleet_res_t res;
 } commit_t;
 
-/* ---- gathering ---- */
+/* ---- the batch for the next commit ---- */
 
-static void *grow(void *v, size_t n, size_t *cap, size_t size)
+static void *grow_array(void *v, size_t n, size_t *cap, size_t size)
 {
 	if (n < *cap)
 		return v;
@@ -49,8 +50,8 @@
 	size_t cap = b->opens_cap;
 
 	b->cmd.opens.opens_val =
-		grow(b->cmd.opens.opens_val, n, &b->opens_cap, sizeof(wire_lot_open_t));
-	b->open_origins = grow(b->open_origins, n, &cap, sizeof(hub_origin_t));
+		grow_array(b->cmd.opens.opens_val, n, &b->opens_cap, sizeof(wire_lot_open_t));
+	b->open_origins = grow_array(b->open_origins, n, &cap, sizeof(hub_origin_t));
 	wire_dup(XDR_PROC(wire_lot_open_t), o, &b->cmd.opens.opens_val[n], sizeof(*o));
 	b->open_origins[n] = *from;
 	b->cmd.opens.opens_len++;
@@ -63,8 +64,9 @@
 	u_int n = b->cmd.ends.ends_len;
 	size_t cap = b->ends_cap;
 
-	b->cmd.ends.ends_val = grow(b->cmd.ends.ends_val, n, &b->ends_cap, sizeof(wire_bytes_t));
-	b->end_origins = grow(b->end_origins, n, &cap, sizeof(hub_origin_t));
+	b->cmd.ends.ends_val =
+		grow_array(b->cmd.ends.ends_val, n, &b->ends_cap, sizeof(wire_bytes_t));
+	b->end_origins = grow_array(b->end_origins, n, &cap, sizeof(hub_origin_t));
 	b->cmd.ends.ends_val[n] = wire_copy(lot);
 	b->end_origins[n] = *from;
 	b->cmd.ends.ends_len++;
@@ -75,8 +77,8 @@
 	hub_batch_t *b = &h->batch;
 	u_int n = b->cmd.results.results_len;
 
-	b->cmd.results.results_val =
-		grow(b->cmd.results.results_val, n, &b->results_cap, sizeof(wire_lot_result_t));
+	b->cmd.results.results_val = grow_array(b->cmd.results.results_val, n, &b->results_cap,
+						sizeof(wire_lot_result_t));
 	b->cmd.results.results_val[n] =
 		(wire_lot_result_t){wire_copy(lot), item, dead, wire_copy(text)};
 	b->cmd.results.results_len++;
@@ -96,8 +98,8 @@
 
 	if (it->events <= it->saved_events)
 		return;
-	b->cmd.progress.progress_val = grow(b->cmd.progress.progress_val, n, &b->progress_cap,
-					    sizeof(wire_lot_progress_t));
+	b->cmd.progress.progress_val = grow_array(b->cmd.progress.progress_val, n, &b->progress_cap,
+						  sizeof(wire_lot_progress_t));
 	b->cmd.progress.progress_val[n] =
 		(wire_lot_progress_t){wire_copy(str_c(it->lot->id)), it->index, it->saved_events,
 				      it->events, wire_copy(text)};
@@ -121,13 +123,13 @@
 	str_t lot;
 	uint32_t after;
 	bool found;
-	bool over; /* nothing more will be listed */
+	bool over; /* no further results will be listed */
 	link_reply_t r;
-} read_t;
+} results_read_t;
 
 static void read_results(control_group_t *g, void *arg)
 {
-	read_t *x = arg;
+	results_read_t *x = arg;
 	const lot_t *t = lots_find(g->lots, x->lot);
 	size_t bytes = 0;
 
@@ -151,10 +153,11 @@
 	}
 }
 
-/* Answers a read; false when it is to wait on. */
-static bool answer_read(hub_t *h, const hub_origin_t *from, str_t lot, uint32_t after, bool wait)
+/* Replies to a read unless it has to wait; returns false then. */
+static bool try_answer_read(hub_t *h, const hub_origin_t *from, str_t lot, uint32_t after,
+			    bool wait)
 {
-	read_t x = {.lot = lot, .after = after};
+	results_read_t x = {.lot = lot, .after = after};
 	bool done;
 
 	control_group_read(&h->control->groups[0], read_results, &x);
@@ -172,6 +175,7 @@
 	free(w);
 }
 
+/* Replies to the waiting reads that have results by now, or are past their deadline. */
 static void wake_waiters(hub_t *h, deadline_t now)
 {
 	hub_waiter_t *w;
@@ -179,22 +183,22 @@
 
 	DL_FOREACH_SAFE(h->waiters, w, next)
 	{
-		if (answer_read(h, &w->origin, str_c(w->lot), w->after, now < w->deadline))
+		if (try_answer_read(h, &w->origin, str_c(w->lot), w->after, now < w->deadline))
 			waiter_free(h, w);
 	}
 }
 
 typedef struct {
-	worker_task_t job;
+	worker_task_t task;
 	hub_t *h;
 	hub_origin_t from;
-	link_call_arg_t what;
+	link_call_arg_t arg;
 	status_t st;
-} check_t;
+} barrier_task_t;
 
-static void check_work(worker_task_t *j)
+static void barrier_work(worker_task_t *task)
 {
-	check_t *c = (check_t *)j;
+	barrier_task_t *c = (barrier_task_t *)task;
 
 	c->st = group_read_barrier(c->h->control->groups[0].raft, clock_now_ms() + BARRIER_MS);
 }
@@ -204,11 +208,11 @@
 	str_t item;
 	status_t st;
 	buf_t body;
-} body_t;
+} body_read_t;
 
 static void read_body(control_group_t *g, void *arg)
 {
-	body_t *b = arg;
+	body_read_t *b = arg;
 	const lot_t *t = lots_find(g->lots, b->lot);
 	long i = t ? lot_find_item(t, b->item) : -1;
 
@@ -219,10 +223,10 @@
 	buf_add(&b->body, (str_t){t->items[i].data, t->items[i].data_n});
 }
 
-/* False: the lot isn't known here, or the item isn't open. */
-static bool answer_body(hub_t *h, const hub_origin_t *from, const link_item_body_t *m)
+/* Returns false if the lot is unknown here or the item is not open. */
+static bool try_answer_body(hub_t *h, const hub_origin_t *from, const link_item_body_t *m)
 {
-	body_t b = {.lot = wire_str(m->job), .item = wire_str(m->item)};
+	body_read_t b = {.lot = wire_str(m->job), .item = wire_str(m->item)};
 	link_reply_t r = {0};
 
 	control_group_read(&h->control->groups[0], read_body, &b);
@@ -233,15 +237,17 @@
 	return b.st == STATUS_OK;
 }
 
-static bool answer_known(hub_t *h, const hub_origin_t *from, const link_call_arg_t *w)
+/* Replies to a read of results or of an item's body, or queues the read of results until there are
+ * any. Returns false if the lot or item is unknown here. */
+static bool try_answer_or_wait(hub_t *h, const hub_origin_t *from, const link_call_arg_t *w)
 {
 	const link_lot_read_t *m = &w->link_call_arg_t_u.read;
-	read_t x = {.lot = wire_str(m->job), .after = UINT32_MAX};
+	results_read_t x = {.lot = wire_str(m->job), .after = UINT32_MAX};
 	hub_waiter_t *waiter;
 
 	if (w->kind == LINK_CALL_ITEM_BODY)
-		return answer_body(h, from, &w->link_call_arg_t_u.body);
-	if (answer_read(h, from, wire_str(m->job), m->after, m->wait_ms > 0))
+		return try_answer_body(h, from, &w->link_call_arg_t_u.body);
+	if (try_answer_read(h, from, wire_str(m->job), m->after, m->wait_ms > 0))
 		return true;
 	control_group_read(&h->control->groups[0], read_results, &x);
 	wire_free(XDR_PROC(link_reply_t), &x.r);
@@ -256,36 +262,38 @@
 	return true;
 }
 
-static void check_done(worker_task_t *j)
+static void barrier_done(worker_task_t *task)
 {
-	check_t *c = (check_t *)j;
+	barrier_task_t *c = (barrier_task_t *)task;
 
 	if (c->st != STATUS_OK || c->h->role != HUB_LEADER)
-		hub_reply_status(c->h, &c->from, status_fail(STATUS_UNAVAILABLE, "can't be sure"));
-	else if (!answer_known(c->h, &c->from, &c->what))
+		hub_reply_status(
+			c->h, &c->from,
+			status_fail(STATUS_UNAVAILABLE, "leadership could not be confirmed"));
+	else if (!try_answer_or_wait(c->h, &c->from, &c->arg))
 		hub_reply_status(c->h, &c->from,
 				 status_fail(STATUS_NOT_FOUND, "no such lot or item"));
-	wire_free(XDR_PROC(link_call_arg_t), &c->what);
+	wire_free(XDR_PROC(link_call_arg_t), &c->arg);
 	free(c);
 }
 
-/* "Not found" is said only by a process that surely leads. */
-static void check_and_answer(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what)
+/* Only a confirmed leader may reply "not found", so a read barrier comes first. */
+static void answer_after_barrier(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg)
 {
-	check_t *c = mem_new(sizeof(*c));
+	barrier_task_t *c = mem_new(sizeof(*c));
 
-	c->job = (worker_task_t){check_work, check_done, NULL};
+	c->task = (worker_task_t){barrier_work, barrier_done, NULL};
 	c->h = h;
 	c->from = *from;
-	wire_dup(XDR_PROC(link_call_arg_t), what, &c->what, sizeof(c->what));
-	worker_pool_submit(h->call_workers, &c->job);
+	wire_dup(XDR_PROC(link_call_arg_t), arg, &c->arg, sizeof(c->arg));
+	worker_pool_submit(h->call_workers, &c->task);
 }
 
 /* ---- commits ---- */
 
-static void commit_work(worker_task_t *j)
+static void commit_work(worker_task_t *task)
 {
-	commit_t *c = (commit_t *)j;
+	commit_t *c = (commit_t *)task;
 	AUTO_BUF result = {0};
 
 	c->st = group_propose(c->h->control->groups[0].raft, str_buf(&c->payload),
@@ -296,7 +304,7 @@
 	snprintf(c->message, sizeof(c->message), "%s", c->st == STATUS_OK ? "" : status_message());
 }
 
-static void answer_opens(hub_t *h, commit_t *c)
+static void reply_opens(hub_t *h, commit_t *c)
 {
 	for (u_int i = 0; i < c->batch.cmd.opens.opens_len; i++) {
 		const wire_lot_open_t *o = &c->batch.cmd.opens.opens_val[i];
@@ -315,7 +323,7 @@
 	}
 }
 
-static void answer_ends(hub_t *h, commit_t *c)
+static void reply_ends(hub_t *h, commit_t *c)
 {
 	for (u_int i = 0; i < c->batch.cmd.ends.ends_len; i++) {
 		str_t id = wire_str(c->batch.cmd.ends.ends_val[i]);
@@ -327,8 +335,9 @@
 	}
 }
 
-/* Results that may not have been committed are committed again: the first one stands. */
-static void retry_results(hub_t *h, commit_t *c)
+/* Results that may not have been committed are committed again: the first result of an item counts.
+ */
+static void requeue_results(hub_t *h, commit_t *c)
 {
 	for (u_int i = 0; i < c->batch.cmd.results.results_len; i++) {
 		const wire_lot_result_t *r = &c->batch.cmd.results.results_val[i];
@@ -337,9 +346,9 @@
 	}
 }
 
-static void commit_done(worker_task_t *j)
+static void commit_done(worker_task_t *task)
 {
-	commit_t *c = (commit_t *)j;
+	commit_t *c = (commit_t *)task;
 	hub_t *h = c->h;
 	bool leads = h->role == HUB_LEADER && h->term == c->term;
 
@@ -348,11 +357,11 @@
 		log_event(LOG_LEVEL_WARN, "commit_failed", LOG_CSTR("status", status_name(c->st)),
 			  LOG_CSTR("message", c->message),
 			  LOG_INT("results", c->batch.cmd.results.results_len));
-	answer_opens(h, c);
-	answer_ends(h, c);
+	reply_opens(h, c);
+	reply_ends(h, c);
 	if (leads) {
 		if (c->st != STATUS_OK)
-			retry_results(h, c);
+			requeue_results(h, c);
 		hub_lots_sync(h);
 		wake_waiters(h, clock_now_ms());
 		hub_lots_commit(h);
@@ -375,7 +384,7 @@
 		return;
 	h->committing = true;
 	c = mem_new(sizeof(*c));
-	c->job = (worker_task_t){commit_work, commit_done, NULL};
+	c->task = (worker_task_t){commit_work, commit_done, NULL};
 	c->h = h;
 	c->term = h->term;
 	c->batch = h->batch;
@@ -383,36 +392,36 @@
 	h->batch = (hub_batch_t){0};
 	cmd.wire_fleet_cmd_t_u.lots = c->batch.cmd;
 	wire_encode(&c->payload, XDR_PROC(wire_fleet_cmd_t), &cmd);
-	worker_pool_submit(h->commit_worker, &c->job);
+	worker_pool_submit(h->commit_worker, &c->task);
 }
 
 typedef struct {
 	str_t lot;
-	bool stands;
+	bool exists;
 	size_t bytes;
-} room_t;
+} memory_check_t;
 
-static void look_for_room(control_group_t *g, void *arg)
+static void read_memory_use(control_group_t *g, void *arg)
 {
-	room_t *r = arg;
+	memory_check_t *r = arg;
 
-	r->stands = lots_find(g->lots, r->lot) != NULL;
-	r->bytes = r->stands ? 0 : lots_bytes_expected(g->lots);
+	r->exists = lots_find(g->lots, r->lot) != NULL;
+	r->bytes = r->exists ? 0 : lots_bytes_expected(g->lots);
 }
 
-/* An accepted lot is kept whatever comes, so what doesn't fit isn't accepted. */
-static bool has_room(hub_t *h, str_t lot)
+/* An accepted lot must be kept, so a lot that does not fit into memory is refused. */
+static bool has_memory_for(hub_t *h, str_t lot)
 {
-	size_t most = (size_t)h->control->settings.memory_mib * MIB / 100 * LOTS_MEMORY_PERCENT;
-	room_t r = {.lot = lot};
+	size_t limit = (size_t)h->control->settings.memory_mib * MIB / 100 * LOTS_MEMORY_PERCENT;
+	memory_check_t r = {.lot = lot};
 
-	if (most == 0)
+	if (limit == 0)
 		return true;
-	control_group_read(&h->control->groups[0], look_for_room, &r);
-	if (r.stands || r.bytes + h->batch.bytes < most)
+	control_group_read(&h->control->groups[0], read_memory_use, &r);
+	if (r.exists || r.bytes + h->batch.bytes < limit)
 		return true;
 	log_event(LOG_LEVEL_WARN, "lots_fill_memory", LOG_STR("lot", lot),
-		  LOG_INT("bytes", r.bytes), LOG_INT("most", most));
+		  LOG_INT("bytes", r.bytes), LOG_INT("most", limit));
 	METRIC_INC("auburn_lots_refused_for_memory_total");
 	return false;
 }
@@ -428,16 +437,19 @@
 				      wire_str(o.items.items_val[0].path));
 	if (!r || r->kind != ROUTE_BATCH) {
 		hub_reply_status(h, from,
-				 status_fail(STATUS_UNAVAILABLE, "its route isn't known here"));
+				 status_fail(STATUS_UNAVAILABLE, "no batch route matches the lot"));
 		return;
 	}
 	if (h->batch.bytes > COMMIT_BYTES) {
-		hub_reply_status(h, from,
-				 status_fail(STATUS_UNAVAILABLE, "too much waits for the disk"));
+		hub_reply_status(
+			h, from,
+			status_fail(STATUS_UNAVAILABLE, "too many bytes wait for the log"));
 		return;
 	}
-	if (!has_room(h, wire_str(o.lot))) {
-		hub_reply_status(h, from, status_fail(STATUS_LIMIT, "lots fill the memory"));
+	if (!has_memory_for(h, wire_str(o.lot))) {
+		hub_reply_status(
+			h, from,
+			status_fail(STATUS_LIMIT, "lots have filled their share of memory"));
 		return;
 	}
 	o.quota = (uint64_t)r->waiting_tokens_max;
@@ -450,19 +462,19 @@
 	hub_lots_commit(h);
 }
 
-void hub_lots_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *what)
+void hub_lots_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg)
 {
-	switch (what->kind) {
+	switch (arg->kind) {
 	case LINK_CALL_LOT_OPEN:
-		open_lot(h, from, &what->link_call_arg_t_u.open);
+		open_lot(h, from, &arg->link_call_arg_t_u.open);
 		break;
 	case LINK_CALL_LOT_END:
-		add_end(h, from, wire_str(what->link_call_arg_t_u.job));
+		add_end(h, from, wire_str(arg->link_call_arg_t_u.job));
 		hub_lots_commit(h);
 		break;
 	default:
-		if (!answer_known(h, from, what))
-			check_and_answer(h, from, what);
+		if (!try_answer_or_wait(h, from, arg))
+			answer_after_barrier(h, from, arg);
 		break;
 	}
 }
@@ -480,16 +492,19 @@
 void hub_lots_stop_leading(hub_t *h)
 {
 	while (h->waiters) {
-		hub_reply_status(h, &h->waiters->origin,
-				 status_fail(STATUS_UNAVAILABLE, "no longer leads"));
+		hub_reply_status(
+			h, &h->waiters->origin,
+			status_fail(STATUS_UNAVAILABLE, "this process is no longer the leader"));
 		waiter_free(h, h->waiters);
 	}
-	/* Nothing of these was proposed. */
+	/* The batch was never proposed, so none of its calls took effect. */
 	for (u_int i = 0; i < h->batch.cmd.opens.opens_len; i++)
-		hub_reply_status(h, &h->batch.open_origins[i],
-				 status_fail(STATUS_UNAVAILABLE, "no longer leads"));
+		hub_reply_status(
+			h, &h->batch.open_origins[i],
+			status_fail(STATUS_UNAVAILABLE, "this process is no longer the leader"));
 	for (u_int i = 0; i < h->batch.cmd.ends.ends_len; i++)
-		hub_reply_status(h, &h->batch.end_origins[i],
-				 status_fail(STATUS_UNAVAILABLE, "no longer leads"));
+		hub_reply_status(
+			h, &h->batch.end_origins[i],
+			status_fail(STATUS_UNAVAILABLE, "this process is no longer the leader"));
 	batch_free(&h->batch);
 }
--- a/src/control/hub_routes.c
+++ b/src/control/hub_routes.c
@@ -1,5 +1,5 @@
-/* The routes in force: decoded from the log's text by a worker, as a text of thousands of routes
- * would hold up the loop, and sent to the entries as changes. */
+/* The routes in force. A worker decodes them from the config in the log, as thousands of routes
+ * would block the loop; the entries receive them as deltas. */
 #include <stdlib.h>
 #include "base/log.h"
 #include "base/metric.h"
@@ -9,21 +9,22 @@
 
 /* ---- sending ---- */
 
-static hub_routes_t *find_kept(hub_t *h, fanout_config_id_t text)
+static hub_routes_t *find_recent(hub_t *h, fanout_config_id_t config)
 {
 	for (size_t i = 0; i < HUB_RECENT_ROUTES; i++) {
 		if (h->recent_routes[i].routes &&
-		    fanout_config_id_eq(h->recent_routes[i].config, text))
+		    fanout_config_id_eq(h->recent_routes[i].config, config))
 			return &h->recent_routes[i];
 	}
 	return NULL;
 }
 
-/* The entry at 0 holds the newest routes; what is packed there is all of them. */
-static hub_routes_t *packed(hub_t *h, fanout_config_id_t base)
+/* Returns the routes whose delta leads from base to the newest; packs the delta on first use. Index
+ * 0 holds the newest routes, and its delta contains all of them. */
+static hub_routes_t *pack_delta(hub_t *h, fanout_config_id_t base)
 {
 	hub_routes_t *newest = &h->recent_routes[0];
-	hub_routes_t *from = base.number ? find_kept(h, base) : NULL;
+	hub_routes_t *from = base.number ? find_recent(h, base) : NULL;
 	hub_routes_t *k = from && from != newest ? from : newest;
 
 	if (k->delta_size == 0 && delta_pack(k == newest ? NULL : k->routes, newest->routes,
@@ -34,12 +35,12 @@
 	return k;
 }
 
-static size_t on_send(void *ctx, uint64_t peer, fanout_config_id_t base)
+static size_t send_config(void *ctx, uint64_t peer, fanout_config_id_t base)
 {
 	hub_t *h = ctx;
-	hub_peer_t *p = hub_peer(h, peer);
+	hub_peer_t *p = hub_find_peer(h, peer);
 	hub_routes_t *newest = &h->recent_routes[0];
-	hub_routes_t *k = packed(h, base);
+	hub_routes_t *k = pack_delta(h, base);
 	link_msg_t m = {.kind = LINK_CONFIG};
 
 	if (!p || k->delta_size == 0)
@@ -58,9 +59,9 @@
 	return k->delta.n;
 }
 
-static void on_held(void *ctx, fanout_config_id_t text, size_t peers, int64_t ms)
+static void on_converged(void *ctx, fanout_config_id_t config, size_t peers, int64_t ms)
 {
-	log_event(LOG_LEVEL_INFO, "text_held", LOG_INT("number", text.number),
+	log_event(LOG_LEVEL_INFO, "text_held", LOG_INT("number", config.number),
 		  LOG_INT("entries", peers), LOG_INT("ms", ms));
 	metric_record(metric_get(METRIC_HISTOGRAM, "auburn_text_held_ms", NULL), ms);
 }
@@ -68,32 +69,32 @@
 /* ---- decoding ---- */
 
 typedef struct {
-	worker_task_t job;
+	worker_task_t task;
 	hub_t *h;
-	uint64_t known; /* number of the newest text that was looked at */
+	uint64_t config_seen; /* number of the newest config that was decoded, or could not be */
 	wire_query_res_t res;
 	route_table_t *routes;
 	char message[256];
-} decode_t;
+} decode_task_t;
 
-static void read_newer(control_group_t *g, void *arg)
+static void read_newer_config(control_group_t *g, void *arg)
 {
-	decode_t *d = arg;
+	decode_task_t *d = arg;
 	wire_query_t q = {.kind = WIRE_QUERY_CONFIG};
 
-	if (fleet_config_number(g->fleet) > d->known)
+	if (fleet_config_number(g->fleet) > d->config_seen)
 		fleet_query(g->fleet, &q, &d->res);
 }
 
-static void decode_work(worker_task_t *j)
+static void decode_work(worker_task_t *task)
 {
-	decode_t *d = (decode_t *)j;
+	decode_task_t *d = (decode_task_t *)task;
 
 	if (routes_decode(wire_str(d->res.conf.text), d->res.conf.number, &d->routes) != STATUS_OK)
 		snprintf(d->message, sizeof(d->message), "%s", status_message());
 }
 
-static void keep(hub_t *h, fanout_config_id_t text, route_table_t *routes)
+static void add_recent(hub_t *h, fanout_config_id_t config, route_table_t *routes)
 {
 	hub_routes_t *last = &h->recent_routes[HUB_RECENT_ROUTES - 1];
 
@@ -105,66 +106,66 @@
 		h->recent_routes[i].delta = (buf_t){0};
 		h->recent_routes[i].delta_size = 0;
 	}
-	h->recent_routes[0] = (hub_routes_t){.config = text, .routes = routes};
+	h->recent_routes[0] = (hub_routes_t){.config = config, .routes = routes};
 	h->routes = routes;
 }
 
-static void decode_done(worker_task_t *j)
+static void decode_done(worker_task_t *task)
 {
-	decode_t *d = (decode_t *)j;
+	decode_task_t *d = (decode_task_t *)task;
 	hub_t *h = d->h;
-	fanout_config_id_t text = {d->res.conf.number, str_hash(wire_str(d->res.conf.text))};
+	fanout_config_id_t config = {d->res.conf.number, str_hash(wire_str(d->res.conf.text))};
 
 	h->decoding = false;
-	h->config_seen = text.number;
+	h->config_seen = config.number;
 	if (d->routes) {
-		keep(h, text, d->routes);
-		log_event(LOG_LEVEL_INFO, "text_in_force", LOG_INT("number", text.number),
+		add_recent(h, config, d->routes);
+		log_event(LOG_LEVEL_INFO, "text_in_force", LOG_INT("number", config.number),
 			  LOG_INT("version", d->routes->version),
 			  LOG_INT("routes", d->routes->nroutes));
 		if (h->fan_out)
-			fanout_set_config(h->fan_out, text, clock_now_ms());
+			fanout_set_config(h->fan_out, config, clock_now_ms());
 		if (h->dispatch)
 			hub_dispatch_reroute(h);
 	} else {
-		/* Texts were decoded before they were accepted. */
-		log_event(LOG_LEVEL_ERROR, "text_unreadable", LOG_INT("number", text.number),
+		/* Unexpected: every config is decoded before it is accepted. */
+		log_event(LOG_LEVEL_ERROR, "text_unreadable", LOG_INT("number", config.number),
 			  LOG_CSTR("what", d->message));
 	}
 	wire_free(XDR_PROC(wire_query_res_t), &d->res);
 	free(d);
 }
 
-static void look(hub_t *h)
+static void decode_newer(hub_t *h)
 {
-	decode_t *d;
+	decode_task_t *d;
 
 	if (h->decoding)
 		return;
 	d = mem_new(sizeof(*d));
-	d->job = (worker_task_t){decode_work, decode_done, NULL};
+	d->task = (worker_task_t){decode_work, decode_done, NULL};
 	d->h = h;
-	d->known = h->config_seen;
-	control_group_read(&h->control->groups[0], read_newer, d);
+	d->config_seen = h->config_seen;
+	control_group_read(&h->control->groups[0], read_newer_config, d);
 	if (d->res.conf.number == 0 || d->res.status != STATUS_OK) {
 		wire_free(XDR_PROC(wire_query_res_t), &d->res);
 		free(d);
 		return;
 	}
 	h->decoding = true;
-	worker_pool_submit(h->call_workers, &d->job);
+	worker_pool_submit(h->call_workers, &d->task);
 }
 
 /* ---- entries ---- */
 
 void hub_routes_start_leading(hub_t *h)
 {
-	fanout_callbacks_t cb = {h, on_send, on_held};
+	fanout_callbacks_t cb = {h, send_config, on_converged};
 
 	h->fan_out = fanout_new(&cb);
 	if (h->routes)
 		fanout_set_config(h->fan_out, h->recent_routes[0].config, clock_now_ms());
-	look(h);
+	decode_newer(h);
 }
 
 void hub_routes_stop_leading(hub_t *h)
@@ -175,7 +176,7 @@
 
 void hub_routes_tick(hub_t *h, deadline_t now)
 {
-	look(h);
+	decode_newer(h);
 	fanout_tick(h->fan_out, now);
 }
 
--- a/src/control/hub_view.c
+++ b/src/control/hub_view.c
@@ -1,16 +1,16 @@
-/* What the hub tells of: replicas, entries and control processes. */
+/* The view (replicas, entries and control processes) and its distribution to linked processes. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/hub.h"
 
-/** Entries that were known before this process began to lead count this long, in ms, until they
- * have linked themselves. */
-#define INHERIT_MS 2000
-/** Changes are gathered this long for each peer that is told of them, in ms: what a view costs the
- * leader stays under a tenth of a core. */
-#define VIEW_PEER_MS 1
+/** Entries of the previous leader's view remain in the view for this long, in ms, until they have
+ * linked to this process. */
+#define INHERITED_ENTRIES_MS 2000
+/** Minimum time between two views, in ms for each linked process: views then cost the leader less
+ * than a tenth of a core. */
+#define VIEW_PERIOD_PER_PEER_MS 1
 
 static bool same_upstream(const link_upstream_t *a, const link_upstream_t *b)
 {
@@ -20,12 +20,12 @@
 	       a->leaving == b->leaving && a->start_time == b->start_time;
 }
 
-/* Lists mostly keep their order, so the place in the other one is looked at first. */
-static const link_upstream_t *find_near(const link_view_t *v, str_t id, u_int place)
+/* Lists mostly keep their order, so the search looks at the hinted index first. */
+static const link_upstream_t *find_upstream(const link_view_t *v, str_t id, u_int hint)
 {
-	if (place < v->upstreams.upstreams_len &&
-	    str_eq(wire_str(v->upstreams.upstreams_val[place].id), id))
-		return &v->upstreams.upstreams_val[place];
+	if (hint < v->upstreams.upstreams_len &&
+	    str_eq(wire_str(v->upstreams.upstreams_val[hint].id), id))
+		return &v->upstreams.upstreams_val[hint];
 	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
 		if (str_eq(wire_str(v->upstreams.upstreams_val[i].id), id))
 			return &v->upstreams.upstreams_val[i];
@@ -35,17 +35,17 @@
 
 const link_upstream_t *hub_find_replica(const hub_t *h, str_t id)
 {
-	return find_near(&h->view, id, 0);
+	return find_upstream(&h->view, id, 0);
 }
 
-/* Logs what the list says anew; true when it differs from what was believed. */
-static bool compare(const link_view_t *was, const link_view_t *now)
+/* Logs the differences between two lists; returns true if there are any. */
+static bool log_list_changes(const link_view_t *was, const link_view_t *now)
 {
 	bool changed = was->upstreams.upstreams_len != now->upstreams.upstreams_len;
 
 	for (u_int i = 0; i < now->upstreams.upstreams_len; i++) {
 		const link_upstream_t *u = &now->upstreams.upstreams_val[i];
-		const link_upstream_t *old = find_near(was, wire_str(u->id), i);
+		const link_upstream_t *old = find_upstream(was, wire_str(u->id), i);
 
 		if (old && same_upstream(old, u))
 			continue;
@@ -57,7 +57,7 @@
 	for (u_int i = 0; i < was->upstreams.upstreams_len; i++) {
 		const link_upstream_t *u = &was->upstreams.upstreams_val[i];
 
-		if (find_near(now, wire_str(u->id), i))
+		if (find_upstream(now, wire_str(u->id), i))
 			continue;
 		changed = true;
 		log_event(LOG_LEVEL_INFO, "replica_unlisted", LOG_STR("replica", wire_str(u->id)));
@@ -65,7 +65,8 @@
 	return changed;
 }
 
-static void tell_dispatcher(hub_t *h)
+/* Passes the replicas of the view to the dispatcher. */
+static void update_dispatcher(hub_t *h)
 {
 	u_int n = h->view.upstreams.upstreams_len;
 	dispatch_replica_t *v = mem_new((n + 1) * sizeof(*v));
@@ -81,8 +82,8 @@
 	free(v);
 }
 
-/* What entries were told by replicas themselves comes before the list, which lags. */
-static void mark_leavers(hub_t *h, link_view_t *v)
+/* A notice from the replica itself, reported by an entry, overrides the list, which lags. */
+static void mark_leaving(hub_t *h, link_view_t *v)
 {
 	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
 		link_upstream_t *u = &v->upstreams.upstreams_val[i];
@@ -98,13 +99,13 @@
 	str_t id = wire_str(m->replica);
 	const link_upstream_t *u = hub_find_replica(h, id);
 
-	/* One that has started again since then doesn't leave. */
+	/* A replica that has restarted since is not leaving. */
 	if ((u && m->start_time && u->start_time > m->start_time) ||
 	    !leaving_add(h->leaving_replicas, (leaving_replica_t){id, m->start_time}))
 		return;
 	log_event(LOG_LEVEL_INFO, "replica_leaves", LOG_STR("replica", id),
 		  LOG_INT("born", m->start_time), LOG_CSTR("entry", p->name));
-	mark_leavers(h, &h->view);
+	mark_leaving(h, &h->view);
 	h->view_changed = true;
 	if (h->dispatch)
 		dispatch_replica_leaving(h->dispatch, id);
@@ -112,7 +113,7 @@
 
 void hub_view_start_leading(hub_t *h)
 {
-	tell_dispatcher(h);
+	update_dispatcher(h);
 	h->next_list_read = 0;
 	h->view_changed = true;
 }
@@ -124,8 +125,8 @@
 	if (h->role != HUB_LEADER)
 		return;
 	h->last_list_read = clock_now_ms();
-	mark_leavers(h, v);
-	if (compare(&h->view, v)) {
+	mark_leaving(h, v);
+	if (log_list_changes(&h->view, v)) {
 		link_view_t old = {.upstreams = h->view.upstreams};
 
 		h->view.upstreams = v->upstreams;
@@ -133,10 +134,11 @@
 		h->rings_stale = true;
 		h->view_changed = true;
 	}
-	tell_dispatcher(h);
+	update_dispatcher(h);
 }
 
-static void set_entries(hub_t *h)
+/* Sets the entries and control processes of the view from the registered peers. */
+static void rebuild_members(hub_t *h)
 {
 	size_t n = HASH_COUNT(h->peers);
 	link_entry_t *v = mem_new((n + 1) * sizeof(*v));
@@ -170,16 +172,17 @@
 	return h->last_list_read ? clock_now_ms() - h->last_list_read : -1;
 }
 
-static uint64_t mix(uint64_t h, uint64_t x)
+static uint64_t hash_mix(uint64_t h, uint64_t x)
 {
 	return (h ^ x) * 0x9e3779b97f4a7c15ULL;
 }
 
 static uint64_t upstream_digest(const link_upstream_t *u)
 {
-	uint64_t h = mix(str_hash(wire_str(u->id)), str_hash(wire_str(u->addr)));
+	uint64_t h = hash_mix(str_hash(wire_str(u->id)), str_hash(wire_str(u->addr)));
 
-	return mix(mix(h, str_hash(wire_str(u->service))), u->start_time * 2 + u->leaving);
+	return hash_mix(hash_mix(h, str_hash(wire_str(u->service))),
+			u->start_time * 2 + u->leaving);
 }
 
 static void build_rings(hub_t *h)
@@ -201,8 +204,8 @@
 	h->rings_stale = false;
 }
 
-/* The share of the list of upstreams; returns its digest. */
-static uint64_t share_upstreams(const hub_t *h, uint64_t self, link_upstream_t *out, u_int *n)
+/* Selects a peer's share of the upstream list; returns the digest of the share. */
+static uint64_t select_upstreams(const hub_t *h, uint64_t self, link_upstream_t *out, u_int *n)
 {
 	size_t at[HUB_SHARE_MAX];
 	uint64_t digest = 1;
@@ -211,12 +214,12 @@
 				    HUB_SHARE_MAX);
 	for (u_int k = 0; k < *n; k++) {
 		out[k] = h->view.upstreams.upstreams_val[at[k]];
-		digest = mix(digest, upstream_digest(&out[k]));
+		digest = hash_mix(digest, upstream_digest(&out[k]));
 	}
 	return digest | 1;
 }
 
-static uint64_t share_entries(const hub_t *h, uint64_t self, link_entry_t *out, u_int *n)
+static uint64_t select_entries(const hub_t *h, uint64_t self, link_entry_t *out, u_int *n)
 {
 	size_t at[HUB_SHARE_MAX];
 	uint64_t digest = 1;
@@ -225,7 +228,7 @@
 				    HUB_SHARE_MAX);
 	for (u_int k = 0; k < *n; k++) {
 		out[k] = h->view.entries.entries_val[at[k]];
-		digest = mix(digest, str_hash(wire_str(out[k].addr)));
+		digest = hash_mix(digest, str_hash(wire_str(out[k].addr)));
 	}
 	return digest | 1;
 }
@@ -235,15 +238,15 @@
 	uint64_t digest = 1;
 
 	for (u_int i = 0; i < h->view.controls.controls_len; i++)
-		digest = mix(digest, str_hash(wire_str(h->view.controls.controls_val[i])));
+		digest = hash_mix(digest, str_hash(wire_str(h->view.controls.controls_val[i])));
 	return digest | 1;
 }
 
 /*
- * Grants name their replica's address, so an entry needs the list only while it has no leader, and
- * a caller is told no more entries than this. With hundreds of entries before thousands of replicas
- * whole lists to all would be most of what the leader sends; so would shares that it has told
- * before.
+ * A grant contains the replica's address, so an entry needs the list only while it has no leader,
+ * and a caller is given no more than HUB_SHARE_MAX entries. With hundreds of entries and thousands
+ * of replicas, whole lists would be most of the leader's traffic; so would shares that have not
+ * changed.
  */
 static void send_share(hub_t *h, hub_peer_t *p)
 {
@@ -260,8 +263,8 @@
 		build_rings(h);
 	v->upstreams.upstreams_val = upstreams;
 	v->entries.entries_val = entries;
-	upstreams_digest = share_upstreams(h, self, upstreams, &v->upstreams.upstreams_len);
-	entries_digest = share_entries(h, self, entries, &v->entries.entries_len);
+	upstreams_digest = select_upstreams(h, self, upstreams, &v->upstreams.upstreams_len);
+	entries_digest = select_entries(h, self, entries, &v->entries.entries_len);
 	v->has_upstreams = upstreams_digest != p->sent_upstreams;
 	v->has_entries = entries_digest != p->sent_entries;
 	if (!v->has_upstreams && !v->has_entries && controls == p->sent_controls)
@@ -279,7 +282,7 @@
 	METRIC_INC("auburn_views_sent_total");
 }
 
-/* A control process may lead next and needs all. */
+/* A control process may become the leader and needs the whole view. */
 static void send_view(hub_t *h, hub_peer_t *p)
 {
 	link_msg_t m = {.kind = LINK_VIEW};
@@ -322,15 +325,15 @@
 	if (!h->view_changed)
 		return;
 	group_get_status(h->control->groups[0].raft, &st);
-	/* Callers are still told the entries that the leader before knew. */
-	if (now - st.leader_since < INHERIT_MS &&
+	/* Until the entries have linked, callers get those of the previous leader's view. */
+	if (now - st.leader_since < INHERITED_ENTRIES_MS &&
 	    h->view.entries.entries_len > HASH_COUNT(h->peers))
 		return;
 	if (now < h->next_view)
 		return;
-	h->next_view = now + (deadline_t)HASH_COUNT(h->peers) * VIEW_PEER_MS;
+	h->next_view = now + (deadline_t)HASH_COUNT(h->peers) * VIEW_PERIOD_PER_PEER_MS;
 	h->view_changed = false;
-	set_entries(h);
+	rebuild_members(h);
 	for (hub_peer_t *p = h->peers; p; p = p->hh.next) {
 		if (p->registered)
 			send_view(h, p);
