--- a/src/control/control_group.c
+++ b/src/control/control_group.c
@@ -1,3 +1,4 @@
+/* The replicated groups: apply commands, take and restore snapshots, open replicas. */
 #include <assert.h>
 #include <stdio.h>
 #include <string.h>
@@ -52,18 +53,18 @@
 	pthread_rwlock_unlock(&g->lock);
 }
 
-/* Marks a snapshot of group 0 that holds lots behind the fleet's state. */
-#define WITH_LOTS 0x4730U
+/* Marks a snapshot of group 0 that holds the lots after the fleet state. */
+#define LOTS_SNAPSHOT_MAGIC 0x4730U
 
 static void snapshot_fleet(control_group_t *g, buf_t *out)
 {
 	AUTO_BUF fleet = {0};
 	size_t lots;
 
-	pack_u64(out, WITH_LOTS);
+	pack_u64(out, LOTS_SNAPSHOT_MAGIC);
 	fleet_snapshot(g->fleet, &fleet);
 	pack_str(out, str_buf(&fleet));
-	/* Written in place: lots take most of the memory, and a copy of them as much again. */
+	/* Encoded in place: lots take most of the memory, and a copy would take as much again. */
 	lots = pack_begin_str(out);
 	lots_snapshot(g->lots, out);
 	pack_end_str(out, lots);
@@ -76,8 +77,8 @@
 	str_t lots;
 	status_t st;
 
-	/* Snapshots of versions that knew no lots hold the fleet's state alone. */
-	if (unpack_u64(&in) != WITH_LOTS)
+	/* Snapshots written before lots existed hold the fleet state alone. */
+	if (unpack_u64(&in) != LOTS_SNAPSHOT_MAGIC)
 		return fleet_restore(g->fleet, snap);
 	fleet = unpack_str(&in);
 	lots = unpack_str(&in);
@@ -131,21 +132,21 @@
 		METRIC_INC("auburn_elections_won_total");
 }
 
-static group_options_t options_of(control_t *cn, control_group_t *g, const char *dir,
-				  bool bootstrap)
+static group_options_t make_options(control_t *ctl, control_group_t *g, const char *dir,
+				    bool bootstrap)
 {
 	return (group_options_t){
 		.group = g->number,
 		.dir = dir,
-		.addr = cn->settings.listen,
-		.zone = cn->settings.zone,
-		.seeds = (const char *const *)cn->settings.controls.v,
-		.nseeds = (unsigned)cn->settings.controls.n,
+		.addr = ctl->settings.listen,
+		.zone = ctl->settings.zone,
+		.seeds = (const char *const *)ctl->settings.controls.v,
+		.nseeds = (unsigned)ctl->settings.controls.n,
 		.bootstrap = bootstrap,
-		.tick_ms = (unsigned)cn->settings.tick_ms,
-		.election_ms = (unsigned)cn->settings.election_ms,
-		.snapshot_entries = (uint64_t)cn->settings.snapshot_entries,
-		.snapshot_bytes = (uint64_t)cn->settings.snapshot_mib * MIB,
+		.tick_ms = (unsigned)ctl->settings.tick_ms,
+		.election_ms = (unsigned)ctl->settings.election_ms,
+		.snapshot_entries = (uint64_t)ctl->settings.snapshot_entries,
+		.snapshot_bytes = (uint64_t)ctl->settings.snapshot_mib * MIB,
 		.ctx = g,
 		.apply = on_apply,
 		.snapshot = on_snapshot,
@@ -155,9 +156,9 @@
 	};
 }
 
-/* A damaged replica leaves under its old id: its folder is kept aside and it joins again as a
- * learner. */
-static status_t set_aside(const char *dir)
+/* Renames the folder of a damaged replica. The replica must not continue under its old id: the
+ * process joins again as a learner with a new one. */
+static status_t set_folder_aside(const char *dir)
 {
 	AUTO_BUF aside = {0};
 
@@ -169,30 +170,30 @@
 	return STATUS_OK;
 }
 
-status_t control_group_open(control_t *cn, unsigned n, bool bootstrap)
+status_t control_group_open(control_t *ctl, unsigned n, bool bootstrap)
 {
-	control_group_t *g = &cn->groups[n];
+	control_group_t *g = &ctl->groups[n];
 	AUTO_BUF dir = {0};
 	group_options_t o;
 	status_t st;
 
-	process = cn;
+	process = ctl;
 	g->number = n;
 	pthread_rwlock_init(&g->lock, NULL);
 	if (n == 0) {
-		g->fleet = fleet_new((unsigned)cn->settings.ledger_groups);
+		g->fleet = fleet_new((unsigned)ctl->settings.ledger_groups);
 		g->lots = lots_new();
 	} else {
 		g->ledger = ledger_new();
 	}
-	buf_addf(&dir, "%s/group-%u", cn->settings.data, n);
-	o = options_of(cn, g, dir.p, bootstrap);
+	buf_addf(&dir, "%s/group-%u", ctl->settings.data, n);
+	o = make_options(ctl, g, dir.p, bootstrap);
 	st = group_open(&o, &g->raft);
 	if (st != STATUS_CORRUPT)
 		return st;
 	log_event(LOG_LEVEL_ERROR, "replica_damaged", LOG_INT("group", n),
 		  LOG_CSTR("what", status_message()));
-	st = set_aside(dir.p);
+	st = set_folder_aside(dir.p);
 	if (st != STATUS_OK)
 		return st;
 	o.bootstrap = false;
@@ -206,7 +207,7 @@
 	pthread_rwlock_unlock(&g->lock);
 }
 
-status_t control_fleet_propose(control_t *cn, const wire_fleet_cmd_t *cmd, wire_fleet_res_t *res,
+status_t control_fleet_propose(control_t *ctl, const wire_fleet_cmd_t *cmd, wire_fleet_res_t *res,
 			       deadline_t deadline)
 {
 	AUTO_BUF payload = {0};
@@ -215,7 +216,7 @@
 
 	*res = (wire_fleet_res_t){0};
 	wire_encode(&payload, XDR_PROC(wire_fleet_cmd_t), cmd);
-	st = group_propose(cn->groups[0].raft, str_buf(&payload), deadline, &result);
+	st = group_propose(ctl->groups[0].raft, str_buf(&payload), deadline, &result);
 	if (st == STATUS_OK)
 		st = wire_decode(str_buf(&result), XDR_PROC(wire_fleet_res_t), res, sizeof(*res));
 	return st;
--- a/src/control/control_http.c
+++ b/src/control/control_http.c
@@ -1,3 +1,4 @@
+/* HTTP server for metrics, health and readiness. */
 #include <arpa/inet.h>
 #include <stdio.h>
 #include <ulfius.h>
@@ -5,7 +6,7 @@
 #include "base/rpc.h"
 #include "control/control.h"
 
-/* No endpoint reads a body. */
+/* No endpoint reads a request body. */
 #define BODY_MAX_BYTES 1024
 
 static void set_gauge(const char *name, unsigned group, int64_t v)
@@ -16,12 +17,12 @@
 	metric_set(metric_get(METRIC_GAUGE, name, label), v);
 }
 
-static void set_group_gauges(control_t *cn)
+static void set_group_gauges(control_t *ctl)
 {
-	for (unsigned n = 0; cn->ready && n < cn->ngroups; n++) {
+	for (unsigned n = 0; ctl->ready && n < ctl->ngroups; n++) {
 		group_status_t st;
 
-		group_get_status(cn->groups[n].raft, &st);
+		group_get_status(ctl->groups[n].raft, &st);
 		set_gauge("auburn_group_leader", n, st.leader);
 		set_gauge("auburn_group_term", n, (int64_t)st.term);
 		set_gauge("auburn_group_applied", n, (int64_t)st.applied);
@@ -48,47 +49,47 @@
 	return U_CALLBACK_COMPLETE;
 }
 
-static bool knows_leaders(control_t *cn)
+static bool has_all_leaders(control_t *ctl)
 {
-	for (unsigned n = 0; cn->ready && n < cn->ngroups; n++) {
+	for (unsigned n = 0; ctl->ready && n < ctl->ngroups; n++) {
 		group_status_t st;
 
-		group_get_status(cn->groups[n].raft, &st);
+		group_get_status(ctl->groups[n].raft, &st);
 		if (!st.leader_addr[0])
 			return false;
 	}
-	return cn->ready;
+	return ctl->ready;
 }
 
 static int on_ready(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
-	bool ready = knows_leaders(ctx);
+	bool ready = has_all_leaders(ctx);
 
 	ulfius_set_string_body_response(res, ready ? 200 : 503, ready ? "ready\n" : "no leader\n");
 	return U_CALLBACK_COMPLETE;
 }
 
-status_t control_http_start(control_t *cn)
+status_t control_http_start(control_t *ctl)
 {
 	static struct _u_instance instance;
 	struct sockaddr_in sa = {.sin_family = AF_INET};
 	char ip[64];
 	unsigned port = 0;
 
-	if (!cn->settings.http)
+	if (!ctl->settings.http)
 		return STATUS_OK;
-	if (rpc_parse_addr(cn->settings.http, ip, &port) != STATUS_OK ||
+	if (rpc_parse_addr(ctl->settings.http, ip, &port) != STATUS_OK ||
 	    inet_pton(AF_INET, ip, &sa.sin_addr) != 1)
 		return STATUS_INVALID;
 	sa.sin_port = htons((uint16_t)port);
 	if (ulfius_init_instance(&instance, port, &sa, NULL) != U_OK)
-		return status_fail(STATUS_IO, "can't set up HTTP on %s", cn->settings.http);
+		return status_fail(STATUS_IO, "can't set up HTTP on %s", ctl->settings.http);
 	instance.max_post_body_size = BODY_MAX_BYTES;
 	instance.allowed_post_processor = U_POST_PROCESS_NONE;
-	ulfius_add_endpoint_by_val(&instance, "GET", "/metrics", NULL, 0, on_metrics, cn);
-	ulfius_add_endpoint_by_val(&instance, "GET", "/healthz", NULL, 0, on_health, cn);
-	ulfius_add_endpoint_by_val(&instance, "GET", "/readyz", NULL, 0, on_ready, cn);
+	ulfius_add_endpoint_by_val(&instance, "GET", "/metrics", NULL, 0, on_metrics, ctl);
+	ulfius_add_endpoint_by_val(&instance, "GET", "/healthz", NULL, 0, on_health, ctl);
+	ulfius_add_endpoint_by_val(&instance, "GET", "/readyz", NULL, 0, on_ready, ctl);
 	if (ulfius_start_framework(&instance) != U_OK)
-		return status_fail(STATUS_IO, "can't listen on %s", cn->settings.http);
+		return status_fail(STATUS_IO, "can't listen on %s", ctl->settings.http);
 	return STATUS_OK;
 }
--- a/src/control/control_leader.c
+++ b/src/control/control_leader.c
@@ -1,3 +1,4 @@
+/* Periodic work of a leader: expired sessions, retention, repair, upstreams and their owners. */
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/control.h"
@@ -12,21 +13,21 @@
 	size_t n;
 } session_list_t;
 
-static void list_open(control_group_t *g, void *arg)
+static void list_open_sessions(control_group_t *g, void *arg)
 {
 	session_list_t *l = arg;
 
 	l->n = fleet_open_sessions(g->fleet, l->ids, SESSIONS_MAX);
 }
 
-static void list_closed(control_group_t *g, void *arg)
+static void list_closed_sessions(control_group_t *g, void *arg)
 {
 	session_list_t *l = arg;
 
 	l->n = fleet_closed_sessions(g->fleet, l->ids, SESSIONS_MAX);
 }
 
-static void close_session(control_t *cn, uint64_t session)
+static void close_session(control_t *ctl, uint64_t session)
 {
 	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_SESSION_CLOSE};
 	wire_fleet_res_t res;
@@ -34,25 +35,25 @@
 
 	cmd.wire_fleet_cmd_t_u.close.session = session;
 	cmd.wire_fleet_cmd_t_u.close.reason = wire_bytes(STR("lease ended"));
-	st = control_fleet_propose(cn, &cmd, &res, clock_now_ms() + PROPOSE_MS);
+	st = control_fleet_propose(ctl, &cmd, &res, clock_now_ms() + PROPOSE_MS);
 	wire_free(XDR_PROC(wire_fleet_res_t), &res);
 	log_event(LOG_LEVEL_WARN, "session_closed", LOG_INT("session", session),
 		  LOG_CSTR("reason", "lease ended"), LOG_CSTR("status", status_name(st)));
 	METRIC_INC("auburn_sessions_closed_total");
 }
 
-static void close_ended(control_t *cn, const group_status_t *st)
+static void close_expired_sessions(control_t *ctl, const group_status_t *st)
 {
 	static session_list_t open;
 
-	control_group_read(&cn->groups[0], list_open, &open);
+	control_group_read(&ctl->groups[0], list_open_sessions, &open);
 	for (size_t i = 0; i < open.n; i++) {
-		if (control_session_expired(cn, open.ids[i], st->leader_since))
-			close_session(cn, open.ids[i]);
+		if (control_session_expired(ctl, open.ids[i], st->leader_since))
+			close_session(ctl, open.ids[i]);
 	}
 }
 
-static status_t tell_group(control_t *cn, unsigned group, session_list_t *lost)
+static status_t send_lost_sessions(control_t *ctl, unsigned group, session_list_t *lost)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_SESSIONS_LOST};
 	wire_ledger_res_t res;
@@ -61,38 +62,38 @@
 	cmd.wire_ledger_cmd_t_u.lost.sessions.sessions_len = (u_int)lost->n;
 	cmd.wire_ledger_cmd_t_u.lost.sessions.sessions_val = (u_quad_t *)lost->ids;
 	cmd.wire_ledger_cmd_t_u.lost.now_wall_ms = clock_wall_ms();
-	st = control_client_ledger_group(cn->client, group, &cmd, &res,
+	st = control_client_ledger_group(ctl->client, group, &cmd, &res,
 					 clock_now_ms() + PROPOSE_MS);
 	wire_free(XDR_PROC(wire_ledger_res_t), &res);
 	return st;
 }
 
-static void forget(control_t *cn, session_list_t *lost)
+static void forget_sessions(control_t *ctl, session_list_t *lost)
 {
 	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_FORGET};
 	wire_fleet_res_t res;
 
 	cmd.wire_fleet_cmd_t_u.forget.forget_len = (u_int)lost->n;
 	cmd.wire_fleet_cmd_t_u.forget.forget_val = (u_quad_t *)lost->ids;
-	control_fleet_propose(cn, &cmd, &res, clock_now_ms() + PROPOSE_MS);
+	control_fleet_propose(ctl, &cmd, &res, clock_now_ms() + PROPOSE_MS);
 	wire_free(XDR_PROC(wire_fleet_res_t), &res);
 	log_event(LOG_LEVEL_INFO, "sessions_told_to_ledger", LOG_INT("count", lost->n),
 		  LOG_INT("first", lost->ids[0]));
 }
 
-/* Every ledger group hears of a closed session before group 0 forgets it. */
-static void tell_ledger(control_t *cn)
+/* Every ledger group must record the closed sessions before group 0 forgets them. */
+static void report_lost_sessions(control_t *ctl)
 {
 	static session_list_t closed;
 
-	control_group_read(&cn->groups[0], list_closed, &closed);
+	control_group_read(&ctl->groups[0], list_closed_sessions, &closed);
 	if (closed.n == 0)
 		return;
-	for (unsigned g = 1; g < cn->ngroups; g++) {
-		if (tell_group(cn, g, &closed) != STATUS_OK)
+	for (unsigned g = 1; g < ctl->ngroups; g++) {
+		if (send_lost_sessions(ctl, g, &closed) != STATUS_OK)
 			return;
 	}
-	forget(cn, &closed);
+	forget_sessions(ctl, &closed);
 }
 
 typedef struct {
@@ -100,7 +101,7 @@
 	int64_t retention_ms;
 } retention_t;
 
-/* Parses the text in force once for each number. */
+/* Parses the config in force once for each config number. */
 static void read_retention(control_group_t *g, void *arg)
 {
 	retention_t *r = arg;
@@ -119,15 +120,15 @@
 	wire_free(XDR_PROC(wire_query_res_t), &res);
 }
 
-/* The retention bound of the text in force, as far as this replica knows it. */
-static void expire_group(control_t *cn, control_group_t *g)
+/* Proposes the removal of records older than the retention time of this replica's newest config. */
+static void propose_expire(control_t *ctl, control_group_t *g)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_EXPIRE};
 	static retention_t r;
 	AUTO_BUF payload = {0};
 	AUTO_BUF result = {0};
 
-	control_group_read(&cn->groups[0], read_retention, &r);
+	control_group_read(&ctl->groups[0], read_retention, &r);
 	if (r.retention_ms == 0)
 		return;
 	cmd.wire_ledger_cmd_t_u.expire.now_wall_ms = clock_wall_ms();
@@ -136,37 +137,37 @@
 	group_propose(g->raft, str_buf(&payload), clock_now_ms() + PROPOSE_MS, &result);
 }
 
-static void expire_round(control_t *cn)
+static void expire_round(control_t *ctl)
 {
 	static deadline_t next;
 
 	if (clock_now_ms() < next)
 		return;
 	next = clock_now_ms() + EXPIRE_PERIOD_MS;
-	for (unsigned n = 1; n < cn->ngroups; n++) {
+	for (unsigned n = 1; n < ctl->ngroups; n++) {
 		group_status_t st;
 
-		group_get_status(cn->groups[n].raft, &st);
+		group_get_status(ctl->groups[n].raft, &st);
 		if (st.leader)
-			expire_group(cn, &cn->groups[n]);
+			propose_expire(ctl, &ctl->groups[n]);
 	}
 }
 
-void control_leader_round(control_t *cn)
+void control_leader_round(control_t *ctl)
 {
 	group_status_t st;
 
-	for (unsigned n = 0; n < cn->ngroups; n++) {
-		group_get_status(cn->groups[n].raft, &st);
+	for (unsigned n = 0; n < ctl->ngroups; n++) {
+		group_get_status(ctl->groups[n].raft, &st);
 		if (st.leader)
-			control_repair_round(cn, &cn->groups[n], &st);
+			control_repair_round(ctl, &ctl->groups[n], &st);
 	}
-	expire_round(cn);
-	group_get_status(cn->groups[0].raft, &st);
+	expire_round(ctl);
+	group_get_status(ctl->groups[0].raft, &st);
 	if (!st.leader)
 		return;
-	close_ended(cn, &st);
-	tell_ledger(cn);
-	control_platform_round(cn);
-	control_owner_round(cn);
+	close_expired_sessions(ctl, &st);
+	report_lost_sessions(ctl);
+	control_platform_round(ctl);
+	control_owner_round(ctl);
 }
--- a/src/control/control_owner.c
+++ b/src/control/control_owner.c
@@ -1,3 +1,4 @@
+/* Assigns upstreams to owner entries while this process leads group 0. */
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/control.h"
@@ -6,20 +7,20 @@
 #define PROPOSE_MS  2000
 
 typedef struct {
-	control_t *cn;
+	control_t *ctl;
 	wire_fleet_cmd_t cmd;
 	size_t n;
 } plan_t;
 
-static bool seen(void *ctx, uint64_t session, uint64_t view_version)
+static bool session_has_view(void *ctx, uint64_t session, uint64_t view_version)
 {
 	return control_session_has_view(ctx, session, view_version);
 }
 
-static void make_plan(control_group_t *g, void *arg)
+static void plan_changes(control_group_t *g, void *arg)
 {
 	plan_t *p = arg;
-	fleet_plan_options_t plan = {CHANGES_MAX, seen, p->cn};
+	fleet_plan_options_t plan = {CHANGES_MAX, session_has_view, p->ctl};
 
 	p->n = fleet_plan_owners_with(g->fleet, &plan, &p->cmd);
 }
@@ -36,14 +37,14 @@
 	}
 }
 
-void control_owner_round(control_t *cn)
+void control_owner_round(control_t *ctl)
 {
-	plan_t p = {.cn = cn};
+	plan_t p = {.ctl = ctl};
 	wire_fleet_res_t res = {0};
 
-	control_group_read(&cn->groups[0], make_plan, &p);
+	control_group_read(&ctl->groups[0], plan_changes, &p);
 	if (p.n > 0 &&
-	    control_fleet_propose(cn, &p.cmd, &res, clock_now_ms() + PROPOSE_MS) == STATUS_OK)
+	    control_fleet_propose(ctl, &p.cmd, &res, clock_now_ms() + PROPOSE_MS) == STATUS_OK)
 		log_changes(&p);
 	wire_free(XDR_PROC(wire_fleet_res_t), &res);
 	wire_free(XDR_PROC(wire_fleet_cmd_t), &p.cmd);
--- a/src/control/control_peer.c
+++ b/src/control/control_peer.c
@@ -1,40 +1,41 @@
+/* Sends log messages to the other control processes: a queue and a thread for each. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/metric.h"
 #include "base/rpc.h"
 #include "control/control.h"
 
-#define PEERS_MAX	  (2 * GROUP_PEERS_MAX)
-#define QUEUE_MAX	  4096
-#define BATCH_MAX	  512
-#define BATCH_MAX_BYTES	  (8 << 20)
-#define SEND_TIMEOUT_MS	  1000
-#define RECONNECT_WAIT_MS 50
+#define PEERS_MAX	     (2 * GROUP_PEERS_MAX)
+#define QUEUE_MAX	     4096
+#define BATCH_MAX	     512
+#define BATCH_MAX_BYTES	     (8 << 20)
+#define SEND_TIMEOUT_MS	     1000
+#define RECONNECT_BACKOFF_MS 50
 
 typedef struct {
 	unsigned group;
 	buf_t msg;
-} queued_t;
+} queued_msg_t;
 
-/* A ring of messages that wait, with the thread that sends them. */
+/* Ring buffer of outgoing messages and the connection of the thread that sends them. */
 typedef struct {
 	char addr[64];
-	control_t *cn;
+	control_t *ctl;
 	rpc_client_t *client;
 	pthread_mutex_t lock;
 	pthread_cond_t wake;
-	queued_t queue[QUEUE_MAX];
+	queued_msg_t queue[QUEUE_MAX];
 	size_t head;
 	size_t n;
-} peer_t;
+} peer_queue_t;
 
 struct control_peers {
 	pthread_mutex_t lock;
-	peer_t *peers[PEERS_MAX];
+	peer_queue_t *peers[PEERS_MAX];
 	size_t n;
 };
 
-struct control_peers *control_peers_new(control_t *cn)
+struct control_peers *control_peers_new(control_t *ctl)
 {
 	struct control_peers *p = mem_new(sizeof(*p));
 
@@ -42,7 +43,7 @@
 	return p;
 }
 
-static size_t take_batch(peer_t *p, queued_t out[BATCH_MAX])
+static size_t take_batch(peer_queue_t *p, queued_msg_t out[BATCH_MAX])
 {
 	size_t n = 0;
 	size_t bytes = 0;
@@ -52,7 +53,7 @@
 		pthread_cond_wait(&p->wake, &p->lock);
 	while (p->n > 0 && n < BATCH_MAX && bytes < BATCH_MAX_BYTES) {
 		out[n] = p->queue[p->head];
-		p->queue[p->head] = (queued_t){0};
+		p->queue[p->head] = (queued_msg_t){0};
 		bytes += out[n++].msg.n;
 		p->head = (p->head + 1) % QUEUE_MAX;
 		p->n--;
@@ -61,10 +62,10 @@
 	return n;
 }
 
-static void send_batch(peer_t *p, queued_t *batch, size_t n)
+static void send_batch(peer_queue_t *p, queued_msg_t *batch, size_t n)
 {
 	wire_raft_msg_t msgs[BATCH_MAX];
-	wire_raft_arg_t arg = {wire_bytes(str_c(p->cn->settings.listen)), {(u_int)n, msgs}};
+	wire_raft_arg_t arg = {wire_bytes(str_c(p->ctl->settings.listen)), {(u_int)n, msgs}};
 	char none;
 	status_t st;
 
@@ -76,14 +77,14 @@
 			     &none, clock_now_ms() + SEND_TIMEOUT_MS);
 	if (st != STATUS_OK) {
 		METRIC_INC("auburn_log_send_failures_total");
-		clock_sleep_ms(RECONNECT_WAIT_MS);
+		clock_sleep_ms(RECONNECT_BACKOFF_MS);
 	}
 }
 
 static void *send_loop(void *arg)
 {
-	peer_t *p = arg;
-	queued_t *batch = mem_new(BATCH_MAX * sizeof(*batch));
+	peer_queue_t *p = arg;
+	queued_msg_t *batch = mem_new(BATCH_MAX * sizeof(*batch));
 
 	for (;;) {
 		size_t n = take_batch(p, batch);
@@ -95,13 +96,13 @@
 	return NULL;
 }
 
-static peer_t *peer_start(control_t *cn, const char *addr)
+static peer_queue_t *start_peer(control_t *ctl, const char *addr)
 {
-	peer_t *p = mem_new(sizeof(*p));
+	peer_queue_t *p = mem_new(sizeof(*p));
 	pthread_t t;
 
 	snprintf(p->addr, sizeof(p->addr), "%s", addr);
-	p->cn = cn;
+	p->ctl = ctl;
 	p->client = rpc_client_new(addr, AUBURN_CONTROL, AUBURN_CONTROL_V1);
 	pthread_mutex_init(&p->lock, NULL);
 	pthread_cond_init(&p->wake, NULL);
@@ -111,10 +112,10 @@
 	return p;
 }
 
-static peer_t *peer_of(control_t *cn, const char *addr)
+static peer_queue_t *find_or_start_peer(control_t *ctl, const char *addr)
 {
-	struct control_peers *ps = cn->peers;
-	peer_t *p = NULL;
+	struct control_peers *ps = ctl->peers;
+	peer_queue_t *p = NULL;
 
 	pthread_mutex_lock(&ps->lock);
 	for (size_t i = 0; i < ps->n && !p; i++) {
@@ -122,17 +123,17 @@
 			p = ps->peers[i];
 	}
 	if (!p && ps->n < PEERS_MAX) {
-		p = peer_start(cn, addr);
+		p = start_peer(ctl, addr);
 		ps->peers[ps->n++] = p;
 	}
 	pthread_mutex_unlock(&ps->lock);
 	return p;
 }
 
-void control_peer_send(control_t *cn, const char *addr, unsigned group, str_t msg)
+void control_peer_send(control_t *ctl, const char *addr, unsigned group, str_t msg)
 {
-	peer_t *p = peer_of(cn, addr);
-	queued_t *q;
+	peer_queue_t *p = find_or_start_peer(ctl, addr);
+	queued_msg_t *q;
 
 	if (!p)
 		return;
--- a/src/control/control_platform.c
+++ b/src/control/control_platform.c
@@ -1,3 +1,4 @@
+/* Polls the platform's list of VMs and commits changes to group 0. */
 #include <curl/curl.h>
 #include <jansson.h>
 #include <string.h>
@@ -20,7 +21,7 @@
 	return size * n;
 }
 
-static status_t fetch(const char *url, buf_t *out)
+static status_t fetch_list(const char *url, buf_t *out)
 {
 	CURL *c = curl_easy_init();
 	CURLcode rc;
@@ -41,7 +42,7 @@
 	return STATUS_OK;
 }
 
-static bool text_of(const json_t *o, const char *key, wire_bytes_t *out)
+static bool copy_text_field(const json_t *o, const char *key, wire_bytes_t *out)
 {
 	const char *v = json_string_value(json_object_get(o, key));
 
@@ -56,11 +57,11 @@
 
 	u->state =
 		state && strcmp(state, "leaving") == 0 ? WIRE_UPSTREAM_LEAVING : WIRE_UPSTREAM_LIVE;
-	return text_of(o, "id", &u->id) && text_of(o, "addr", &u->addr) &&
-	       text_of(o, "zone", &u->zone) && text_of(o, "service", &u->service);
+	return copy_text_field(o, "id", &u->id) && copy_text_field(o, "addr", &u->addr) &&
+	       copy_text_field(o, "zone", &u->zone) && copy_text_field(o, "service", &u->service);
 }
 
-static status_t parse(str_t body, wire_fleet_cmd_t *cmd)
+static status_t parse_list(str_t body, wire_fleet_cmd_t *cmd)
 {
 	json_t *root = json_loadb(body.p, body.n, 0, NULL);
 	json_t *vms = json_object_get(root, "vms");
@@ -70,7 +71,7 @@
 	cmd->kind = WIRE_FLEET_UPSTREAMS;
 	if (!json_is_array(vms) || n > UPSTREAMS_MAX) {
 		json_decref(root);
-		return status_fail(STATUS_INVALID, "the platform's list can't be read");
+		return status_fail(STATUS_INVALID, "malformed VM list from the platform");
 	}
 	cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val =
 		mem_new((n + 1) * sizeof(wire_upstream_t));
@@ -79,7 +80,7 @@
 		if (!read_vm(json_array_get(vms, i),
 			     &cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]))
 			st = status_fail(STATUS_INVALID,
-					 "VM %zu of the platform's list lacks a field", i);
+					 "VM %zu in the platform's list lacks a field", i);
 	}
 	json_decref(root);
 	return st;
@@ -98,7 +99,7 @@
 	       str_eq(wire_str(a->service), wire_str(b->service)) && a->state == b->state;
 }
 
-static bool listed(const wire_view_t *v, const wire_upstream_t *u)
+static bool is_listed(const wire_view_t *v, const wire_upstream_t *u)
 {
 	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
 		if (same_upstream(&v->upstreams.upstreams_val[i], u))
@@ -107,7 +108,7 @@
 	return false;
 }
 
-static void compare(control_group_t *g, void *arg)
+static void compare_with_view(control_group_t *g, void *arg)
 {
 	compare_t *c = arg;
 	wire_query_t q = {.kind = WIRE_QUERY_VIEW};
@@ -120,8 +121,8 @@
 		known += res.view.upstreams.upstreams_val[i].state != WIRE_UPSTREAM_GONE;
 	c->differs = known != n;
 	for (u_int i = 0; i < n && !c->differs; i++)
-		c->differs =
-			!listed(&res.view, &c->cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]);
+		c->differs = !is_listed(&res.view,
+					&c->cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]);
 	wire_free(XDR_PROC(wire_query_res_t), &res);
 }
 
@@ -131,7 +132,7 @@
 	return cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len > 0;
 }
 
-void control_platform_round(control_t *cn)
+void control_platform_round(control_t *ctl)
 {
 	static deadline_t next;
 	AUTO_BUF body = {0};
@@ -140,20 +141,21 @@
 	compare_t c = {&cmd, false};
 	status_t st;
 
-	if (!cn->settings.platform || clock_now_ms() < next)
+	if (!ctl->settings.platform || clock_now_ms() < next)
 		return;
-	next = clock_now_ms() + cn->settings.platform_poll_ms;
-	st = fetch(cn->settings.platform, &body);
+	next = clock_now_ms() + ctl->settings.platform_poll_ms;
+	st = fetch_list(ctl->settings.platform, &body);
 	if (st == STATUS_OK)
-		st = parse(str_buf(&body), &cmd);
+		st = parse_list(str_buf(&body), &cmd);
 	if (st != STATUS_OK) {
-		log_event(LOG_LEVEL_WARN, "platform_unread", LOG_CSTR("what", status_message()));
+		log_event(LOG_LEVEL_WARN, "platform_read_failed",
+			  LOG_CSTR("what", status_message()));
 		METRIC_INC("auburn_platform_failures_total");
 	} else if (is_plausible(&cmd)) {
-		control_group_read(&cn->groups[0], compare, &c);
+		control_group_read(&ctl->groups[0], compare_with_view, &c);
 	}
 	if (c.differs) {
-		st = control_fleet_propose(cn, &cmd, &res, clock_now_ms() + PROPOSE_MS);
+		st = control_fleet_propose(ctl, &cmd, &res, clock_now_ms() + PROPOSE_MS);
 		log_event(LOG_LEVEL_INFO, "upstreams_changed",
 			  LOG_INT("count", cmd.wire_fleet_cmd_t_u.upstreams.upstreams_len),
 			  LOG_CSTR("status", status_name(st)));
--- a/src/control/control_repair.c
+++ b/src/control/control_repair.c
@@ -1,3 +1,4 @@
+/* Membership repair by a group's leader: replaces lost and retired voters, adds missing ones. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -5,12 +6,13 @@
 #include "base/metric.h"
 #include "control/control.h"
 
-#define CHANGE_MS 3000
-#define ASK_MS	  500
-#define PERIOD_MS 200
+#define MEMBER_CHANGE_MS  3000
+#define STATUS_TIMEOUT_MS 500
+#define PERIOD_MS	  200
 
-/* What the process at an address says of its replica of a group. */
-static uint64_t replica_id_at(const char *addr, unsigned group, char zone[32])
+/* Asks the process at an address for the id of its replica of a group, and for its zone. Returns 0
+ * without an answer. */
+static uint64_t fetch_replica_id(const char *addr, unsigned group, char zone[32])
 {
 	const char *addrs[] = {addr};
 	control_client_t *c = control_client_new(addrs, 1, 1);
@@ -19,7 +21,7 @@
 	json_t *o;
 	json_t *g;
 
-	if (control_client_status(c, 0, &text, clock_now_ms() + ASK_MS) == STATUS_OK) {
+	if (control_client_status(c, 0, &text, clock_now_ms() + STATUS_TIMEOUT_MS) == STATUS_OK) {
 		o = json_loadb(text.p, text.n, 0, NULL);
 		g = json_array_get(json_object_get(o, "groups"), group);
 		if (json_is_string(json_object_get(g, "id")))
@@ -41,7 +43,7 @@
 	return NULL;
 }
 
-static bool is_voter_addr(const group_status_t *st, const char *addr)
+static bool has_voter_at(const group_status_t *st, const char *addr)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
 		if (st->peers[i].voter && strcmp(st->peers[i].addr, addr) == 0)
@@ -52,10 +54,10 @@
 
 static bool is_silent(const group_status_t *st, unsigned i, int64_t ms)
 {
-	deadline_t heard =
+	deadline_t last_answer =
 		st->last_answer[i] > st->leader_since ? st->last_answer[i] : st->leader_since;
 
-	return clock_now_ms() - heard > ms;
+	return clock_now_ms() - last_answer > ms;
 }
 
 typedef struct {
@@ -70,43 +72,44 @@
 	r->retired = fleet_is_retired(g->fleet, r->id);
 }
 
-bool control_is_retired(control_t *cn, uint64_t id)
+bool control_is_retired(control_t *ctl, uint64_t id)
 {
 	retired_t r = {.id = id};
 
-	control_group_read(&cn->groups[0], read_retired, &r);
+	control_group_read(&ctl->groups[0], read_retired, &r);
 	return r.retired;
 }
 
-/* Control processes that could vote: those linked to the hub, or else the spares of the settings.
- */
-static unsigned candidates(control_t *cn, control_group_t *g,
-			   group_peer_t out[CONTROL_CANDIDATES_MAX])
+/* Processes that may become voters: those linked to the hub, or the spares of the settings if there
+ * is no hub. */
+static unsigned list_candidates(control_t *ctl, control_group_t *g,
+				group_peer_t out[CONTROL_CANDIDATES_MAX])
 {
 	unsigned n = 0;
 
-	if (cn->hub)
-		return hub_candidates(cn, out);
-	for (size_t i = 0; i < cn->settings.spares.n && n < CONTROL_CANDIDATES_MAX; i++) {
+	if (ctl->hub)
+		return hub_candidates(ctl, out);
+	for (size_t i = 0; i < ctl->settings.spares.n && n < CONTROL_CANDIDATES_MAX; i++) {
 		group_peer_t *p = &out[n];
 
 		*p = (group_peer_t){0};
-		snprintf(p->addr, sizeof(p->addr), "%s", cn->settings.spares.v[i]);
-		p->id = replica_id_at(p->addr, g->number, p->zone);
+		snprintf(p->addr, sizeof(p->addr), "%s", ctl->settings.spares.v[i]);
+		p->id = fetch_replica_id(p->addr, g->number, p->zone);
 		n += p->id != 0;
 	}
 	return n;
 }
 
-/* Id of the replica at a voter's address: another one there has lost its disk. */
-static uint64_t id_at(control_t *cn, control_group_t *g, const char *addr, char zone[32])
+/* Id of the replica at a voter's address; 0 if unknown. An id other than the voter's means that the
+ * voter lost its disk. */
+static uint64_t find_replica_id(control_t *ctl, control_group_t *g, const char *addr, char zone[32])
 {
 	group_peer_t v[CONTROL_CANDIDATES_MAX];
 	unsigned n;
 
-	if (!cn->hub)
-		return replica_id_at(addr, g->number, zone);
-	n = hub_candidates(cn, v);
+	if (!ctl->hub)
+		return fetch_replica_id(addr, g->number, zone);
+	n = hub_candidates(ctl, v);
 	for (unsigned i = 0; i < n; i++) {
 		if (strcmp(v[i].addr, addr) != 0)
 			continue;
@@ -116,7 +119,7 @@
 	return 0;
 }
 
-static unsigned voters_in(const group_status_t *st, const char *zone)
+static unsigned count_zone_voters(const group_status_t *st, const char *zone)
 {
 	unsigned n = 0;
 
@@ -125,22 +128,22 @@
 	return n;
 }
 
-/* Prefers a zone, and without one the zone that holds the fewest voters. */
-static bool find_spare(control_t *cn, control_group_t *g, const group_status_t *st,
+/* Prefers a spare in the given zone; with zone NULL, one in the zone with the fewest voters. */
+static bool find_spare(control_t *ctl, control_group_t *g, const group_status_t *st,
 		       const char *zone, group_peer_t *out)
 {
 	group_peer_t v[CONTROL_CANDIDATES_MAX];
-	unsigned n = candidates(cn, g, v);
+	unsigned n = list_candidates(ctl, g, v);
 	bool found = false;
 
 	for (unsigned i = 0; i < n; i++) {
 		bool better;
 
-		if (is_voter_addr(st, v[i].addr) || peer_by_id(st, v[i].id) ||
-		    control_is_retired(cn, v[i].id))
+		if (has_voter_at(st, v[i].addr) || peer_by_id(st, v[i].id) ||
+		    control_is_retired(ctl, v[i].id))
 			continue;
 		better = zone ? strcmp(v[i].zone, zone) == 0
-			      : voters_in(st, v[i].zone) < voters_in(st, out->zone);
+			      : count_zone_voters(st, v[i].zone) < count_zone_voters(st, out->zone);
 		if (!found || better)
 			*out = v[i];
 		found = true;
@@ -148,50 +151,51 @@
 	return found;
 }
 
-/* The lost voter's own address under a new id comes first, then a spare in its zone, then any. */
-static bool find_replacement(control_t *cn, control_group_t *g, const group_status_t *st,
+/* Prefers the lost voter's address under a new id, then a spare in its zone, then any spare. */
+static bool find_replacement(control_t *ctl, control_group_t *g, const group_status_t *st,
 			     const group_peer_t *lost, group_peer_t *out)
 {
 	uint64_t id;
 
 	*out = (group_peer_t){0};
 	snprintf(out->addr, sizeof(out->addr), "%s", lost->addr);
-	id = id_at(cn, g, lost->addr, out->zone);
+	id = find_replica_id(ctl, g, lost->addr, out->zone);
 	if (id && id != lost->id && !peer_by_id(st, id)) {
 		out->id = id;
 		return true;
 	}
-	return find_spare(cn, g, st, lost->zone, out);
+	return find_spare(ctl, g, st, lost->zone, out);
 }
 
-/* A learner that waits stands for the voter that it is to replace. */
-static bool promote_ready(control_group_t *g, const group_status_t *st)
+/* Promotes a learner that has caught up. Returns true while there is a learner: it is about to
+ * replace a voter, and the group changes one member at a time. */
+static bool promote_learner(control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
-		status_t got;
+		status_t result;
 
 		if (st->peers[i].voter)
 			continue;
 		if (st->match[i] < st->commit)
 			return true;
-		got = group_promote(g->raft, st->peers[i].id, clock_now_ms() + CHANGE_MS);
+		result = group_promote(g->raft, st->peers[i].id, clock_now_ms() + MEMBER_CHANGE_MS);
 		log_event(LOG_LEVEL_INFO, "voter_promoted", LOG_INT("group", g->number),
 			  LOG_CSTR("addr", st->peers[i].addr),
-			  LOG_CSTR("status", status_name(got)));
-		if (got == STATUS_OK)
+			  LOG_CSTR("status", status_name(result)));
+		if (result == STATUS_OK)
 			METRIC_INC("auburn_repairs_total");
 		return true;
 	}
 	return false;
 }
 
-/* A learner that is gone itself makes room for another. */
-static bool drop_dead_learner(control_t *cn, control_group_t *g, const group_status_t *st)
+/* Removes a learner that has failed itself, so that another one can be added. */
+static bool remove_silent_learner(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
-		if (st->peers[i].voter || !is_silent(st, i, cn->settings.replace_grace_ms))
+		if (st->peers[i].voter || !is_silent(st, i, ctl->settings.replace_grace_ms))
 			continue;
-		group_remove(g->raft, st->peers[i].id, clock_now_ms() + CHANGE_MS);
+		group_remove(g->raft, st->peers[i].id, clock_now_ms() + MEMBER_CHANGE_MS);
 		log_event(LOG_LEVEL_WARN, "learner_removed", LOG_INT("group", g->number),
 			  LOG_CSTR("addr", st->peers[i].addr));
 		return true;
@@ -199,7 +203,7 @@
 	return false;
 }
 
-static unsigned voters(const group_status_t *st)
+static unsigned count_voters(const group_status_t *st)
 {
 	unsigned n = 0;
 
@@ -208,93 +212,97 @@
 	return n;
 }
 
-/* The lost one leaves only once its replacement votes: the group is never smaller than before. */
-static void replace_voter(control_t *cn, control_group_t *g, const group_status_t *st, unsigned i)
+/* The lost voter is removed only after its replacement votes: the group never has fewer voters than
+ * before. */
+static void replace_voter(control_t *ctl, control_group_t *g, const group_status_t *st, unsigned i)
 {
 	const group_peer_t *lost = &st->peers[i];
-	group_peer_t fresh;
-	status_t got;
+	group_peer_t replacement;
+	status_t result;
 
-	if (voters(st) > control_voter_target(cn)) {
-		got = group_remove(g->raft, lost->id, clock_now_ms() + CHANGE_MS);
+	if (count_voters(st) > control_voter_target(ctl)) {
+		result = group_remove(g->raft, lost->id, clock_now_ms() + MEMBER_CHANGE_MS);
 		log_event(LOG_LEVEL_WARN, "voter_removed", LOG_INT("group", g->number),
-			  LOG_CSTR("addr", lost->addr), LOG_CSTR("status", status_name(got)),
+			  LOG_CSTR("addr", lost->addr), LOG_CSTR("status", status_name(result)),
 			  LOG_CSTR("reason", "lost or retired, replaced"));
 		return;
 	}
-	if (!find_replacement(cn, g, st, lost, &fresh))
+	if (!find_replacement(ctl, g, st, lost, &replacement))
 		return;
-	got = group_add_learner(g->raft, &fresh, clock_now_ms() + CHANGE_MS);
+	result = group_add_learner(g->raft, &replacement, clock_now_ms() + MEMBER_CHANGE_MS);
 	log_event(LOG_LEVEL_WARN, "voter_replacement_begun", LOG_INT("group", g->number),
-		  LOG_CSTR("lost", lost->addr), LOG_CSTR("by", fresh.addr),
-		  LOG_CSTR("status", status_name(got)));
+		  LOG_CSTR("lost", lost->addr), LOG_CSTR("by", replacement.addr),
+		  LOG_CSTR("status", status_name(result)));
 }
 
-/* A voter whose address answers under another id has lost its disk: no grace is needed. */
-static bool has_new_id(control_t *cn, control_group_t *g, const group_status_t *st, unsigned i)
+/* A voter whose address answers with another replica id has lost its disk and is replaced without
+ * the grace time. */
+static bool has_new_id(control_t *ctl, control_group_t *g, const group_status_t *st, unsigned i)
 {
 	char zone[32];
-	uint64_t id = id_at(cn, g, st->peers[i].addr, zone);
+	uint64_t id = find_replica_id(ctl, g, st->peers[i].addr, zone);
 
 	return id != 0 && id != st->peers[i].id;
 }
 
-unsigned control_voter_target(const control_t *cn)
+unsigned control_voter_target(const control_t *ctl)
 {
-	return cn->settings.tolerate ? 2 * (unsigned)cn->settings.tolerate + 1
-				     : (unsigned)cn->settings.controls.n;
+	return ctl->settings.tolerate ? 2 * (unsigned)ctl->settings.tolerate + 1
+				      : (unsigned)ctl->settings.controls.n;
 }
 
-/* A group founded with fewer voters than it is to have grows by one at a time. */
-static void grow(control_t *cn, control_group_t *g, const group_status_t *st)
+/* Adds one voter at a time to a group that was founded with fewer voters than its target. */
+static void add_missing_voter(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
-	group_peer_t fresh = {0};
-	status_t got;
+	group_peer_t replacement = {0};
+	status_t result;
 
-	if (voters(st) >= control_voter_target(cn) || !find_spare(cn, g, st, NULL, &fresh))
+	if (count_voters(st) >= control_voter_target(ctl) ||
+	    !find_spare(ctl, g, st, NULL, &replacement))
 		return;
-	got = group_add_learner(g->raft, &fresh, clock_now_ms() + CHANGE_MS);
+	result = group_add_learner(g->raft, &replacement, clock_now_ms() + MEMBER_CHANGE_MS);
 	log_event(LOG_LEVEL_INFO, "voter_added", LOG_INT("group", g->number),
-		  LOG_CSTR("addr", fresh.addr), LOG_INT("voters", voters(st)),
-		  LOG_CSTR("status", status_name(got)));
+		  LOG_CSTR("addr", replacement.addr), LOG_INT("voters", count_voters(st)),
+		  LOG_CSTR("status", status_name(result)));
 }
 
-/* Replaces a voter that is to be emptied; one that leads hands over first. */
-static bool retire_one(control_t *cn, control_group_t *g, const group_status_t *st)
+/* Replaces a voter that operators are emptying; a leader hands over its leadership first. */
+static bool replace_retired(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
-		if (!control_is_retired(cn, st->peers[i].id))
+		if (!control_is_retired(ctl, st->peers[i].id))
 			continue;
 		if (!st->peers[i].voter)
-			group_remove(g->raft, st->peers[i].id, clock_now_ms() + CHANGE_MS);
-		else if (st->peers[i].id == st->self && voters(st) > control_voter_target(cn))
-			group_step_down(g->raft, clock_now_ms() + CHANGE_MS);
+			group_remove(g->raft, st->peers[i].id, clock_now_ms() + MEMBER_CHANGE_MS);
+		else if (st->peers[i].id == st->self &&
+			 count_voters(st) > control_voter_target(ctl))
+			group_step_down(g->raft, clock_now_ms() + MEMBER_CHANGE_MS);
 		else
-			replace_voter(cn, g, st, i);
+			replace_voter(ctl, g, st, i);
 		return true;
 	}
 	return false;
 }
 
-void control_repair_round(control_t *cn, control_group_t *g, const group_status_t *st)
+void control_repair_round(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	static deadline_t next[CONTROL_GROUPS_MAX];
 
 	if (clock_now_ms() < next[g->number])
 		return;
 	next[g->number] = clock_now_ms() + PERIOD_MS;
-	if (drop_dead_learner(cn, g, st) || promote_ready(g, st))
+	if (remove_silent_learner(ctl, g, st) || promote_learner(g, st))
 		return;
 	for (unsigned i = 0; i < st->npeers; i++) {
 		if (!st->peers[i].voter || st->peers[i].id == st->self)
 			continue;
-		if (!is_silent(st, i, 2 * cn->settings.election_ms))
+		if (!is_silent(st, i, 2 * ctl->settings.election_ms))
 			continue;
-		if (is_silent(st, i, cn->settings.replace_grace_ms) || has_new_id(cn, g, st, i)) {
-			replace_voter(cn, g, st, i);
+		if (is_silent(st, i, ctl->settings.replace_grace_ms) || has_new_id(ctl, g, st, i)) {
+			replace_voter(ctl, g, st, i);
 			return;
 		}
 	}
-	if (!retire_one(cn, g, st))
-		grow(cn, g, st);
+	if (!replace_retired(ctl, g, st))
+		add_missing_voter(ctl, g, st);
 }
--- a/src/control/control_rpc.c
+++ b/src/control/control_rpc.c
@@ -1,3 +1,4 @@
+/* RPC server: commands, queries, heartbeats, log messages, status and events. */
 #include <string.h>
 #include "base/log.h"
 #include "base/metric.h"
@@ -5,15 +6,15 @@
 #include "control/control.h"
 #include "state/config.h"
 
-#define BEAT_FORWARD_MS 500
+#define HEARTBEAT_FORWARD_MS 500
 
-static void fail(wire_exec_res_t *res, status_t st)
+static void set_error(wire_exec_res_t *res, status_t st)
 {
 	res->status = (int)st;
 	res->message = wire_copy(str_c(status_message()));
 }
 
-static void add_leader(control_group_t *g, wire_bytes_t *out)
+static void set_leader(control_group_t *g, wire_bytes_t *out)
 {
 	group_status_t st;
 
@@ -21,10 +22,10 @@
 	*out = wire_copy(str_c(st.leader_addr));
 }
 
-/* Passes a call on to the leader for a caller that can't reach it. False when that can't be done.
- */
-static bool pass_on(control_t *cn, control_group_t *g, unsigned proc, const wire_exec_arg_t *arg,
-		    wire_exec_res_t *res)
+/* Forwards a call to the leader for a client that cannot reach it. Returns false if the call could
+ * not be forwarded. */
+static bool forward_exec(control_t *ctl, control_group_t *g, unsigned proc,
+			 const wire_exec_arg_t *arg, wire_exec_res_t *res)
 {
 	wire_exec_arg_t a = *arg;
 	group_status_t st;
@@ -34,7 +35,7 @@
 		return false;
 	a.forward = false;
 	METRIC_INC("auburn_forwarded_total");
-	if (control_client_call_at(cn->client, st.leader_addr, proc, XDR_PROC(wire_exec_arg_t), &a,
+	if (control_client_call_at(ctl->client, st.leader_addr, proc, XDR_PROC(wire_exec_arg_t), &a,
 				   XDR_PROC(wire_exec_res_t), res,
 				   clock_now_ms() + a.wait_ms) == STATUS_OK)
 		return true;
@@ -43,21 +44,21 @@
 	return false;
 }
 
-static control_group_t *group_of(control_t *cn, unsigned n, wire_exec_res_t *res)
+static control_group_t *find_group(control_t *ctl, unsigned n, wire_exec_res_t *res)
 {
-	if (!cn->ready) {
-		fail(res, status_fail(STATUS_NOT_LEADER, "starting"));
+	if (!ctl->ready) {
+		set_error(res, status_fail(STATUS_NOT_LEADER, "starting"));
 		return NULL;
 	}
-	if (n >= cn->ngroups) {
-		fail(res, status_fail(STATUS_INVALID, "no group %u", n));
+	if (n >= ctl->ngroups) {
+		set_error(res, status_fail(STATUS_INVALID, "no group %u", n));
 		return NULL;
 	}
-	return &cn->groups[n];
+	return &ctl->groups[n];
 }
 
-/* A text that breaks the rules never reaches the log. */
-static status_t check_text(const wire_fleet_cmd_t *cmd)
+/* An invalid config must never reach the log. */
+static status_t check_config(const wire_fleet_cmd_t *cmd)
 {
 	config_t *t = NULL;
 	status_t st;
@@ -82,21 +83,22 @@
 				       : status_fail(STATUS_INVALID, "not a ledger command");
 	}
 	st = wire_decode(payload, XDR_PROC(wire_fleet_cmd_t), &f, sizeof(f));
-	st = st == STATUS_OK ? check_text(&f) : status_fail(STATUS_INVALID, "not a fleet command");
+	st = st == STATUS_OK ? check_config(&f)
+			     : status_fail(STATUS_INVALID, "not a fleet command");
 	wire_free(XDR_PROC(wire_fleet_cmd_t), &f);
 	return st;
 }
 
 static void on_exec(void *ctx, const void *arg, void *out)
 {
-	control_t *cn = ctx;
+	control_t *ctl = ctx;
 	const wire_exec_arg_t *a = arg;
 	wire_exec_res_t *res = out;
-	control_group_t *g = group_of(cn, a->group, res);
+	control_group_t *g = find_group(ctl, a->group, res);
 	AUTO_BUF result = {0};
 	status_t st;
 
-	if (!g || pass_on(cn, g, AUBURN_EXEC, a, res))
+	if (!g || forward_exec(ctl, g, AUBURN_EXEC, a, res))
 		return;
 	st = check_command(a->group, wire_str(a->payload));
 	if (st == STATUS_OK)
@@ -107,8 +109,8 @@
 		METRIC_INC("auburn_commands_total");
 		return;
 	}
-	fail(res, st);
-	add_leader(g, &res->leader);
+	set_error(res, st);
+	set_leader(g, &res->leader);
 }
 
 typedef struct {
@@ -126,7 +128,7 @@
 		ledger_query(g->ledger, q->q, q->res);
 }
 
-static bool query_fits(unsigned group, wire_query_kind_t kind)
+static bool query_matches_group(unsigned group, wire_query_kind_t kind)
 {
 	bool fleet = kind == WIRE_QUERY_CONFIG || kind == WIRE_QUERY_VIEW;
 
@@ -135,19 +137,19 @@
 
 static void on_query(void *ctx, const void *arg, void *out)
 {
-	control_t *cn = ctx;
+	control_t *ctl = ctx;
 	const wire_exec_arg_t *a = arg;
 	wire_exec_res_t *res = out;
-	control_group_t *g = group_of(cn, a->group, res);
+	control_group_t *g = find_group(ctl, a->group, res);
 	wire_query_t q;
 	wire_query_res_t answer = {0};
 	AUTO_BUF payload = {0};
 	status_t st;
 
-	if (!g || pass_on(cn, g, AUBURN_QUERY, a, res))
+	if (!g || forward_exec(ctl, g, AUBURN_QUERY, a, res))
 		return;
 	st = wire_decode(wire_str(a->payload), XDR_PROC(wire_query_t), &q, sizeof(q));
-	if (st != STATUS_OK || !query_fits(a->group, q.kind))
+	if (st != STATUS_OK || !query_matches_group(a->group, q.kind))
 		st = status_fail(STATUS_INVALID, "not a query of group %u", a->group);
 	else
 		st = group_read_barrier(g->raft, clock_now_ms() + a->wait_ms);
@@ -158,60 +160,61 @@
 		res->payload = wire_copy(str_buf(&payload));
 		METRIC_INC("auburn_queries_total");
 	} else {
-		fail(res, st);
-		add_leader(g, &res->leader);
+		set_error(res, st);
+		set_leader(g, &res->leader);
 	}
 	wire_free(XDR_PROC(wire_query_t), &q);
 }
 
-static bool pass_beat_on(control_t *cn, const wire_heartbeat_arg_t *arg, wire_heartbeat_res_t *res)
+static bool forward_heartbeat(control_t *ctl, const wire_heartbeat_arg_t *arg,
+			      wire_heartbeat_res_t *res)
 {
 	wire_heartbeat_arg_t a = *arg;
 	group_status_t st;
 
-	group_get_status(cn->groups[0].raft, &st);
+	group_get_status(ctl->groups[0].raft, &st);
 	if (!arg->forward || st.leader || !st.leader_addr[0])
 		return false;
 	a.forward = false;
 	METRIC_INC("auburn_forwarded_total");
-	if (control_client_call_at(cn->client, st.leader_addr, AUBURN_HEARTBEAT,
+	if (control_client_call_at(ctl->client, st.leader_addr, AUBURN_HEARTBEAT,
 				   XDR_PROC(wire_heartbeat_arg_t), &a,
 				   XDR_PROC(wire_heartbeat_res_t), res,
-				   clock_now_ms() + BEAT_FORWARD_MS) == STATUS_OK)
+				   clock_now_ms() + HEARTBEAT_FORWARD_MS) == STATUS_OK)
 		return true;
 	wire_free(XDR_PROC(wire_heartbeat_res_t), res);
 	*res = (wire_heartbeat_res_t){0};
 	return false;
 }
 
-static void on_beat(void *ctx, const void *arg, void *out)
+static void on_heartbeat(void *ctx, const void *arg, void *out)
 {
-	control_t *cn = ctx;
+	control_t *ctl = ctx;
 	wire_heartbeat_res_t *res = out;
 
-	if (!cn->ready) {
+	if (!ctl->ready) {
 		res->status = STATUS_NOT_LEADER;
 		return;
 	}
-	if (pass_beat_on(cn, arg, res))
+	if (forward_heartbeat(ctl, arg, res))
 		return;
-	control_heartbeat(cn, arg, res);
+	control_heartbeat(ctl, arg, res);
 	if (res->status != STATUS_OK)
-		add_leader(&cn->groups[0], &res->leader);
+		set_leader(&ctl->groups[0], &res->leader);
 }
 
 static void on_raft(void *ctx, const void *arg, void *out)
 {
-	control_t *cn = ctx;
+	control_t *ctl = ctx;
 	const wire_raft_arg_t *a = arg;
 
-	if (!cn->ready)
+	if (!ctl->ready)
 		return;
 	for (u_int i = 0; i < a->msgs.msgs_len; i++) {
 		const wire_raft_msg_t *m = &a->msgs.msgs_val[i];
 
-		if (m->group < cn->ngroups)
-			group_receive(cn->groups[m->group].raft, wire_str(m->payload));
+		if (m->group < ctl->ngroups)
+			group_receive(ctl->groups[m->group].raft, wire_str(m->payload));
 	}
 }
 
@@ -238,7 +241,7 @@
 	{AUBURN_QUERY, XDR_PROC(wire_exec_arg_t), sizeof(wire_exec_arg_t),
 	 XDR_PROC(wire_exec_res_t), sizeof(wire_exec_res_t), on_query},
 	{AUBURN_HEARTBEAT, XDR_PROC(wire_heartbeat_arg_t), sizeof(wire_heartbeat_arg_t),
-	 XDR_PROC(wire_heartbeat_res_t), sizeof(wire_heartbeat_res_t), on_beat},
+	 XDR_PROC(wire_heartbeat_res_t), sizeof(wire_heartbeat_res_t), on_heartbeat},
 	{AUBURN_RAFT, XDR_PROC(wire_raft_arg_t), sizeof(wire_raft_arg_t), rpc_xdr_void, 1, on_raft},
 	{AUBURN_STATUS, rpc_xdr_void, 1, XDR_PROC(wire_text_t), sizeof(wire_text_t), on_status},
 	{AUBURN_EVENTS, XDR_PROC(wire_events_arg_t), sizeof(wire_events_arg_t),
@@ -246,10 +249,10 @@
 	{0},
 };
 
-status_t control_rpc_start(control_t *cn)
+status_t control_rpc_start(control_t *ctl)
 {
-	rpc_server_options_t o = {cn->settings.listen, AUBURN_CONTROL, AUBURN_CONTROL_V1, procs,
-				  cn};
+	rpc_server_options_t o = {ctl->settings.listen, AUBURN_CONTROL, AUBURN_CONTROL_V1, procs,
+				  ctl};
 
 	return rpc_serve(&o);
 }
--- a/src/control/control_settings.c
+++ b/src/control/control_settings.c
@@ -1,3 +1,4 @@
+/* Settings file of auburn-control. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/rpc.h"
@@ -26,7 +27,7 @@
 	return STATUS_OK;
 }
 
-static status_t set_routes(const toml_doc_t *c, const toml_strs_t *routes)
+static status_t set_addr_routes(const toml_doc_t *c, const toml_strs_t *routes)
 {
 	for (size_t i = 0; i < routes->n; i++) {
 		AUTO_FREE char *addr = str_dup(str_c(routes->v[i]));
@@ -42,8 +43,8 @@
 	return STATUS_OK;
 }
 
-/* Control processes are listed by another of their addresses. */
-static void set_port(toml_strs_t *addrs, unsigned port)
+/* Sets the port of every address: `controls` lists the processes by another of their ports. */
+static void replace_ports(toml_strs_t *addrs, unsigned port)
 {
 	for (size_t i = 0; i < addrs->n; i++) {
 		AUTO_BUF b = {0};
@@ -115,7 +116,7 @@
 	if (st == STATUS_OK)
 		st = check_addrs(c, "spares", &s->spares);
 	if (st == STATUS_OK)
-		st = set_routes(c, &s->addr_routes);
+		st = set_addr_routes(c, &s->addr_routes);
 	if (st == STATUS_OK && s->operators)
 		st = rpc_check_addr(c, "operators", s->operators);
 	if (st == STATUS_OK && s->directory)
@@ -123,6 +124,6 @@
 	if (st == STATUS_OK && s->upstream_list)
 		st = rpc_check_addr(c, "upstream_list", s->upstream_list);
 	if (st == STATUS_OK && s->rpc_port)
-		set_port(&s->controls, (unsigned)s->rpc_port);
+		replace_ports(&s->controls, (unsigned)s->rpc_port);
 	return st;
 }
--- a/src/control/control_status.c
+++ b/src/control/control_status.c
@@ -1,7 +1,9 @@
+/* Status of the process and its groups as JSON. */
 #include <jansson.h>
 #include "control/control.h"
 
-/* A group whose log went past this has been in use: its replicas can't be founded again. */
+/* A group with a commit index above this has been in use: its replicas must not be founded again.
+ */
 #define FOUNDING_ENTRIES 2
 
 static json_t *peers_json(const group_status_t *st)
@@ -60,13 +62,13 @@
 	json_object_set_new(o, "bytes", json_integer((json_int_t)s.bytes));
 }
 
-static bool add_groups(control_t *cn, json_t *root)
+static bool add_groups(control_t *ctl, json_t *root)
 {
 	json_t *groups = json_array();
 	bool used = false;
 
-	for (unsigned n = 0; n < cn->ngroups; n++) {
-		control_group_t *g = &cn->groups[n];
+	for (unsigned n = 0; n < ctl->ngroups; n++) {
+		control_group_t *g = &ctl->groups[n];
 		group_status_t st;
 		json_t *o;
 
@@ -80,15 +82,15 @@
 	return used;
 }
 
-void control_status_json(control_t *cn, buf_t *out)
+void control_status_json(control_t *ctl, buf_t *out)
 {
-	json_t *root = json_pack("{s:s,s:s,s:s}", "name", cn->settings.name, "addr",
-				 cn->settings.listen, "zone", cn->settings.zone);
+	json_t *root = json_pack("{s:s,s:s,s:s}", "name", ctl->settings.name, "addr",
+				 ctl->settings.listen, "zone", ctl->settings.zone);
 	const char *state = "fresh";
 	char *text;
 
-	if (cn->ready)
-		state = add_groups(cn, root) ? "member" : "seeded";
+	if (ctl->ready)
+		state = add_groups(ctl, root) ? "member" : "seeded";
 	json_object_set_new(root, "state", json_string(state));
 	text = json_dumps(root, JSON_COMPACT);
 	buf_add(out, str_c(text));
--- a/src/control/main.c
+++ b/src/control/main.c
@@ -13,9 +13,10 @@
 
 #define ROUND_MS     50
 #define STEP_DOWN_MS 2000
-/** Calls under way at a planned stop are waited for, in ms: they have an answer after 2,500. */
-#define CALLS_MS     2700
-#define STOP_POLL_MS 50 /* the hub looks every 25 */
+/** A planned stop waits this long, in ms, for calls in progress: each is answered within 2,500 ms.
+ */
+#define CALLS_DRAIN_MS 2700
+#define STOP_POLL_MS   50 /* the hub updates its busy flag every 25 ms */
 
 static int fail_with(int code)
 {
@@ -42,44 +43,44 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-static status_t open_groups(control_t *cn, bool bootstrap)
+static status_t open_groups(control_t *ctl, bool bootstrap)
 {
-	control_boot_t boot = control_boot_decide(cn, bootstrap);
+	control_boot_t boot = control_boot_decide(ctl, bootstrap);
 
-	log_event(LOG_LEVEL_INFO, "opening", LOG_CSTR("data", cn->settings.data),
+	log_event(LOG_LEVEL_INFO, "opening", LOG_CSTR("data", ctl->settings.data),
 		  LOG_CSTR("as", boot == CONTROL_BOOT_MEMBER	  ? "member"
 				 : boot == CONTROL_BOOT_NEW_FLEET ? "founder"
 								  : "learner"));
-	for (unsigned n = 0; n < cn->ngroups; n++) {
-		status_t st = control_group_open(cn, n, boot == CONTROL_BOOT_NEW_FLEET);
+	for (unsigned n = 0; n < ctl->ngroups; n++) {
+		status_t st = control_group_open(ctl, n, boot == CONTROL_BOOT_NEW_FLEET);
 
 		if (st != STATUS_OK)
 			return st;
 	}
-	cn->ready = true;
+	ctl->ready = true;
 	return STATUS_OK;
 }
 
-/* A planned stop hands leadership over first, so that nobody waits for an election. The groups stay
- * open until the process ends: other threads use them, and what was acknowledged is synced. */
-static void stop(control_t *cn)
+/* Hands leadership over first, so that no group waits for an election. The groups stay open until
+ * the process ends: other threads use them, and every acknowledged command is synced. */
+static void stop_planned(control_t *ctl)
 {
 	log_event(LOG_LEVEL_INFO, "stopping", LOG_CSTR("reason", "signal"));
-	for (unsigned n = 0; n < cn->ngroups; n++)
-		group_step_down(cn->groups[n].raft, clock_now_ms() + STEP_DOWN_MS);
-	/* Operators' calls under way are answered, by the next leader if need be. */
-	if (cn->hub) {
-		deadline_t by = clock_now_ms() + CALLS_MS;
+	for (unsigned n = 0; n < ctl->ngroups; n++)
+		group_step_down(ctl->groups[n].raft, clock_now_ms() + STEP_DOWN_MS);
+	/* Operators' calls in progress are answered, by the next leader if necessary. */
+	if (ctl->hub) {
+		deadline_t by = clock_now_ms() + CALLS_DRAIN_MS;
 
 		do
 			clock_sleep_ms(STOP_POLL_MS);
-		while (hub_is_busy(cn) && clock_now_ms() < by);
+		while (hub_is_busy(ctl) && clock_now_ms() < by);
 	}
-	log_event(LOG_LEVEL_INFO, "stopped", LOG_CSTR("name", cn->settings.name));
+	log_event(LOG_LEVEL_INFO, "stopped", LOG_CSTR("name", ctl->settings.name));
 }
 
-/* Only the known control processes may change without a restart. */
-static void reload(control_t *cn, const char *path)
+/* Only the list of control processes can change without a restart. */
+static void reload(control_t *ctl, const char *path)
 {
 	control_settings_t s;
 
@@ -87,29 +88,29 @@
 		log_event(LOG_LEVEL_ERROR, "reload_failed", LOG_CSTR("what", status_message()));
 		return;
 	}
-	if (cn->hub)
-		hub_add_controls(cn, &s.controls);
+	if (ctl->hub)
+		hub_add_controls(ctl, &s.controls);
 	log_event(LOG_LEVEL_INFO, "reloaded", LOG_INT("controls", s.controls.n));
 }
 
-static void run(control_t *cn, const sigset_t *set, const char *path)
+static void run_rounds(control_t *ctl, const sigset_t *set, const char *path)
 {
 	struct timespec round = {0, ROUND_MS * 1000000L};
 
 	for (;;) {
-		int got = sigtimedwait(set, NULL, &round);
+		int sig = sigtimedwait(set, NULL, &round);
 
-		if (got == SIGHUP)
-			reload(cn, path);
-		else if (got > 0)
+		if (sig == SIGHUP)
+			reload(ctl, path);
+		else if (sig > 0)
 			break;
 		else
-			control_leader_round(cn);
+			control_leader_round(ctl);
 	}
-	stop(cn);
+	stop_planned(ctl);
 }
 
-static control_client_t *make_client(const control_settings_t *s)
+static control_client_t *new_client(const control_settings_t *s)
 {
 	const char *addrs[2 * GROUP_PEERS_MAX];
 	size_t n = 0;
@@ -127,14 +128,14 @@
 		"auburn-control", "One replica of auburnwing's durable state.", "bootstrap",
 		"found a new fleet if the data folder is new and no other control "
 		"process holds state"};
-	static control_t cn;
+	static control_t ctl;
 	sigset_t set;
 	args_parsed_t args;
 	int code = args_parse(&o, argc, argv, &args);
 
 	if (code >= 0)
 		return code;
-	if (control_settings_load(args.config, &cn.settings) != STATUS_OK)
+	if (control_settings_load(args.config, &ctl.settings) != STATUS_OK)
 		return fail_with(EXIT_SETTINGS);
 	if (args.check)
 		return EXIT_OK;
@@ -142,22 +143,22 @@
 		return EXIT_FAILED;
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	block_signals(&set);
-	log_open(cn.settings.name, LOG_LEVEL_INFO);
-	if (make_data_folder(cn.settings.data) != STATUS_OK)
+	log_open(ctl.settings.name, LOG_LEVEL_INFO);
+	if (make_data_folder(ctl.settings.data) != STATUS_OK)
 		return fail_with(EXIT_DATA);
-	cn.ngroups = (unsigned)cn.settings.ledger_groups + 1;
-	cn.groups = mem_new(cn.ngroups * sizeof(*cn.groups));
-	cn.client = make_client(&cn.settings);
-	cn.peers = control_peers_new(&cn);
-	cn.sessions = control_sessions_new();
-	if (control_rpc_start(&cn) != STATUS_OK || control_http_start(&cn) != STATUS_OK)
+	ctl.ngroups = (unsigned)ctl.settings.ledger_groups + 1;
+	ctl.groups = mem_new(ctl.ngroups * sizeof(*ctl.groups));
+	ctl.client = new_client(&ctl.settings);
+	ctl.peers = control_peers_new(&ctl);
+	ctl.sessions = control_sessions_new();
+	if (control_rpc_start(&ctl) != STATUS_OK || control_http_start(&ctl) != STATUS_OK)
 		return fail_with(EXIT_LISTEN);
-	if (open_groups(&cn, args.flag || cn.settings.bootstrap) != STATUS_OK)
+	if (open_groups(&ctl, args.flag || ctl.settings.bootstrap) != STATUS_OK)
 		return fail_with(EXIT_DATA);
-	if (cn.settings.link_port && hub_start(&cn) != STATUS_OK)
+	if (ctl.settings.link_port && hub_start(&ctl) != STATUS_OK)
 		return fail_with(EXIT_LISTEN);
-	run(&cn, &set, args.config);
+	run_rounds(&ctl, &set, args.config);
 	fflush(NULL);
-	/* Not through exit: its handlers would free what other threads still use. */
+	/* exit() would run handlers that free memory in use by other threads. */
 	_exit(EXIT_OK);
 }
