--- a/src/client/upstream_list.c
+++ b/src/client/upstream_list.c
@@ -5,12 +5,12 @@
 #include "net/timeout.h"
 #include "platform/platform.h"
 
-/** Time limit for reading the whole list, in ms; the hub starts the next read a second later. */
+/** Time limit for reading the whole list, in ms; the hub starts the next read within a second. */
 #define READ_TIMEOUT_MS	   1500
 #define CONNECT_TIMEOUT_MS 500
-/** Bytes of the response for one page; a page of a few hundred replicas is below 100 KB. */
+/** Most bytes of the response for one page; a page of a few hundred replicas is below 100 KB. */
 #define PAGE_BYTES_MAX (4U << 20)
-/** Replicas in a whole list: several times the size that the system is designed for. */
+/** Most replicas in a whole list: several times the size that the system is designed for. */
 #define REPLICAS_MAX 20000
 
 struct upstream_list {
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -15,7 +15,7 @@
 #define CONTROL_GROUPS_MAX 65 /* group 0 and the ledger groups */
 /** The leader waits this much longer than a lease, in ms, as clocks run at different rates. */
 #define CONTROL_LEASE_MARGIN_MS 300
-/** Control processes that the hub lists as candidates for voters. */
+/** Most control processes that hub_candidates lists. */
 #define CONTROL_CANDIDATES_MAX 32
 
 /** Settings of the process; times in ms. */
@@ -25,17 +25,17 @@
 	char *listen; /* ip:port of its RPC */
 	char *http; /* ip:port of /metrics, /healthz and /readyz; may be NULL */
 	char *data; /* data folder */
-	char *platform; /* URL of the list of VMs; may be NULL */
+	char *platform; /* URL of the list of VMs that become upstreams of entries; may be NULL */
 	toml_strs_t controls; /* RPC addresses of the founding control processes, own included */
 	toml_strs_t addr_routes; /* "addr=via": connections to addr go to via */
-	toml_strs_t spares; /* RPC addresses of control processes that may replace a lost one */
+	toml_strs_t spares; /* RPC addresses of candidates for voters, if there is no hub */
 	char *operators; /* ip:port for operators; may be NULL */
 	char *directory; /* ip:port for callers that look up entries; may be NULL */
-	char *upstream_list; /* ip:port of the platform's list of replicas; may be NULL */
+	char *upstream_list; /* ip:port of the replica list for the dispatcher; may be NULL */
 	int64_t rpc_port; /* replaces the ports in `controls`; 0: as given there */
 	int64_t link_port; /* on which control processes accept links; 0: no hub */
-	int64_t tolerate; /* VMs whose disks may be lost at once; 0: one voter for each of
-			     `controls` */
+	int64_t tolerate; /* control processes whose disks may be lost at once; 0: one voter for
+			     each of `controls` */
 	int64_t memory_mib; /* memory of the process, of which lots may fill a part; 0: no bound */
 	int64_t lot_ttl_ms; /* how long results are readable after the lot was accepted */
 	bool bootstrap;
@@ -66,8 +66,8 @@
 	unsigned ngroups;
 	control_group_t *groups;
 	_Atomic bool ready; /* all groups are open */
-	_Atomic bool stopping;
-	_Atomic bool fresh; /* the data folder was new at start */
+	_Atomic bool stopping; /* unused */
+	_Atomic bool fresh; /* unused */
 	control_client_t *client; /* to the other control processes */
 	struct control_peers *peers;
 	struct control_sessions *sessions;
@@ -117,7 +117,7 @@
 /** Decides how to open the data folder. Asks the other control processes if the folder is new. */
 control_boot_t control_boot_decide(control_t *ctl, bool bootstrap);
 
-/** True if operators have ordered the process with this replica of group 0 to be emptied. */
+/** True if operators have retired the control process with this Raft replica of group 0. */
 bool control_is_retired(control_t *ctl, uint64_t replica);
 /** Number of voters that a group should have. */
 unsigned control_voter_target(const control_t *ctl);
@@ -126,8 +126,8 @@
 status_t hub_start(control_t *ctl);
 /** Adds control processes that may lead. Thread-safe. */
 void hub_add_controls(control_t *ctl, const toml_strs_t *addrs);
-/** Copies the linked control processes, for the repair by the leader; returns how many.
- * Thread-safe. */
+/** Lists the control processes that are linked to the hub, as candidates for voters; returns how
+ * many. Thread-safe. */
 unsigned hub_candidates(control_t *ctl, group_peer_t out[CONTROL_CANDIDATES_MAX]);
 /** True while calls of operators or look-ups are in progress. Thread-safe. */
 bool hub_is_busy(const control_t *ctl);
--- a/src/control/control_boot.c
+++ b/src/control/control_boot.c
@@ -18,7 +18,7 @@
 	return stat(path.p, &sb) == 0;
 }
 
-/* "fresh", "seeded" or "member"; empty when the process does not answer. */
+/* Gets the state of a control process, see control_status_json; empty if there is no answer. */
 static void fetch_state(control_t *ctl, size_t i, char out[16])
 {
 	AUTO_BUF text = {0};
--- a/src/control/control_peer.c
+++ b/src/control/control_peer.c
@@ -1,4 +1,4 @@
-/* Sends log messages to the other control processes: a queue and a thread for each. */
+/* Sends Raft messages to the other control processes: a queue and a thread for each. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/metric.h"
--- a/src/control/control_platform.c
+++ b/src/control/control_platform.c
@@ -1,4 +1,4 @@
-/* Polls the platform's list of VMs and commits changes to group 0. */
+/* Polls the platform's list of VMs and commits changes of the upstreams to group 0. */
 #include <curl/curl.h>
 #include <jansson.h>
 #include <string.h>
@@ -126,7 +126,7 @@
 	wire_free(XDR_PROC(wire_query_res_t), &res);
 }
 
-/* An empty list after a full one is more likely a fault of the platform than an empty fleet. */
+/* An empty list is more likely a fault of the platform than an empty fleet, so it is ignored. */
 static bool is_plausible(const wire_fleet_cmd_t *cmd)
 {
 	return cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len > 0;
--- a/src/control/control_repair.c
+++ b/src/control/control_repair.c
@@ -167,8 +167,8 @@
 	return find_spare(ctl, g, st, lost->zone, out);
 }
 
-/* Promotes a learner that has caught up. Returns true while there is a learner: it is about to
- * replace a voter, and the group changes one member at a time. */
+/* Promotes a learner that has caught up. Returns true while there is a learner, which is about to
+ * become a voter: the group changes one member at a time. */
 static bool promote_learner(control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
@@ -254,19 +254,18 @@
 /* Adds one voter at a time to a group that was founded with fewer voters than its target. */
 static void add_missing_voter(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
-	group_peer_t replacement = {0};
+	group_peer_t spare = {0};
 	status_t result;
 
-	if (count_voters(st) >= control_voter_target(ctl) ||
-	    !find_spare(ctl, g, st, NULL, &replacement))
+	if (count_voters(st) >= control_voter_target(ctl) || !find_spare(ctl, g, st, NULL, &spare))
 		return;
-	result = group_add_learner(g->raft, &replacement, clock_now_ms() + MEMBER_CHANGE_MS);
+	result = group_add_learner(g->raft, &spare, clock_now_ms() + MEMBER_CHANGE_MS);
 	log_event(LOG_LEVEL_INFO, "voter_added", LOG_INT("group", g->number),
-		  LOG_CSTR("addr", replacement.addr), LOG_INT("voters", count_voters(st)),
+		  LOG_CSTR("addr", spare.addr), LOG_INT("voters", count_voters(st)),
 		  LOG_CSTR("status", status_name(result)));
 }
 
-/* Replaces a voter that operators are emptying; a leader hands over its leadership first. */
+/* Replaces a member that operators have retired; a leader hands over its leadership first. */
 static bool replace_retired(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
--- a/src/control/control_rpc.c
+++ b/src/control/control_rpc.c
@@ -1,4 +1,4 @@
-/* RPC server: commands, queries, heartbeats, log messages, status and events. */
+/* RPC server: commands, queries, heartbeats, Raft messages, status and events. */
 #include <string.h>
 #include "base/log.h"
 #include "base/metric.h"
--- a/src/control/control_status.c
+++ b/src/control/control_status.c
@@ -62,6 +62,7 @@
 	json_object_set_new(o, "bytes", json_integer((json_int_t)s.bytes));
 }
 
+/* Adds all groups to root. Returns true if one of them has been in use. */
 static bool add_groups(control_t *ctl, json_t *root)
 {
 	json_t *groups = json_array();
@@ -89,6 +90,7 @@
 	const char *state = "fresh";
 	char *text;
 
+	/* "fresh": the groups are not open yet. "seeded": open and never used. "member": in use. */
 	if (ctl->ready)
 		state = add_groups(ctl, root) ? "member" : "seeded";
 	json_object_set_new(root, "state", json_string(state));
--- a/src/control/hub.c
+++ b/src/control/hub.c
@@ -284,7 +284,7 @@
 	msgconn_send(l, str_buf(&b));
 }
 
-static bool is_linked(hub_t *h, str_t control)
+static bool is_linked_or_self(hub_t *h, str_t control)
 {
 	for (hub_peer_t *p = h->peers; p; p = p->hh.next) {
 		if (str_eq(str_c(p->rpc_addr), control))
@@ -303,9 +303,10 @@
 }
 
 /*
- * An entry that has restarted knows only the seeds. If the seeds are no longer members, because
- * they were replaced or lost their disks, none of them can name the leader to the entry. The leader
- * therefore announces itself to the known control processes that are not linked to it.
+ * An entry that has restarted knows only the control processes in its settings. If these are no
+ * longer members, because they were replaced or lost their disks, none of them can name the leader
+ * to the entry. The leader therefore announces itself to the known control processes that are not
+ * linked to it.
  */
 static void announce_leader(hub_t *h, deadline_t now)
 {
@@ -322,7 +323,7 @@
 	for (size_t i = 0; i < n; i++) {
 		char addr[LEADER_LINK_ADDR_BYTES];
 
-		if (is_linked(h, controls[i]) ||
+		if (is_linked_or_self(h, controls[i]) ||
 		    leader_link_make_addr(controls[i], (unsigned)h->control->settings.link_port,
 					  addr) != STATUS_OK)
 			continue;
--- a/src/control/hub.h
+++ b/src/control/hub.h
@@ -29,15 +29,15 @@
 /** Period of reads of the upstream list, in ms: the list lags by about as much. */
 #define HUB_LIST_PERIOD_MS 1000
 
-/** Control processes that receive the leader's announcements. */
+/** Most control processes that receive the leader's announcements. */
 #define HUB_ANNOUNCE_MAX 32
 
-/** Replicas, and likewise entries, in the view sent to one entry. */
+/** Most replicas, and most entries, in the view sent to one entry. */
 #define HUB_SHARE_MAX 64
 
 typedef struct hub hub_t;
 
-/** Another process with a link to this one. */
+/** A linked process: an entry, or a control process that does not lead. */
 typedef struct hub_peer {
 	hub_t *hub;
 	uint64_t id;
@@ -48,7 +48,7 @@
 	char addr[32]; /* ip:port for callers; empty for a control process */
 	char zone[32];
 	char rpc_addr[32]; /* RPC address; empty for an entry */
-	uint64_t replica; /* id of its replica of group 0 */
+	uint64_t replica; /* id of its Raft replica of group 0; 0 for an entry */
 	deadline_t last_sent;
 	uint64_t sent_upstreams; /* digests of the share of the view sent last; 0: none */
 	uint64_t sent_entries;
@@ -66,11 +66,11 @@
 
 typedef struct hub_lot hub_lot_t;
 
-/** An item without a committed result, and its place in the dispatcher. */
+/** An item of a dispatched lot, and its state in the dispatcher. */
 typedef struct {
 	hub_lot_t *lot;
 	uint32_t index;
-	dispatch_item_t *dispatch_ref; /* NULL once the item needs no further run */
+	dispatch_item_t *dispatch_ref; /* NULL once the item is finished */
 	uint64_t entry; /* which received the latest run */
 	buf_t text; /* output of all runs so far */
 	uint32_t events; /* contained in text */
@@ -84,7 +84,7 @@
 	hub_t *hub;
 	char *id;
 	uint32_t nitems;
-	uint32_t unfinished; /* items that need a further run */
+	uint32_t unfinished; /* items that are not finished */
 	hub_item_t *items;
 	UT_hash_handle hh;
 };
@@ -131,13 +131,13 @@
 	deadline_t last_tick;
 	int listener;
 	ev_io accept_watcher;
-	http_server_t *operators;
-	http_server_t *directory;
+	http_server_t *operators; /* NULL if not configured */
+	http_server_t *directory; /* NULL if not configured */
 	http_client_t *http;
 	upstream_list_t *upstream_list;
 	leader_link_t *leader_link;
 	worker_pool_t *commit_worker; /* one thread: commits are sequential */
-	worker_pool_t *call_workers; /* for calls that may block in a partition */
+	worker_pool_t *call_workers; /* for work that would block the loop */
 	hub_role_t role;
 	uint64_t term; /* of the leadership */
 	hub_peer_t *peers;
@@ -149,8 +149,8 @@
 	leaving_t *leaving_replicas; /* reported by entries */
 	ring_point_t *upstream_ring; /* over the view's lists, to select the shares of entries */
 	ring_point_t *entry_ring;
-	bool rings_stale;
-	bool view_changed;
+	bool rings_stale; /* the lists have changed since the rings were built */
+	bool view_changed; /* since the last view was sent */
 	deadline_t next_view; /* earliest time of the next view */
 	hub_routes_t recent_routes[HUB_RECENT_ROUTES]; /* newest first */
 	route_table_t *routes; /* in force: recent_routes[0]; NULL: none yet */
@@ -186,7 +186,7 @@
 void hub_view_init(hub_t *h);
 /** Starts leading with the replicas of the previous leader's view. */
 void hub_view_start_leading(hub_t *h);
-/** A replica of the view; NULL if there is none with this id. */
+/** The replica of a service with this id in the view, or NULL. */
 const link_upstream_t *hub_find_replica(const hub_t *h, str_t id);
 /** Handles an entry's report that a replica is leaving. */
 void hub_view_note_leaving(hub_t *h, const hub_peer_t *p, const link_leaving_t *m);
@@ -239,7 +239,7 @@
 
 void hub_config_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg);
 
-/* hub_retire.c: emptying control processes */
+/* hub_retire.c: retires control processes */
 
 void hub_retire_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg);
 
--- a/src/control/hub_config.c
+++ b/src/control/hub_config.c
@@ -6,7 +6,7 @@
 #include "control/hub.h"
 
 /** Time limit of a change or read, in ms. After it the outcome is unclear, and the operator asks
- * another node. */
+ * another control process. */
 #define CALL_MS 2500
 
 typedef struct {
--- a/src/control/hub_lots.c
+++ b/src/control/hub_lots.c
@@ -153,7 +153,8 @@
 	}
 }
 
-/* Replies to a read unless it has to wait; returns false then. */
+/* Replies to a read. Returns false if the lot is unknown here, or if the read may wait and there is
+ * nothing new. */
 static bool try_answer_read(hub_t *h, const hub_origin_t *from, str_t lot, uint32_t after,
 			    bool wait)
 {
@@ -175,7 +176,8 @@
 	free(w);
 }
 
-/* Replies to the waiting reads that have results by now, or are past their deadline. */
+/* Replies to the waiting reads that have results or whose lot has ended, and to those past their
+ * deadline. */
 static void wake_waiters(hub_t *h, deadline_t now)
 {
 	hub_waiter_t *w;
--- a/src/control/hub_retire.c
+++ b/src/control/hub_retire.c
@@ -1,4 +1,5 @@
-/* Emptying a control process: group 0 records its replica, and the repair replaces its voter. */
+/* Retires control processes: group 0 records the replica as retired, and the repair replaces its
+ * voter. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
@@ -14,8 +15,8 @@
 	worker_task_t task;
 	hub_t *h;
 	hub_origin_t from;
-	char *node;
-	uint64_t replica; /* to retire; 0: the call asks whether the process is empty */
+	char *node; /* name of the control process */
+	uint64_t replica; /* to retire; 0: the call asks whether the retired process is empty */
 	status_t st;
 	char message[128];
 	bool empty;
@@ -33,7 +34,8 @@
 	f->replica = fleet_retired_replica(g->fleet, f->node);
 }
 
-/* A retired replica is empty once it is no member: the members hold all of its data, synced. */
+/* A retired process is empty once its replica is no member: the members hold all of its data,
+ * synced. */
 static void check_emptied(retire_task_t *o)
 {
 	control_group_t *g = &o->h->control->groups[0];
@@ -45,7 +47,7 @@
 		return;
 	control_group_read(g, find_retired, &f);
 	if (!f.replica) {
-		o->st = status_fail(STATUS_NOT_FOUND, "%s is not being emptied", o->node);
+		o->st = status_fail(STATUS_NOT_FOUND, "%s is not retired", o->node);
 		return;
 	}
 	group_get_status(g->raft, &st);
--- a/src/control/hub_view.c
+++ b/src/control/hub_view.c
@@ -5,8 +5,8 @@
 #include "base/metric.h"
 #include "control/hub.h"
 
-/** Entries of the previous leader's view remain in the view for this long, in ms, until they have
- * linked to this process. */
+/** The view retains the entries of the previous leader's view until as many processes have linked
+ * to this one, but no longer than this, in ms. */
 #define INHERITED_ENTRIES_MS 2000
 /** Minimum time between two views, in ms for each linked process: views then cost the leader less
  * than a tenth of a core. */
@@ -282,7 +282,7 @@
 	METRIC_INC("auburn_views_sent_total");
 }
 
-/* A control process may become the leader and needs the whole view. */
+/* An entry gets its share. A control process may become the leader and needs the whole view. */
 static void send_view(hub_t *h, hub_peer_t *p)
 {
 	link_msg_t m = {.kind = LINK_VIEW};
@@ -297,6 +297,7 @@
 	hub_send(p, &m);
 }
 
+/* send_view for the other files of the hub. */
 void hub_view_send(hub_t *h, hub_peer_t *p)
 {
 	send_view(h, p);
@@ -325,7 +326,7 @@
 	if (!h->view_changed)
 		return;
 	group_get_status(h->control->groups[0].raft, &st);
-	/* Until the entries have linked, callers get those of the previous leader's view. */
+	/* Callers still get the entries of the previous leader's view. */
 	if (now - st.leader_since < INHERITED_ENTRIES_MS &&
 	    h->view.entries.entries_len > HASH_COUNT(h->peers))
 		return;
