--- a/src/client/control_client.h
+++ b/src/client/control_client.h
@@ -17,9 +17,10 @@
 control_client_t *control_client_new(const char *const *addrs, size_t n, unsigned ledger_groups);
 void control_client_free(control_client_t *c);
 
-/** Commits a command of group 0. This and the functions below return the status of the replication:
- * STATUS_OK: res holds the answer, whose own status may be an error. STATUS_UNAVAILABLE: certainly
- * not done. STATUS_TIMEOUT: may have been done. The caller frees res with wire_free. */
+/** Commits a command of group 0. This function, the two for the ledger and control_client_query
+ * return the status of the replication. STATUS_OK: res holds the answer, whose own status may be an
+ * error. STATUS_UNAVAILABLE: not done. STATUS_TIMEOUT: may have been done. STATUS_INVALID,
+ * STATUS_LIMIT: refused by the leader. The caller frees res with wire_free. */
 status_t control_client_fleet(control_client_t *c, const wire_fleet_cmd_t *cmd,
 			      wire_fleet_res_t *res, deadline_t deadline);
 /** Commits a command of the ledger group that its caller and key (or job) select. */
@@ -31,6 +32,8 @@
 				     deadline_t deadline);
 status_t control_client_query(control_client_t *c, unsigned group, const wire_query_t *q,
 			      wire_query_res_t *res, deadline_t deadline);
+/** Sends a heartbeat to the leader of group 0. STATUS_UNAVAILABLE: no answer before the deadline.
+ */
 status_t control_client_heartbeat(control_client_t *c, const wire_heartbeat_arg_t *arg,
 				  wire_heartbeat_res_t *res, deadline_t deadline);
 /** Calls the control process at addr once. STATUS_UNAVAILABLE also if addr was not given to
@@ -46,6 +49,7 @@
 const char *control_client_addr(const control_client_t *c, size_t i);
 /** Ledger group that holds the caller's key or job. */
 unsigned control_client_group(const control_client_t *c, str_t caller, str_t key);
+/** Number of ledger groups; group 0 is not counted. */
 unsigned control_client_groups(const control_client_t *c);
 
 #endif
--- a/src/client/delta.h
+++ b/src/client/delta.h
@@ -12,10 +12,11 @@
 /** Largest delta, uncompressed, in bytes: some 200,000 routes. */
 #define DELTA_SIZE_MAX (32U << 20)
 
-/** Appends the delta from base to r; base NULL: an empty table. *size: its uncompressed bytes. */
+/** Appends to out the compressed delta that turns base (NULL: an empty table) into r. *size: bytes
+ * of the delta before compression. */
 status_t delta_pack(const route_table_t *base, const route_table_t *r, buf_t *out, uint32_t *size);
-/** Applies a delta to base, which may be NULL, and makes the new table. STATUS_CORRUPT: the delta
- * is malformed, or its result is no valid route table. */
+/** Applies a delta to base (NULL: an empty table) and makes the resulting table. size: as from
+ * delta_pack. STATUS_CORRUPT: the delta is malformed, or its result is no valid route table. */
 status_t delta_unpack(str_t delta, uint32_t size, const route_table_t *base, route_table_t **out);
 
 #endif
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -56,8 +56,8 @@
 	unsigned number;
 	group_t *raft;
 	pthread_rwlock_t lock; /* guards the state machine */
-	fleet_state_t *fleet; /* in group 0 */
-	lots_t *lots; /* in group 0 */
+	fleet_state_t *fleet; /* in group 0: config, sessions, upstreams and their owners */
+	lots_t *lots; /* in group 0: batch lots */
 	ledger_t *ledger; /* in all other groups */
 } control_group_t;
 
@@ -103,11 +103,15 @@
 /* control_leader.c: periodic work for each group that this process leads */
 void control_leader_round(control_t *ctl);
 
-/* control_owner.c: assigns upstreams to owner entries */
+/* control_owner.c: gives each upstream an owner, the entry that starts streams on it */
 void control_owner_round(control_t *ctl);
 
 /* control_repair.c: replaces lost and retired voters */
 void control_repair_round(control_t *ctl, control_group_t *g, const group_status_t *st);
+/** True if operators have retired the control process with this Raft replica of group 0. */
+bool control_is_retired(control_t *ctl, uint64_t replica);
+/** Number of voters that a group should have. */
+unsigned control_voter_target(const control_t *ctl);
 
 /* control_platform.c: polls the platform's list of VMs */
 void control_platform_round(control_t *ctl);
@@ -117,11 +121,6 @@
 /** Decides how to open the data folder. Asks the other control processes if the folder is new. */
 control_boot_t control_boot_decide(control_t *ctl, bool bootstrap);
 
-/** True if operators have retired the control process with this Raft replica of group 0. */
-bool control_is_retired(control_t *ctl, uint64_t replica);
-/** Number of voters that a group should have. */
-unsigned control_voter_target(const control_t *ctl);
-
 /* hub.c */
 status_t hub_start(control_t *ctl);
 /** Adds control processes that may lead. Thread-safe. */
--- a/src/control/control_group.c
+++ b/src/control/control_group.c
@@ -9,7 +9,8 @@
 
 #define MIB (1024 * 1024)
 
-static control_t *process;
+/* For on_send, whose context is the group. */
+static control_t *this_process;
 
 static void apply_fleet(control_group_t *g, str_t cmd, buf_t *result)
 {
@@ -119,7 +120,7 @@
 
 static void on_send(void *ctx, const char *addr, unsigned group, str_t msg)
 {
-	control_peer_send(process, addr, group, msg);
+	control_peer_send(this_process, addr, group, msg);
 }
 
 static void on_role(void *ctx, bool leader, uint64_t term)
@@ -177,7 +178,7 @@
 	group_options_t o;
 	status_t st;
 
-	process = ctl;
+	this_process = ctl;
 	g->number = n;
 	pthread_rwlock_init(&g->lock, NULL);
 	if (n == 0) {
--- a/src/control/control_owner.c
+++ b/src/control/control_owner.c
@@ -1,4 +1,5 @@
-/* Assigns upstreams to owner entries while this process leads group 0. */
+/* Gives each upstream an owner, the one entry that starts streams on the upstream and so keeps its
+ * slots from being exceeded. Runs while this process leads group 0. */
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/control.h"
--- a/src/control/control_platform.c
+++ b/src/control/control_platform.c
@@ -126,7 +126,7 @@
 	wire_free(XDR_PROC(wire_query_res_t), &res);
 }
 
-/* An empty list is more likely a fault of the platform than an empty fleet, so it is ignored. */
+/* An empty list is ignored: the platform is more likely at fault than without any VM. */
 static bool is_plausible(const wire_fleet_cmd_t *cmd)
 {
 	return cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len > 0;
--- a/src/control/control_repair.c
+++ b/src/control/control_repair.c
@@ -189,7 +189,7 @@
 	return false;
 }
 
-/* Removes a learner that has failed itself, so that another one can be added. */
+/* Removes a learner that no longer answers, so that another one can be added. */
 static bool remove_silent_learner(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
@@ -212,8 +212,8 @@
 	return n;
 }
 
-/* The lost voter is removed only after its replacement votes: the group never has fewer voters than
- * before. */
+/* Replaces a lost or retired voter. Adds the replacement first; removes the voter only when the
+ * group has more voters than its target, so the group never shrinks below it. */
 static void replace_voter(control_t *ctl, control_group_t *g, const group_status_t *st, unsigned i)
 {
 	const group_peer_t *lost = &st->peers[i];
--- a/src/control/control_rpc.c
+++ b/src/control/control_rpc.c
@@ -14,7 +14,7 @@
 	res->message = wire_copy(str_c(status_message()));
 }
 
-static void set_leader(control_group_t *g, wire_bytes_t *out)
+static void copy_leader_addr(control_group_t *g, wire_bytes_t *out)
 {
 	group_status_t st;
 
@@ -22,8 +22,9 @@
 	*out = wire_copy(str_c(st.leader_addr));
 }
 
-/* Forwards a call to the leader for a client that cannot reach it. Returns false if the call could
- * not be forwarded. */
+/* Forwards a call to the leader if the client asked for it and this process does not lead. Returns
+ * false if the caller is to execute the call here: nothing to forward, or the leader is unknown or
+ * did not answer. */
 static bool forward_exec(control_t *ctl, control_group_t *g, unsigned proc,
 			 const wire_exec_arg_t *arg, wire_exec_res_t *res)
 {
@@ -110,7 +111,7 @@
 		return;
 	}
 	set_error(res, st);
-	set_leader(g, &res->leader);
+	copy_leader_addr(g, &res->leader);
 }
 
 typedef struct {
@@ -161,7 +162,7 @@
 		METRIC_INC("auburn_queries_total");
 	} else {
 		set_error(res, st);
-		set_leader(g, &res->leader);
+		copy_leader_addr(g, &res->leader);
 	}
 	wire_free(XDR_PROC(wire_query_t), &q);
 }
@@ -200,7 +201,7 @@
 		return;
 	control_heartbeat(ctl, arg, res);
 	if (res->status != STATUS_OK)
-		set_leader(&ctl->groups[0], &res->leader);
+		copy_leader_addr(&ctl->groups[0], &res->leader);
 }
 
 static void on_raft(void *ctx, const void *arg, void *out)
--- a/src/control/hub_config.c
+++ b/src/control/hub_config.c
@@ -43,6 +43,8 @@
 	return st;
 }
 
+/* Version of a config, which in auburnwing's own format is its number; 0 if it cannot be decoded.
+ */
 static uint64_t config_version(str_t config, uint64_t number)
 {
 	route_table_t *r = NULL;
@@ -64,8 +66,8 @@
 	return current->number ? config_version(wire_str(current->text), current->number) : 0;
 }
 
-/* STATUS_OK: in force, or superseded by a newer version. STATUS_CONFLICT: another change was
- * committed first. */
+/* STATUS_OK: the config is in force, or one of the same or a newer version is. STATUS_CONFLICT:
+ * another change was committed first. */
 static status_t submit_once(config_call_t *c, deadline_t deadline)
 {
 	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_CONFIG_SUBMIT};
--- a/src/control/hub_lots.c
+++ b/src/control/hub_lots.c
@@ -1,4 +1,4 @@
-/* Calls on batch lots, and the commits that record them. */
+/* Calls on batch lots, and the commits that record them. Messages on links call a lot a job. */
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
--- a/src/control/hub_view.c
+++ b/src/control/hub_view.c
@@ -243,10 +243,10 @@
 }
 
 /*
- * A grant contains the replica's address, so an entry needs the list only while it has no leader,
- * and a caller is given no more than HUB_SHARE_MAX entries. With hundreds of entries and thousands
- * of replicas, whole lists would be most of the leader's traffic; so would shares that have not
- * changed.
+ * Sends an entry its share of the view, without the lists that it has already. A share is enough: a
+ * grant contains the replica's address, so an entry needs the list only while it has no leader, and
+ * a caller is given no more than HUB_SHARE_MAX entries. With hundreds of entries and thousands of
+ * replicas, most of the leader's traffic would be whole lists, or shares that have not changed.
  */
 static void send_share(hub_t *h, hub_peer_t *p)
 {
--- a/src/control/main.c
+++ b/src/control/main.c
@@ -68,7 +68,8 @@
 	log_event(LOG_LEVEL_INFO, "stopping", LOG_CSTR("reason", "signal"));
 	for (unsigned n = 0; n < ctl->ngroups; n++)
 		group_step_down(ctl->groups[n].raft, clock_now_ms() + STEP_DOWN_MS);
-	/* Operators' calls in progress are answered, by the next leader if necessary. */
+	/* Waits for the answers to calls and look-ups in progress. Calls that have not begun are
+	 * forwarded to the next leader. */
 	if (ctl->hub) {
 		deadline_t by = clock_now_ms() + CALLS_DRAIN_MS;
 
