--- a/src/policy/dispatch.c
+++ b/src/policy/dispatch.c
@@ -1,3 +1,4 @@
+/* Dispatcher: its state, and the public functions that change it. */
 #include "policy/dispatch.h"
 
 #include <assert.h>
@@ -5,33 +6,42 @@
 #include <string.h>
 #include "policy/dispatch_internal.h"
 
-/** Mean time that an online request holds its place before any was seen, in us. */
-#define HOLD_FIRST_US 700000
-#define HOLD_WEIGHT   16
-/** Weight of an item in the mean of those before it. */
+/** Assumed mean slot time of an online request before the first one ends. */
+#define HOLD_INITIAL_US 700000
+/** A new sample moves a running mean by 1/HOLD_WEIGHT (requests) or 1/ITEM_WEIGHT (items). */
+#define HOLD_WEIGHT 16
 #define ITEM_WEIGHT 32
-/** A replica that failed is left alone this long, in ms, doubled with each failure since its last
- * success. A crash shows on the list only seconds later. */
-#define SUSPECT_MS	250
-#define SUSPECT_MAX_MS	2000
-#define SUSPECT_DOUBLES 3
-/** When most replicas of a service were silent at once, all count as busy for so long, in ms: about
- * as long as a request holds its place. */
-#define BUSY_MS 700
-/** A replica that said it was full gets nothing for this long, in ms: a few steps of its engine. */
+/** Back-off of a failed replica, doubled with each consecutive failure. Needed because a crashed
+ *  replica stays on the replica list for some seconds. */
+#define SUSPECT_MS	    250
+#define SUSPECT_MAX_MS	    2000
+#define SUSPECT_MAX_DOUBLES 3
+/** After most replicas of a service were silent at the same time, silence is not counted as a
+ *  failure for this long: about the time that a request holds its slot. */
+#define IGNORE_SILENCE_MS 700
+/** Back-off of a replica that rejected a run as full: a few steps of its engine. */
 #define FULL_MS 40
 
 const char *dispatch_outcome_name(dispatch_outcome_t how)
 {
-	static const char *const names[] = {"ok",     "full",	"gone", "broken",
-					    "silent", "failed", "left", "leaves"};
+	static const char *const names[] = {[DISPATCH_OK] = "ok",
+					    [DISPATCH_FULL] = "full",
+					    [DISPATCH_UNREACHABLE] = "gone",
+					    [DISPATCH_BROKEN] = "broken",
+					    [DISPATCH_SILENT] = "silent",
+					    [DISPATCH_FAILED] = "failed",
+					    [DISPATCH_CANCELLED] = "left",
+					    [DISPATCH_REPLICA_LEAVING] = "leaves"};
 
 	return (size_t)how < sizeof(names) / sizeof(names[0]) ? names[how] : "unknown";
 }
 
 const char *dispatch_refusal_name(dispatch_refusal_t why)
 {
-	static const char *const names[] = {"no list", "deadline", "caller leaves", "objective"};
+	static const char *const names[] = {[DISPATCH_NO_REPLICA_LIST] = "no list",
+					    [DISPATCH_PAST_DEADLINE] = "deadline",
+					    [DISPATCH_CALLER_GIVES_UP] = "caller leaves",
+					    [DISPATCH_PAST_OBJECTIVE] = "objective"};
 
 	return (size_t)why < sizeof(names) / sizeof(names[0]) ? names[why] : "unknown";
 }
@@ -45,7 +55,7 @@
 	return d;
 }
 
-static service_t *service_of(dispatch_t *d, str_t name)
+static service_t *get_service(dispatch_t *d, str_t name)
 {
 	service_t *s;
 
@@ -54,7 +64,7 @@
 		return s;
 	s = mem_new(sizeof(*s));
 	s->name = str_dup(name);
-	s->mean_hold_us = HOLD_FIRST_US;
+	s->mean_hold_us = HOLD_INITIAL_US;
 	HASH_ADD_KEYPTR(hh, d->services, s->name, name.n, s);
 	return s;
 }
@@ -95,18 +105,18 @@
 		item_free(it);
 	}
 	while ((run = d->runs)) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
 		HASH_DEL(d->runs, run);
 		free(run);
 	}
 	while ((e = d->entries)) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
 		HASH_DEL(d->entries, e);
 		free(e->zone);
 		free(e);
 	}
 	while ((s = d->services)) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
 		HASH_DEL(d->services, s);
 		free(s->name);
 		free(s);
@@ -125,7 +135,8 @@
 	return r;
 }
 
-static replica_t *replica_of(dispatch_t *d, str_t id)
+/* Finds a replica, or adds one that is not listed: runs may be reported before the list arrives. */
+static replica_t *get_replica(dispatch_t *d, str_t id)
 {
 	replica_t *r = find_replica(d, id);
 
@@ -134,13 +145,13 @@
 	r = mem_new(sizeof(*r));
 	r->id = str_dup(id);
 	r->zone = str_dup(STR(""));
-	r->service = service_of(d, STR(""));
+	r->service = get_service(d, STR(""));
 	r->slots = 1;
 	HASH_ADD_KEYPTR(hh, d->replicas, r->id, id.n, r);
 	return r;
 }
 
-static void set_str(char **p, str_t s)
+static void replace_str(char **p, str_t s)
 {
 	if (str_eq(str_c(*p), s))
 		return;
@@ -148,7 +159,8 @@
 	*p = str_dup(s);
 }
 
-static void drop_unlisted(dispatch_t *d)
+/* Frees the replicas that are off the list and have no runs left. */
+static void free_unlisted_replicas(dispatch_t *d)
 {
 	replica_t *r;
 	replica_t *next;
@@ -159,8 +171,8 @@
 	}
 }
 
-/* Forgets what was known of the replica that had this id before. */
-static void begin_anew(dispatch_t *d, replica_t *r)
+/* A replica restarted under the same id: resets the state that belonged to the old process. */
+static void reset_replica(dispatch_t *d, replica_t *r)
 {
 	dispatch_prefix_forget(d, r);
 	r->failures = 0;
@@ -174,19 +186,19 @@
 	for (replica_t *r = d->replicas; r; r = r->hh.next)
 		r->listed = false;
 	for (size_t i = 0; i < n; i++) {
-		replica_t *r = replica_of(d, v[i].id);
+		replica_t *r = get_replica(d, v[i].id);
 
-		set_str(&r->zone, v[i].zone);
-		r->service = service_of(d, v[i].service);
+		replace_str(&r->zone, v[i].zone);
+		r->service = get_service(d, v[i].service);
 		r->slots = v[i].slots ? v[i].slots : 1;
 		r->leaving = v[i].leaving;
 		r->listed = true;
 		if (r->start_time && v[i].start_time > r->start_time)
-			begin_anew(d, r);
+			reset_replica(d, r);
 		r->start_time = v[i].start_time;
 	}
 	d->had_replicas |= n > 0;
-	drop_unlisted(d);
+	free_unlisted_replicas(d);
 	dispatch_place_all(d, now);
 }
 
@@ -216,14 +228,14 @@
 		e->zone = str_dup(zone);
 		HASH_ADD(hh, d->entries, id, sizeof(e->id), e);
 	}
-	set_str(&e->zone, zone);
+	replace_str(&e->zone, zone);
 	e->takes_items = takes_items;
 }
 
-static void drop_run(dispatch_t *d, run_t *run)
+static void free_run(dispatch_t *d, run_t *run)
 {
 	run->replica->online--;
-	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
 	HASH_DEL(d->runs, run);
 	free(run);
 }
@@ -240,7 +252,7 @@
 		return;
 	HASH_ITER (hh, d->runs, run, next_run) {
 		if (run->key.entry == id)
-			drop_run(d, run);
+			free_run(d, run);
 	}
 	for (q = d->waiters; q; q = next) {
 		next = q->next;
@@ -256,7 +268,7 @@
 	HASH_DEL(d->entries, e);
 	free(e->zone);
 	free(e);
-	drop_unlisted(d);
+	free_unlisted_replicas(d);
 	dispatch_place_all(d, now);
 }
 
@@ -272,28 +284,28 @@
 	return run;
 }
 
-/* By priority, then by when their callers leave; dispatch_place_all ranks them by what that leaves.
- */
-static bool goes_before(const waiter_t *a, const waiter_t *b)
+/* Queue order: by priority, then by the caller's give-up time. dispatch_place_all() serves the
+ * queue once for each rank, in this order within a rank. */
+static bool queued_before(const waiter_t *a, const waiter_t *b)
 {
 	if (a->req.priority != b->req.priority)
 		return a->req.priority < b->req.priority;
 	return a->req.give_up_at < b->req.give_up_at;
 }
 
-void dispatch_request_add(dispatch_t *d, const dispatch_request_t *ask, deadline_t now)
+void dispatch_request_add(dispatch_t *d, const dispatch_request_t *req, deadline_t now)
 {
 	waiter_t *q = mem_new(sizeof(*q));
 	waiter_t *at;
 
-	assert(ask->navoid <= DISPATCH_AVOID_MAX);
-	q->req = *ask;
-	q->service = service_of(d, ask->service);
-	for (unsigned i = 0; i < ask->navoid; i++)
-		q->avoid[i] = str_dup(ask->avoid[i]);
+	assert(req->navoid <= DISPATCH_AVOID_MAX);
+	q->req = *req;
+	q->service = get_service(d, req->service);
+	for (unsigned i = 0; i < req->navoid; i++)
+		q->avoid[i] = str_dup(req->avoid[i]);
 	d->nwaiters++;
 	DL_FOREACH (d->waiters, at) {
-		if (goes_before(q, at))
+		if (queued_before(q, at))
 			break;
 	}
 	if (at)
@@ -316,10 +328,11 @@
 }
 
 /*
- * After all VMs lost power their old runs still hold places at the replicas, until the replicas
- * notice. Then every replica is silent at once, and leaving them all alone would leave no place.
+ * True if more than half of the service's replicas are suspect, counting the one that has just gone
+ * silent. This happens when all VMs lost power: their old runs occupy the replicas until the
+ * replicas notice. Backing off from all of them would leave no slot for new work.
  */
-static bool most_are_silent(const dispatch_t *d, const replica_t *silent, deadline_t now)
+static bool most_replicas_silent(const dispatch_t *d, const replica_t *silent, deadline_t now)
 {
 	unsigned suspects = 1;
 	unsigned all = 0;
@@ -333,18 +346,20 @@
 	return suspects * 2 > all && all > 1;
 }
 
-static void note_busy(dispatch_t *d, const service_t *s, deadline_t now)
+static void ignore_silence(dispatch_t *d, const service_t *s, deadline_t now)
 {
 	for (replica_t *r = d->replicas; r; r = r->hh.next) {
 		if (r->service != s)
 			continue;
 		r->failures = 0;
 		r->suspect_until = 0;
-		r->ignore_silence_until = now + BUSY_MS;
+		r->ignore_silence_until = now + IGNORE_SILENCE_MS;
 	}
 }
 
-static void judge(dispatch_t *d, replica_t *r, dispatch_outcome_t how, deadline_t now)
+/* Updates the health of a replica after a run ended there. Several runs that break together count
+ * as one failure: while the replica is suspect, further failures are ignored. */
+static void update_health(dispatch_t *d, replica_t *r, dispatch_outcome_t how, deadline_t now)
 {
 	int64_t ms;
 
@@ -364,18 +379,18 @@
 	case DISPATCH_SILENT:
 		if (now < r->ignore_silence_until)
 			return;
-		if (now >= r->suspect_until && most_are_silent(d, r, now)) {
-			note_busy(d, r->service, now);
+		if (now >= r->suspect_until && most_replicas_silent(d, r, now)) {
+			ignore_silence(d, r->service, now);
 			return;
 		}
 		break;
 	default:
 		break;
 	}
-	/* Runs that break together are one failure. */
 	if (now < r->suspect_until)
 		return;
-	ms = (int64_t)SUSPECT_MS << (r->failures < SUSPECT_DOUBLES ? r->failures : SUSPECT_DOUBLES);
+	ms = (int64_t)SUSPECT_MS << (r->failures < SUSPECT_MAX_DOUBLES ? r->failures
+								       : SUSPECT_MAX_DOUBLES);
 	r->suspect_until = now + (ms < SUSPECT_MAX_MS ? ms : SUSPECT_MAX_MS);
 	r->failures++;
 }
@@ -388,12 +403,12 @@
 
 	if (!run)
 		return;
-	judge(d, run->replica, how, now);
+	update_health(d, run->replica, how, now);
 	s = run->replica->service;
 	if (how == DISPATCH_OK)
 		s->mean_hold_us += ((now - run->since) * 1000 - s->mean_hold_us) / HOLD_WEIGHT;
-	drop_run(d, run);
-	drop_unlisted(d);
+	free_run(d, run);
+	free_unlisted_replicas(d);
 	dispatch_place_all(d, now);
 }
 
@@ -406,7 +421,7 @@
 		return;
 	run = mem_new(sizeof(*run));
 	run->key = (run_key_t){entry, request};
-	run->replica = replica_of(d, replica);
+	run->replica = get_replica(d, replica);
 	run->since = now;
 	run->replica->online++;
 	HASH_ADD(hh, d->runs, key, sizeof(run->key), run);
@@ -416,7 +431,7 @@
 {
 	dispatch_item_t *it = mem_new(sizeof(*it));
 
-	it->service = service_of(d, service);
+	it->service = get_service(d, service);
 	it->due = due;
 	it->data = data;
 	dispatch_item_enqueue(d, it);
@@ -432,7 +447,7 @@
 	it->state = ITEM_RUNNING;
 	it->adopt_until = 0;
 	it->entry = entry;
-	it->replica = replica_of(d, replica);
+	it->replica = get_replica(d, replica);
 	it->placed_at = now;
 	it->replica->items++;
 	if (e)
@@ -443,7 +458,7 @@
 
 void dispatch_item_set_service(dispatch_t *d, dispatch_item_t *it, str_t service)
 {
-	it->service = service_of(d, service);
+	it->service = get_service(d, service);
 }
 
 void dispatch_item_avoid(dispatch_item_t *it, str_t replica)
@@ -473,11 +488,11 @@
 	if (it->state == ITEM_WAITING)
 		return;
 	if (it->replica)
-		judge(d, it->replica, how, now);
+		update_health(d, it->replica, how, now);
 	dispatch_item_add_run_time(it, now);
 	dispatch_item_detach(d, it);
 	dispatch_item_enqueue(d, it);
-	drop_unlisted(d);
+	free_unlisted_replicas(d);
 	dispatch_place_all(d, now);
 }
 
@@ -486,7 +501,7 @@
 	service_t *s = it->service;
 
 	if (ended && it->replica) {
-		judge(d, it->replica, DISPATCH_OK, now);
+		update_health(d, it->replica, DISPATCH_OK, now);
 		dispatch_item_add_run_time(it, now);
 		s->mean_item_ms +=
 			s->mean_item_ms ? (it->ran_ms - s->mean_item_ms) / ITEM_WEIGHT : it->ran_ms;
@@ -495,7 +510,7 @@
 		d->cb.stop_item(d->cb.ctx, it->data, it->entry);
 	dispatch_item_detach(d, it);
 	item_free(it);
-	drop_unlisted(d);
+	free_unlisted_replicas(d);
 	dispatch_place_all(d, now);
 }
 
--- a/src/policy/dispatch_internal.h
+++ b/src/policy/dispatch_internal.h
@@ -1,4 +1,4 @@
-/** Inside of the dispatcher. */
+/** Internals of the dispatcher, shared by dispatch*.c. */
 #ifndef AUBURN_DISPATCH_INTERNAL_H
 #define AUBURN_DISPATCH_INTERNAL_H
 
@@ -8,20 +8,20 @@
 
 typedef struct replica replica_t;
 
-/** What is known of a service; kept as long as the dispatcher. */
+/** Statistics of a service; never removed before the dispatcher itself. */
 typedef struct {
 	char *name;
-	int64_t mean_hold_us; /* mean time that an online request holds its place, in us */
-	int64_t mean_item_ms; /* mean time that an item needs a place in all; 0: none has ended yet
-			       */
-	unsigned reserved_slots; /* places that items leave free for online requests */
-	deadline_t reserve_decay_at; /* fewer then */
-	uint64_t pass; /* that what follows was found out in */
-	unsigned slots;
-	unsigned waiting_ahead; /* waiting requests that go before */
-	bool no_slot_for_requests; /* a request that avoids no replica found no place */
-	bool no_slot_for_items; /* nor did an item */
-	bool only_reserved_left; /* all free places are kept for online requests */
+	int64_t mean_hold_us; /* mean time that an online request holds its slot */
+	int64_t mean_item_ms; /* mean slot time of a whole item; 0 until the first one ends */
+	unsigned reserved_slots; /* free slots that items leave to online requests */
+	deadline_t reserve_decay_at; /* when reserved_slots is next reduced */
+	/* The fields below are recomputed in each placement pass. */
+	uint64_t pass; /* the pass they belong to */
+	unsigned slots; /* slots of its usable replicas */
+	unsigned waiting_ahead; /* requests handled earlier in this pass that go on waiting */
+	bool no_slot_for_requests; /* a request with an empty avoid list found no slot */
+	bool no_slot_for_items; /* an item found no slot */
+	bool only_reserved_left; /* all free slots are reserved for online requests */
 	UT_hash_handle hh;
 } service_t;
 
@@ -31,14 +31,14 @@
 	service_t *service;
 	unsigned slots;
 	bool leaving;
-	bool listed;
+	bool listed; /* in the latest replica list */
 	uint64_t start_time;
-	unsigned online;
-	unsigned items;
-	unsigned failures; /* failures since its last success */
-	deadline_t suspect_until;
-	deadline_t ignore_silence_until; /* its silence until then is no failure */
-	deadline_t full_until;
+	unsigned online; /* running online requests */
+	unsigned items; /* running items */
+	unsigned failures; /* consecutive failures */
+	deadline_t suspect_until; /* gets no work until then because it failed */
+	deadline_t ignore_silence_until; /* silence until then does not count as a failure */
+	deadline_t full_until; /* gets no work until then because it rejected a run */
 	UT_hash_handle hh;
 };
 
@@ -46,7 +46,7 @@
 	uint64_t id;
 	char *zone;
 	bool takes_items;
-	unsigned items;
+	unsigned items; /* items that it runs */
 	UT_hash_handle hh;
 } entry_t;
 
@@ -59,94 +59,103 @@
 typedef struct {
 	run_key_t key;
 	replica_t *replica;
-	deadline_t since;
+	deadline_t since; /* time of the grant */
 	UT_hash_handle hh;
 } run_t;
 
-/** An online request that waits for a place. */
-typedef struct ask {
+/** An online request that waits for a slot. */
+typedef struct waiter {
 	dispatch_request_t req;
 	service_t *service;
-	char *avoid[DISPATCH_AVOID_MAX];
-	struct ask *prev;
-	struct ask *next;
+	char *avoid[DISPATCH_AVOID_MAX]; /* copies of req.avoid */
+	struct waiter *prev;
+	struct waiter *next;
 } waiter_t;
 
 typedef enum { ITEM_WAITING, ITEM_RUNNING, ITEM_STOPPING } item_state_t;
 
 struct dispatch_item {
 	service_t *service;
-	char *avoid; /* replica that it failed at last; NULL: none */
+	char *avoid; /* replica on which it last failed, or NULL */
 	deadline_t due;
 	void *data;
 	item_state_t state;
-	replica_t *replica; /* that it holds a place at; NULL otherwise */
-	uint64_t entry; /* that runs it or is to stop it */
-	deadline_t adopt_until; /* its entry was lost: runs again then; 0: it wasn't */
-	deadline_t placed_at; /* when it got the place that it holds */
-	int64_t ran_ms; /* held places before, with the events made then kept */
-	dispatch_item_t *prev; /* in waiting, by due; or in running */
+	replica_t *replica; /* whose slot it holds, or NULL */
+	uint64_t entry; /* that runs it, or was told to stop it */
+	deadline_t adopt_until; /* its entry disconnected: until then the item stays assigned, in
+				   case an entry reports that it runs the item; then it is queued
+				   again. 0 while the entry is connected */
+	deadline_t placed_at; /* when it got its slot, or when ran_ms was last updated */
+	int64_t ran_ms; /* slot time so far; a later run resumes after its events */
+	dispatch_item_t *prev; /* in waiting_items, sorted by due time, or in running_items */
 	dispatch_item_t *next;
 };
 
-/** Where a prompt's shared parts were read last. */
+/** The replica that last processed a prompt prefix and so may have it cached. */
 typedef struct {
 	uint64_t prefix;
 	replica_t *replica;
 	UT_hash_handle hh;
 } prefix_t;
 
-struct ds {
+struct dispatch {
 	dispatch_callbacks_t cb;
 	uint64_t random;
 	replica_t *replicas;
 	entry_t *entries;
 	run_t *runs;
-	waiter_t *waiters; /* in the order in which they are to be placed */
-	dispatch_item_t *waiting_items;
-	dispatch_item_t *running_items; /* or stopping */
+	waiter_t *waiters; /* by priority, then by give-up time */
+	dispatch_item_t *waiting_items; /* by due time */
+	dispatch_item_t *running_items; /* running or stopping */
 	prefix_t *prefixes;
-	deadline_t items_held_until;
+	deadline_t items_held_until; /* no item is started before */
 	service_t *services;
-	uint64_t pass; /* passes over what waits so far */
-	bool had_replicas; /* replicas have been known */
-	deadline_t list_deadline; /* until then requests wait for that */
-	bool placing;
-	bool place_again;
+	uint64_t pass; /* number of the current placement pass */
+	bool had_replicas; /* a replica list that was not empty has arrived */
+	deadline_t list_deadline; /* requests wait until then for the first replica list */
+	bool placing; /* in dispatch_place_all */
+	bool place_again; /* a callback called in; another pass is needed */
 	unsigned nwaiters;
 	unsigned nwaiting_items;
 	uint64_t preempted;
 };
 
-/* ds_pick.c */
+/* dispatch_pick.c */
 
-/** A replica with a free place; NULL when there is none. */
+/** Picks a replica with a free slot for a request, or NULL. */
 replica_t *dispatch_pick_free(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now);
-/** The item that gives its place to this request; NULL when there is none. */
+/** Picks a running item to preempt for a request, or NULL. */
 dispatch_item_t *dispatch_pick_victim(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now);
+/** Picks a replica with a free slot for an item, or NULL. */
 replica_t *dispatch_pick_for_item(dispatch_t *d, const dispatch_item_t *it, deadline_t now);
-/** A running item that will be late anyway and gives its place to this one; NULL: there is none. */
+/** Picks a running item that will miss its due time anyway, to preempt for this item; or NULL. */
 dispatch_item_t *dispatch_pick_late_victim(dispatch_t *d, const dispatch_item_t *it,
 					   deadline_t now);
+/** Picks the entry that runs an item on this replica, or NULL. */
 entry_t *dispatch_pick_entry(dispatch_t *d, const replica_t *r);
+/** Records that the replica has processed this prompt prefix. */
 void dispatch_prefix_record(dispatch_t *d, uint64_t prefix, replica_t *r);
+/** Drops the recorded prefixes of a replica, or of all replicas if r is NULL. */
 void dispatch_prefix_forget(dispatch_t *d, const replica_t *r);
-/** Places of the service's usable replicas. */
+/** Counts all slots, used or free, of the service's usable replicas. */
 unsigned dispatch_count_slots(const dispatch_t *d, const service_t *s, deadline_t now);
 unsigned dispatch_count_free_slots(const dispatch_t *d, const service_t *s, deadline_t now);
 
-/* dispatch_place_all.c */
+/* dispatch_place.c */
 
+/** Assigns waiting requests, then waiting items, to slots. */
 void dispatch_place_all(dispatch_t *d, deadline_t now);
+/** Releases the item's slot and removes the item from the list that holds it. */
 void dispatch_item_detach(dispatch_t *d, dispatch_item_t *it);
+/** Inserts the item into waiting_items by its due time. */
 void dispatch_item_enqueue(dispatch_t *d, dispatch_item_t *it);
-/** Notes the time for which it held its place until now. */
+/** Adds the time since placed_at to ran_ms. */
 void dispatch_item_add_run_time(dispatch_item_t *it, deadline_t now);
-/** How much longer the item is likely to need a place, in ms. */
+/** Estimates how much longer the item needs a slot, in ms. */
 int64_t dispatch_item_remaining_ms(const dispatch_item_t *it, deadline_t now);
-/** False when the item can't be done by its due time any more, as far as others tell. */
+/** True if the item, run from now on, is expected to finish by its due time. */
 bool dispatch_item_meets_due(const dispatch_item_t *it, deadline_t now);
-/** True when it can wait out a peak of online requests and still be done by its due time. */
+/** True if the item could wait out a peak of online requests and still finish by its due time. */
 bool dispatch_item_has_slack(const dispatch_item_t *it, deadline_t now);
 void dispatch_waiter_free(dispatch_t *d, waiter_t *q);
 
--- a/src/policy/dispatch_pick.c
+++ b/src/policy/dispatch_pick.c
@@ -1,37 +1,39 @@
-/* Choices of a replica, of an item that gives way, and of the entry that runs an item. */
+/* Dispatcher: choice of a replica, of an item to preempt, and of the entry that runs an item. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/prng.h"
 #include "policy/dispatch_internal.h"
 
-/** Costs of a choice, in places taken: another zone costs bytes between zones, another replica than
- * the one that read the shared parts costs reading them again; neither is worth a crowded replica.
- */
+/** Costs by which replicas are ranked for a request. A replica with all slots in use costs
+ *  COST_SCALE, a partly used one proportionally less. Another zone costs traffic between zones. A
+ *  replica other than the one that last processed the prompt prefix must process the prefix again.
+ *  Neither outweighs a full replica. */
 #define COST_OTHER_ZONE	  2
 #define COST_OTHER_PREFIX 1
 #define COST_SCALE	  4
-/** Peaks of online requests last about this long, in ms, on the users' sheets. */
+/** Typical length of a peak of online requests. */
 #define PEAK_MS 3000
-/** Prompts whose replica is remembered; a table of this size takes about 1 MB. */
+/** Maximum number of recorded prompt prefixes; a table of this size takes about 1 MB. */
 #define PREFIXES_MAX 8192
 
-static unsigned used(const replica_t *r)
+static unsigned slots_used(const replica_t *r)
 {
 	return r->online + r->items;
 }
 
-/* A replica that has failed gets one request at a time until it has served one. */
-static unsigned places(const replica_t *r)
+/* Slots that may be in use. A replica that failed is limited to one run until a run succeeds. */
+static unsigned slots_allowed(const replica_t *r)
 {
 	return r->failures > 0 ? 1 : r->slots;
 }
 
-static bool usable(const replica_t *r, const service_t *s, deadline_t now)
+/* True if the replica may get work of this service: listed, not leaving, not in back-off. */
+static bool is_usable(const replica_t *r, const service_t *s, deadline_t now)
 {
 	return !r->leaving && r->listed && now >= r->suspect_until && r->service == s;
 }
 
-static bool avoided(const waiter_t *q, const replica_t *r)
+static bool is_avoided(const waiter_t *q, const replica_t *r)
 {
 	for (unsigned i = 0; i < q->req.navoid; i++) {
 		if (strcmp(q->avoid[i], r->id) == 0)
@@ -40,7 +42,8 @@
 	return false;
 }
 
-static replica_t *prefix_replica(const dispatch_t *d, uint64_t prefix)
+/* The replica that last processed this prompt prefix, or NULL. */
+static replica_t *find_prefix_holder(const dispatch_t *d, uint64_t prefix)
 {
 	prefix_t *p = NULL;
 
@@ -49,20 +52,20 @@
 	return p ? p->replica : NULL;
 }
 
-static unsigned cost(const replica_t *r, const replica_t *reader, str_t zone)
+static unsigned placement_cost(const replica_t *r, const replica_t *prefix_holder, str_t zone)
 {
-	unsigned c = used(r) * COST_SCALE / places(r);
+	unsigned c = slots_used(r) * COST_SCALE / slots_allowed(r);
 
 	if (!str_eq(str_c(r->zone), zone))
 		c += COST_OTHER_ZONE;
-	if (reader && reader != r)
+	if (prefix_holder && prefix_holder != r)
 		c += COST_OTHER_PREFIX;
 	return c;
 }
 
 replica_t *dispatch_pick_free(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now)
 {
-	replica_t *reader = prefix_replica(d, q->req.prefix);
+	replica_t *prefix_holder = find_prefix_holder(d, q->req.prefix);
 	replica_t *best = NULL;
 	unsigned best_cost = 0;
 	unsigned ties = 0;
@@ -70,15 +73,16 @@
 	for (replica_t *r = d->replicas; r; r = r->hh.next) {
 		unsigned c;
 
-		if (!usable(r, q->service, now) || now < r->full_until || avoided(q, r) ||
-		    used(r) >= places(r))
+		if (!is_usable(r, q->service, now) || now < r->full_until || is_avoided(q, r) ||
+		    slots_used(r) >= slots_allowed(r))
 			continue;
-		c = cost(r, reader, zone);
+		c = placement_cost(r, prefix_holder, zone);
 		if (best && c > best_cost)
 			continue;
 		if (!best || c < best_cost)
 			ties = 0;
-		/* Dispatchers that work apart must not all choose the same one. */
+		/* Random choice among ties (reservoir sampling): independent dispatchers must not
+		 * all choose the same replica. */
 		if (prng_next(&d->random) % ++ties != 0)
 			continue;
 		best = r;
@@ -93,23 +97,24 @@
 }
 
 /*
- * True when a gives way rather than b. One that can wait out a peak and still be done in time goes
- * first, the one due last before others. When none can, one is given up for the others: that which
- * would need its place longest.
+ * True if item a is a better victim for preemption than b. Items with slack (able to wait out a
+ * peak and still finish by their due time) are preempted first; among them those in the zone of the
+ * requesting entry, then those with the latest due time. If no item has slack, one of them will be
+ * late: the one with the most remaining work is sacrificed.
  */
-static bool gives_way(const dispatch_item_t *a, const dispatch_item_t *b, str_t zone,
-		      deadline_t now)
+static bool better_victim(const dispatch_item_t *a, const dispatch_item_t *b, str_t zone,
+			  deadline_t now)
 {
-	bool a_waits = dispatch_item_has_slack(a, now);
-	bool b_waits = dispatch_item_has_slack(b, now);
-	bool a_near = str_eq(str_c(a->replica->zone), zone);
-	bool b_near = str_eq(str_c(b->replica->zone), zone);
+	bool a_slack = dispatch_item_has_slack(a, now);
+	bool b_slack = dispatch_item_has_slack(b, now);
+	bool a_same_zone = str_eq(str_c(a->replica->zone), zone);
+	bool b_same_zone = str_eq(str_c(b->replica->zone), zone);
 
-	if (a_waits != b_waits)
-		return a_waits;
-	if (!a_waits)
+	if (a_slack != b_slack)
+		return a_slack;
+	if (!a_slack)
 		return dispatch_item_remaining_ms(a, now) > dispatch_item_remaining_ms(b, now);
-	return a_near == b_near ? a->due > b->due : a_near;
+	return a_same_zone == b_same_zone ? a->due > b->due : a_same_zone;
 }
 
 dispatch_item_t *dispatch_pick_victim(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now)
@@ -118,28 +123,29 @@
 
 	for (dispatch_item_t *it = d->running_items; it; it = it->next) {
 		if (it->state != ITEM_RUNNING || !it->replica || it->adopt_until ||
-		    !usable(it->replica, q->service, now) || avoided(q, it->replica) ||
+		    !is_usable(it->replica, q->service, now) || is_avoided(q, it->replica) ||
 		    it->replica->failures > 0)
 			continue;
-		if (!best || gives_way(it, best, zone, now))
+		if (!best || better_victim(it, best, zone, now))
 			best = it;
 	}
 	return best;
 }
 
-dispatch_item_t *dispatch_pick_late_victim(dispatch_t *d, const dispatch_item_t *for_it,
+dispatch_item_t *dispatch_pick_late_victim(dispatch_t *d, const dispatch_item_t *for_item,
 					   deadline_t now)
 {
 	for (dispatch_item_t *it = d->running_items; it; it = it->next) {
 		if (it->state == ITEM_RUNNING && it->replica && !it->adopt_until &&
-		    it->replica->failures == 0 && usable(it->replica, for_it->service, now) &&
+		    it->replica->failures == 0 && is_usable(it->replica, for_item->service, now) &&
 		    !dispatch_item_meets_due(it, now))
 			return it;
 	}
 	return NULL;
 }
 
-static bool failed_there(const dispatch_item_t *it, const replica_t *r)
+/* True if the item's last failure was on this replica. */
+static bool failed_on(const dispatch_item_t *it, const replica_t *r)
 {
 	return it->avoid && strcmp(it->avoid, r->id) == 0;
 }
@@ -147,33 +153,35 @@
 replica_t *dispatch_pick_for_item(dispatch_t *d, const dispatch_item_t *it, deadline_t now)
 {
 	replica_t *best = NULL;
-	replica_t *last = NULL;
+	replica_t *fallback = NULL;
 
 	for (replica_t *r = d->replicas; r; r = r->hh.next) {
-		if (!usable(r, it->service, now) || now < r->full_until || used(r) >= places(r))
+		if (!is_usable(r, it->service, now) || now < r->full_until ||
+		    slots_used(r) >= slots_allowed(r))
 			continue;
-		if (failed_there(it, r))
-			last = r;
-		else if (!best || used(r) * best->slots < used(best) * r->slots)
+		if (failed_on(it, r))
+			fallback = r;
+		else if (!best || slots_used(r) * best->slots < slots_used(best) * r->slots)
 			best = r;
 	}
-	return best ? best : last;
+	return best ? best : fallback;
 }
 
 entry_t *dispatch_pick_entry(dispatch_t *d, const replica_t *r)
 {
 	entry_t *best = NULL;
-	bool best_near = false;
+	bool best_same_zone = false;
 
 	for (entry_t *e = d->entries; e; e = e->hh.next) {
-		bool near = strcmp(e->zone, r->zone) == 0;
+		bool same_zone = strcmp(e->zone, r->zone) == 0;
 
 		if (!e->takes_items)
 			continue;
-		if (best && (near < best_near || (near == best_near && e->items >= best->items)))
+		if (best && (same_zone < best_same_zone ||
+			     (same_zone == best_same_zone && e->items >= best->items)))
 			continue;
 		best = e;
-		best_near = near;
+		best_same_zone = same_zone;
 	}
 	return best;
 }
@@ -207,7 +215,7 @@
 	HASH_ITER (hh, d->prefixes, p, next) {
 		if (r && p->replica != r)
 			continue;
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
 		HASH_DEL(d->prefixes, p);
 		free(p);
 	}
@@ -218,8 +226,8 @@
 	unsigned n = 0;
 
 	for (const replica_t *r = d->replicas; r; r = r->hh.next) {
-		if (usable(r, s, now))
-			n += places(r);
+		if (is_usable(r, s, now))
+			n += slots_allowed(r);
 	}
 	return n;
 }
@@ -229,8 +237,9 @@
 	unsigned n = 0;
 
 	for (const replica_t *r = d->replicas; r; r = r->hh.next) {
-		if (usable(r, s, now) && now >= r->full_until && used(r) < places(r))
-			n += places(r) - used(r);
+		if (is_usable(r, s, now) && now >= r->full_until &&
+		    slots_used(r) < slots_allowed(r))
+			n += slots_allowed(r) - slots_used(r);
 	}
 	return n;
 }
--- a/src/policy/dispatch_place.c
+++ b/src/policy/dispatch_place.c
@@ -1,35 +1,36 @@
-/* Puts what waits onto replicas: online requests first, then items by due time. */
+/* Dispatcher: assigns waiting work to slots, online requests first, then items by due time. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include "policy/dispatch_internal.h"
 
-/** A refused caller isn't asked to come back sooner, in ms: a place takes about this long to free
- * on a busy fleet. */
+/** Lower bound of Retry-After: on a busy fleet a slot takes about this long to become free. */
 #define RETRY_MIN_MS 50
-/** Nor later, in ms: the callers' deadlines are a few seconds. */
+/** Upper bound of Retry-After: the callers' deadlines are a few seconds. */
 #define RETRY_MAX_MS 1500
-/** Retry-After when no replica takes work, in ms: about how long a list needs to show one. */
-#define RETRY_NONE_MS 500
-/** A stream's first event comes within this long of the grant, in ms: its prompt is read in a few
- * steps of the engine, each of some ms. */
+/** Retry-After when no replica accepts work: about the time until the replica list shows one. */
+#define RETRY_NO_REPLICA_MS 500
+/** Estimated time from the grant to a stream's first event: the engine processes the prompt in a
+ *  few steps of some ms each. */
 #define FIRST_EVENT_MS 50
-/** An item that is stopped sooner after it got its place, in ms, hasn't gained what the place cost:
- * its prompt and the events made so far are read again within tens of ms. */
-#define YOUNG_MS 500
-/** In this time, in ms, the room kept for online requests shrinks by a place and by this part of
- * it: between two peaks of 2 s most of it is gone, on fleets of any size. */
-#define KEEP_SHRINK_MS	 250
-#define KEEP_SHRINK_PART 4
-/** It is at most this part of the places, so that items have most of what online leaves. */
-#define KEEP_PART 4
-/** Requests wait so long for the first list of replicas, in ms: a leader reads it within tens of
- * ms, an entry without one after 1.5 s. */
+/** An item preempted sooner than this after it got its slot has not made up for the cost of the
+ *  start: processing its prompt and its earlier events again takes tens of ms. */
+#define EARLY_PREEMPT_MS 500
+/** In each period the reserve for online requests shrinks by one slot plus 1/RESERVE_DECAY_PART of
+ *  itself, so that most of it is gone between two peaks 2 s apart, whatever the fleet's size. */
+#define RESERVE_DECAY_MS   250
+#define RESERVE_DECAY_PART 4
+/** The reserve is at most 1/RESERVE_MAX_PART of the slots, so that items can use most of the slots
+ *  that online requests leave free. */
+#define RESERVE_MAX_PART 4
+/** How long requests wait for the first replica list: a leader reads the list within tens of ms, an
+ *  entry without a leader after 1.5 s. */
 #define LIST_WAIT_MS 2000
-/** An item is taken to need at least this much longer, in ms: those that last longer than most. */
-#define ITEM_LEFT_MIN_MS 500
+/** Minimum estimate of an item's remaining time, for items that already ran longer than the mean.
+ */
+#define REMAINING_MIN_MS 500
 
-static str_t zone_of(dispatch_t *d, uint64_t entry)
+static str_t entry_zone(dispatch_t *d, uint64_t entry)
 {
 	entry_t *e;
 
@@ -37,8 +38,9 @@
 	return e ? str_c(e->zone) : (str_t){"", 0};
 }
 
-/* What is known of a service as of this pass. */
-static service_t *look_at(dispatch_t *d, service_t *s, deadline_t now)
+/* At the first use of a service in a pass: recomputes its per-pass fields and decays its reserve.
+ */
+static service_t *refresh_service(dispatch_t *d, service_t *s, deadline_t now)
 {
 	if (s->pass == d->pass)
 		return s;
@@ -49,8 +51,8 @@
 	s->only_reserved_left = false;
 	s->waiting_ahead = 0;
 	for (; s->reserved_slots > 0 && now >= s->reserve_decay_at;
-	     s->reserve_decay_at += KEEP_SHRINK_MS)
-		s->reserved_slots -= 1 + s->reserved_slots / KEEP_SHRINK_PART;
+	     s->reserve_decay_at += RESERVE_DECAY_MS)
+		s->reserved_slots -= 1 + s->reserved_slots / RESERVE_DECAY_PART;
 	return s;
 }
 
@@ -88,7 +90,7 @@
 	it->state = ITEM_WAITING;
 	it->adopt_until = 0;
 	d->nwaiting_items++;
-	/* Walks from the tail: new items are mostly due last. */
+	/* Searches from the tail because new items usually have the latest due time. */
 	while (before && before->due > it->due)
 		before = before == d->waiting_items ? NULL : before->prev;
 	if (before)
@@ -97,7 +99,7 @@
 		DL_PREPEND(d->waiting_items, it);
 }
 
-static void grant(dispatch_t *d, waiter_t *q, replica_t *r, deadline_t now)
+static void grant_slot(dispatch_t *d, waiter_t *q, replica_t *r, deadline_t now)
 {
 	run_t *run = mem_new(sizeof(*run));
 	uint64_t entry = q->req.entry;
@@ -113,7 +115,7 @@
 	d->cb.grant(d->cb.ctx, entry, request, str_c(r->id));
 }
 
-static void refuse(dispatch_t *d, waiter_t *q, int64_t retry_ms, dispatch_refusal_t why)
+static void refuse_request(dispatch_t *d, waiter_t *q, int64_t retry_ms, dispatch_refusal_t why)
 {
 	uint64_t entry = q->req.entry;
 	uint64_t request = q->req.request;
@@ -132,17 +134,12 @@
 	it->placed_at = now;
 }
 
-/*
- * When more items come than can be done, the earliest due first would make all of them late: each
- * is begun in turn and none is finished in time. So those that have no chance let the others go
- * first.
- */
 int64_t dispatch_item_remaining_ms(const dispatch_item_t *it, deadline_t now)
 {
 	int64_t held_ms = it->replica ? now - it->placed_at : 0;
-	int64_t left = it->service->mean_item_ms - it->ran_ms - held_ms;
+	int64_t left_ms = it->service->mean_item_ms - it->ran_ms - held_ms;
 
-	return left > ITEM_LEFT_MIN_MS ? left : ITEM_LEFT_MIN_MS;
+	return left_ms > REMAINING_MIN_MS ? left_ms : REMAINING_MIN_MS;
 }
 
 bool dispatch_item_meets_due(const dispatch_item_t *it, deadline_t now)
@@ -150,21 +147,25 @@
 	return it->due > now + dispatch_item_remaining_ms(it, now);
 }
 
-/* In a peak a place that gets free is asked for again within ms. An item that takes it is stopped
- * at once and has only read its prompt again; so each such stop keeps one more place free. */
-static void keep_more(dispatch_t *d, const dispatch_item_t *it, deadline_t now)
+/* Adds a slot to the service's reserve if the item is preempted early. In a peak, a free slot is
+ * requested again within milliseconds: an item that takes it is preempted before it did anything
+ * but process its prompt again. */
+static void grow_reserve(dispatch_t *d, const dispatch_item_t *it, deadline_t now)
 {
-	service_t *s = look_at(d, it->replica->service, now);
+	service_t *s = refresh_service(d, it->replica->service, now);
 
-	if (now - it->placed_at >= YOUNG_MS || s->reserved_slots >= s->slots / KEEP_PART)
+	if (now - it->placed_at >= EARLY_PREEMPT_MS ||
+	    s->reserved_slots >= s->slots / RESERVE_MAX_PART)
 		return;
 	s->reserved_slots++;
-	s->reserve_decay_at = now + KEEP_SHRINK_MS;
+	s->reserve_decay_at = now + RESERVE_DECAY_MS;
 }
 
-static void preempt(dispatch_t *d, dispatch_item_t *it, deadline_t now)
+/* Has an item stopped. Its slot counts as free from now on, even before the entry has stopped it.
+ */
+static void preempt_item(dispatch_t *d, dispatch_item_t *it, deadline_t now)
 {
-	keep_more(d, it, now);
+	grow_reserve(d, it, now);
 	dispatch_item_add_run_time(it, now);
 	it->replica->items--;
 	it->replica = NULL;
@@ -173,9 +174,10 @@
 	d->cb.stop_item(d->cb.ctx, it->data, it->entry);
 }
 
-static bool place_ask(dispatch_t *d, waiter_t *q, deadline_t now)
+/* Grants a slot to the request, preempting an item if no slot is free; false if there is none. */
+static bool place_request(dispatch_t *d, waiter_t *q, deadline_t now)
 {
-	str_t zone = zone_of(d, q->req.entry);
+	str_t zone = entry_zone(d, q->req.entry);
 	replica_t *r = dispatch_pick_free(d, q, zone, now);
 	dispatch_item_t *victim;
 
@@ -184,52 +186,57 @@
 		if (!victim)
 			return false;
 		r = victim->replica;
-		preempt(d, victim, now);
+		preempt_item(d, victim, now);
 	}
-	grant(d, q, r, now);
+	grant_slot(d, q, r, now);
 	return true;
 }
 
 /*
- * After a fault callers come in a herd that takes seconds to serve. A caller past its objective
- * loses nothing more by waiting until shortly before it gives up, so those that can still be
- * answered in time go first: as many are served in all, and more of them in time.
+ * Order in which waiting requests are served. A fault causes a reconnect storm that takes seconds
+ * to serve. A caller past its objective loses nothing more by waiting until shortly before it gives
+ * up, so requests that can still meet their objective are served first: the same number of requests
+ * is served in all, and more of them in time.
  */
-typedef enum { RANK_RESUMED, RANK_IN_TIME, RANK_LATE, RANKS } rank_t;
+typedef enum { RANK_RESUMED, RANK_IN_TIME, RANK_LATE, RANKS } request_rank_t;
 
-static rank_t rank_of(const waiter_t *q, deadline_t now)
+static request_rank_t request_rank_of(const waiter_t *q, deadline_t now)
 {
 	if (q->req.resumed)
 		return RANK_RESUMED;
 	return !q->req.returning && now <= q->req.objective ? RANK_IN_TIME : RANK_LATE;
 }
 
-/* True when it may wait on. Refused are a request that can't be answered before its caller leaves,
- * even if all places served only those before it, and a new one that would get its place only after
- * its objective: it is told when to come back. */
-static bool judge_ask(dispatch_t *d, waiter_t *q, rank_t rank, const service_t *s, deadline_t now)
+/* Decides about a request that found no slot: true if it goes on waiting, false if it was refused.
+ * wait_ms estimates its time to a slot from the mean hold time, as if all slots served only the
+ * requests ahead of it. A request is refused if it can't be answered before its deadline or before
+ * its caller gives up, and a new one also if it would miss its objective; the refusal says when to
+ * retry. */
+static bool wait_or_refuse(dispatch_t *d, waiter_t *q, request_rank_t rank, const service_t *s,
+			   deadline_t now)
 {
 	int64_t wait_ms = s->slots ? s->mean_hold_us * (s->waiting_ahead + 1) / s->slots / 1000
-				   : RETRY_NONE_MS;
+				   : RETRY_NO_REPLICA_MS;
 	int64_t hold_ms = s->mean_hold_us / 1000;
 	int64_t first_ms = hold_ms < FIRST_EVENT_MS ? hold_ms : FIRST_EVENT_MS;
 
 	if (!d->had_replicas && now < d->list_deadline && now + first_ms <= q->req.give_up_at)
 		return true;
 	if (!d->had_replicas)
-		refuse(d, q, wait_ms, DISPATCH_NO_REPLICA_LIST);
+		refuse_request(d, q, wait_ms, DISPATCH_NO_REPLICA_LIST);
 	else if (now + hold_ms > q->req.deadline)
-		refuse(d, q, wait_ms, DISPATCH_PAST_DEADLINE);
+		refuse_request(d, q, wait_ms, DISPATCH_PAST_DEADLINE);
 	else if (now + first_ms + (s->slots ? wait_ms : 0) > q->req.give_up_at)
-		refuse(d, q, wait_ms, DISPATCH_CALLER_GIVES_UP);
+		refuse_request(d, q, wait_ms, DISPATCH_CALLER_GIVES_UP);
 	else if (rank == RANK_IN_TIME && now + wait_ms + first_ms > q->req.objective)
-		refuse(d, q, wait_ms, DISPATCH_PAST_OBJECTIVE);
+		refuse_request(d, q, wait_ms, DISPATCH_PAST_OBJECTIVE);
 	else
 		return true;
 	return false;
 }
 
-static void place_asks(dispatch_t *d, deadline_t now)
+/* Serves the queue of requests rank by rank; grants, leaves waiting or refuses each of them. */
+static void place_requests(dispatch_t *d, deadline_t now)
 {
 	for (unsigned rank = 0; rank < RANKS; rank++) {
 		waiter_t *q;
@@ -239,32 +246,33 @@
 			service_t *s;
 
 			next = q->next;
-			if (rank_of(q, now) != rank)
+			if (request_rank_of(q, now) != rank)
 				continue;
-			s = look_at(d, q->service, now);
-			if (!s->no_slot_for_requests && place_ask(d, q, now))
+			s = refresh_service(d, q->service, now);
+			if (!s->no_slot_for_requests && place_request(d, q, now))
 				continue;
 			s->no_slot_for_requests |= q->req.navoid == 0;
-			s->waiting_ahead += judge_ask(d, q, (rank_t)rank, s, now);
+			s->waiting_ahead += wait_or_refuse(d, q, (request_rank_t)rank, s, now);
 		}
 	}
 }
 
+/* Starts a waiting item on a free slot, or on that of a running item that will be late anyway. */
 static void place_item(dispatch_t *d, dispatch_item_t *it, deadline_t now)
 {
-	service_t *s = look_at(d, it->service, now);
-	bool can_wait = dispatch_item_has_slack(it, now);
+	service_t *s = refresh_service(d, it->service, now);
+	bool has_slack = dispatch_item_has_slack(it, now);
 	dispatch_item_t *late = NULL;
 	replica_t *r = NULL;
 	entry_t *e;
 
-	/* Requests of its service that wait go first; those of others don't concern it. */
-	if (s->waiting_ahead > 0 || s->no_slot_for_items || (s->only_reserved_left && can_wait))
+	/* Items yield only to waiting requests of their own service. */
+	if (s->waiting_ahead > 0 || s->no_slot_for_items || (s->only_reserved_left && has_slack))
 		return;
-	/* One that can't wait out a peak takes the room kept for online requests as well. */
+	/* An item without slack may use the slots reserved for online requests as well. */
 	s->only_reserved_left =
 		s->reserved_slots > 0 && dispatch_count_free_slots(d, s, now) <= s->reserved_slots;
-	if (s->only_reserved_left && can_wait)
+	if (s->only_reserved_left && has_slack)
 		return;
 	r = dispatch_pick_for_item(d, it, now);
 	if (!r && dispatch_item_meets_due(it, now))
@@ -276,7 +284,7 @@
 	if (!e)
 		return;
 	if (late)
-		preempt(d, late, now);
+		preempt_item(d, late, now);
 	dispatch_item_detach(d, it);
 	it->state = ITEM_RUNNING;
 	it->replica = r;
@@ -288,46 +296,50 @@
 	d->cb.start_item(d->cb.ctx, it->data, e->id, str_c(r->id));
 }
 
-/* Items that were begun go first: what they hold of their replicas' time is lost if they come late.
+/*
+ * Order in which waiting items are started. Items that already ran go first: the replica time spent
+ * on them is wasted if they finish late. Items that can't meet their due time go last. In overload,
+ * serving strictly by due time would start each item in turn and finish none of them in time.
  */
-typedef enum { TURN_BEGUN, TURN_NEW, TURN_LATE, TURNS } turn_t;
+typedef enum { ITEM_RANK_RESUMED, ITEM_RANK_NEW, ITEM_RANK_LATE, ITEM_RANKS } item_rank_t;
 
-static turn_t turn_of(const dispatch_item_t *it, deadline_t now)
+static item_rank_t item_rank_of(const dispatch_item_t *it, deadline_t now)
 {
 	if (!dispatch_item_meets_due(it, now))
-		return TURN_LATE;
-	return it->ran_ms > 0 ? TURN_BEGUN : TURN_NEW;
+		return ITEM_RANK_LATE;
+	return it->ran_ms > 0 ? ITEM_RANK_RESUMED : ITEM_RANK_NEW;
 }
 
 static void place_items(dispatch_t *d, deadline_t now)
 {
-	for (unsigned turn = 0; turn < TURNS; turn++) {
+	for (unsigned rank = 0; rank < ITEM_RANKS; rank++) {
 		dispatch_item_t *it;
 		dispatch_item_t *next;
 
 		for (it = d->waiting_items; it; it = next) {
 			next = it->next;
-			if (turn_of(it, now) == turn)
+			if (item_rank_of(it, now) == rank)
 				place_item(d, it, now);
 		}
 	}
 }
 
-/* False while requests wait for all services: items needn't be looked at one by one then. */
-static bool items_may_run(dispatch_t *d, deadline_t now)
+/* False if requests wait for every service that has slots; saves a walk over all waiting items. */
+static bool items_can_start(dispatch_t *d, deadline_t now)
 {
 	if (!d->waiters)
 		return true;
 	for (service_t *s = d->services; s; s = s->hh.next) {
-		const service_t *looked = look_at(d, s, now);
+		const service_t *fresh = refresh_service(d, s, now);
 
-		if (looked->waiting_ahead == 0 && looked->slots > 0)
+		if (fresh->waiting_ahead == 0 && fresh->slots > 0)
 			return true;
 	}
 	return false;
 }
 
-static void requeue_lost(dispatch_t *d, deadline_t now)
+/* Queues the items again whose entry disconnected and did not return in time. */
+static void requeue_orphaned_items(dispatch_t *d, deadline_t now)
 {
 	dispatch_item_t *it;
 	dispatch_item_t *next;
@@ -343,6 +355,7 @@
 
 void dispatch_place_all(dispatch_t *d, deadline_t now)
 {
+	/* A callback may call into the dispatcher again: the outer call then does another pass. */
 	if (d->placing) {
 		d->place_again = true;
 		return;
@@ -353,9 +366,9 @@
 	do {
 		d->place_again = false;
 		d->pass++;
-		requeue_lost(d, now);
-		place_asks(d, now);
-		if (now >= d->items_held_until && items_may_run(d, now))
+		requeue_orphaned_items(d, now);
+		place_requests(d, now);
+		if (now >= d->items_held_until && items_can_start(d, now))
 			place_items(d, now);
 	} while (d->place_again);
 	d->placing = false;
