--- a/src/policy/balance.h
+++ b/src/policy/balance.h
@@ -1,4 +1,5 @@
-/** Choice of a replica for an online request from what its owners last said. Pure. */
+/** Load balancing: chooses a replica for an online request by the load that the replicas' owners
+ *  last reported. Pure. */
 #ifndef AUBURN_BALANCE_H
 #define AUBURN_BALANCE_H
 
@@ -12,19 +13,19 @@
 	int queued;
 	int running;
 	int slots;
-	int sent_since_report; /* requests sent there by this entry since that report */
+	int sent_since_report; /* requests that this entry sent there since the last report */
 	bool same_zone;
 	bool owned_here;
 	bool usable; /* live, owned, breaker closed, not tried by this request yet */
-	bool prefix_known; /* its cache is believed to hold the request's prefix */
-	deadline_t reported_at; /* when the report came; 0 = never */
+	bool prefix_known; /* the replica's cache probably holds the request's prefix */
+	deadline_t reported_at; /* arrival of the last report; 0 if there was none */
 } balance_candidate_t;
 
-/** Ways that the bench compares. */
+/** TWO_CHOICES: the better of two random replicas; the bench compares it with the others. */
 typedef enum { BALANCE_TWO_CHOICES, BALANCE_LEAST_LOADED, BALANCE_RANDOM } balance_policy_t;
 
-/** Index of the chosen one, or -1 when none is usable. rnd is the caller's random number. */
-int balance_pick(const balance_candidate_t *c, size_t n, balance_policy_t way, uint64_t rnd,
+/** Returns the index of the chosen candidate, or -1 if none is usable. rnd: a random number. */
+int balance_pick(const balance_candidate_t *c, size_t n, balance_policy_t policy, uint64_t rnd,
 		 int64_t now_ms);
 
 #endif
--- a/src/policy/bucket.c
+++ b/src/policy/bucket.c
@@ -1,3 +1,4 @@
+/* Token buckets, and a bounded map of them by caller. */
 #include "policy/bucket.h"
 
 #include <assert.h>
@@ -10,32 +11,32 @@
 typedef struct {
 	uint64_t caller;
 	bucket_t bucket;
-	UT_hash_handle hh; /* iterated in order of last use, oldest first */
-} entry_t;
+	UT_hash_handle hh; /* iterated from the least to the most recently used */
+} node_t;
 
 struct bucket_map {
 	size_t max;
-	entry_t *by_caller;
+	node_t *by_caller;
 };
 
 static void refill(bucket_t *t, int64_t rate_per_s, int64_t burst, int64_t now_ms)
 {
-	int64_t full = burst * MILLI;
-	int64_t passed = now_ms - t->refilled_ms;
+	int64_t full_milli = burst * MILLI;
+	int64_t elapsed_ms = now_ms - t->refilled_ms;
 
 	if (t->refilled_ms == 0) {
-		t->millitokens = full;
+		t->millitokens = full_milli;
 		t->refilled_ms = now_ms;
 		return;
 	}
-	if (passed <= 0)
+	if (elapsed_ms <= 0)
 		return;
 	t->refilled_ms = now_ms;
-	/* One thousandth of a token a ms for each token a second. */
-	if (rate_per_s > 0 && passed >= (full - t->millitokens) / rate_per_s + 1)
-		t->millitokens = full;
+	/* 1 token/s is 1 millitoken/ms. The comparison avoids an overflow of the product below. */
+	if (rate_per_s > 0 && elapsed_ms >= (full_milli - t->millitokens) / rate_per_s + 1)
+		t->millitokens = full_milli;
 	else
-		t->millitokens += passed * rate_per_s;
+		t->millitokens += elapsed_ms * rate_per_s;
 }
 
 bool bucket_take(bucket_t *t, int64_t rate_per_s, int64_t burst, int64_t now_ms,
@@ -64,9 +65,9 @@
 	return m;
 }
 
-static void drop_oldest(bucket_map_t *m)
+static void evict_least_recent(bucket_map_t *m)
 {
-	entry_t *e = m->by_caller;
+	node_t *e = m->by_caller;
 
 	assert(e && !e->hh.prev);
 	HASH_DEL(m->by_caller, e);
@@ -78,37 +79,37 @@
 	if (!m)
 		return;
 	while (m->by_caller)
-		drop_oldest(m);
+		evict_least_recent(m);
 	free(m);
 }
 
-static void add_last(bucket_map_t *m, entry_t *e)
+static void append_most_recent(bucket_map_t *m, node_t *e)
 {
 	HASH_ADD(hh, m->by_caller, caller, sizeof(e->caller), e);
 }
 
 bucket_t *bucket_map_get(bucket_map_t *m, uint64_t caller, int64_t now_ms)
 {
-	entry_t *e;
+	node_t *e;
 
 	HASH_FIND(hh, m->by_caller, &caller, sizeof(caller), e);
 	if (e) {
 		HASH_DEL(m->by_caller, e);
-		add_last(m, e);
+		append_most_recent(m, e);
 		return &e->bucket;
 	}
 	if (HASH_COUNT(m->by_caller) >= m->max)
-		drop_oldest(m);
+		evict_least_recent(m);
 	e = mem_new(sizeof(*e));
 	e->caller = caller;
-	add_last(m, e);
+	append_most_recent(m, e);
 	assert(HASH_COUNT(m->by_caller) <= m->max);
 	return &e->bucket;
 }
 
 size_t bucket_map_bytes(const bucket_map_t *m)
 {
-	return sizeof(*m) + HASH_COUNT(m->by_caller) * sizeof(entry_t) +
+	return sizeof(*m) + HASH_COUNT(m->by_caller) * sizeof(node_t) +
 	       (m->by_caller ? HASH_OVERHEAD(hh, m->by_caller) -
 				       HASH_COUNT(m->by_caller) * sizeof(UT_hash_handle)
 			     : 0);
--- a/src/policy/fanout.c
+++ b/src/policy/fanout.c
@@ -1,3 +1,4 @@
+/* Fan-out of configs to connected entries. */
 #include "policy/fanout.h"
 
 #include <stdlib.h>
@@ -6,20 +7,20 @@
 
 typedef struct {
 	uint64_t id;
-	fanout_config_id_t holds;
-	size_t bytes; /* on their way to it, while they hold up others */
-	bool waits; /* for it to take what it was sent */
-	deadline_t taken_by;
+	fanout_config_id_t config;
+	size_t bytes; /* in flight to this peer, up to FANOUT_ACK_MS */
+	bool awaiting_ack;
+	deadline_t ack_by;
 	UT_hash_handle hh;
 } peer_t;
 
-struct tf {
+struct fanout {
 	fanout_callbacks_t cb;
-	fanout_config_id_t text;
-	fanout_config_id_t bases[FANOUT_BASES]; /* newest first */
-	deadline_t since; /* when the text came into force here */
-	bool told; /* that all hold it */
-	size_t flight;
+	fanout_config_id_t newest;
+	fanout_config_id_t bases[FANOUT_BASES]; /* earlier configs, newest first */
+	deadline_t newest_since; /* when the newest config was set */
+	bool converged_reported;
+	size_t in_flight;
 	size_t behind;
 	peer_t *peers;
 };
@@ -45,14 +46,14 @@
 	if (!f)
 		return;
 	HASH_ITER (hh, f->peers, p, next) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
 		HASH_DEL(f->peers, p);
 		free(p);
 	}
 	free(f);
 }
 
-static peer_t *find(const fanout_t *f, uint64_t id)
+static peer_t *find_peer(const fanout_t *f, uint64_t id)
 {
 	peer_t *p;
 
@@ -62,122 +63,126 @@
 
 static bool is_behind(const fanout_t *f, const peer_t *p)
 {
-	return !fanout_config_id_eq(p->holds, f->text);
+	return !fanout_config_id_eq(p->config, f->newest);
 }
 
-static void land(fanout_t *f, peer_t *p)
+/* The peer's bytes no longer count as in flight. */
+static void clear_in_flight(fanout_t *f, peer_t *p)
 {
-	f->flight -= p->bytes;
+	f->in_flight -= p->bytes;
 	p->bytes = 0;
 }
 
-static void set_holds(fanout_t *f, peer_t *p, fanout_config_id_t holds)
+static void set_peer_config(fanout_t *f, peer_t *p, fanout_config_id_t config)
 {
 	f->behind -= is_behind(f, p);
-	p->holds = holds;
+	p->config = config;
 	f->behind += is_behind(f, p);
 }
 
-static fanout_config_id_t base_for(const fanout_t *f, fanout_config_id_t holds)
+/* The base of the delta for a peer that has this config; none if the peer needs the whole config.
+ */
+static fanout_config_id_t delta_base(const fanout_t *f, fanout_config_id_t config)
 {
 	for (size_t i = 0; i < FANOUT_BASES; i++) {
-		if (holds.number && fanout_config_id_eq(f->bases[i], holds))
-			return holds;
+		if (config.number && fanout_config_id_eq(f->bases[i], config))
+			return config;
 	}
 	return (fanout_config_id_t){0, 0};
 }
 
-static void send(fanout_t *f, peer_t *p, deadline_t now)
+static void send_config(fanout_t *f, peer_t *p, deadline_t now)
 {
-	p->bytes = f->cb.send(f->cb.ctx, p->id, base_for(f, p->holds));
-	p->waits = true;
-	p->taken_by = now + FANOUT_ACK_MS;
-	f->flight += p->bytes;
+	p->bytes = f->cb.send(f->cb.ctx, p->id, delta_base(f, p->config));
+	p->awaiting_ack = true;
+	p->ack_by = now + FANOUT_ACK_MS;
+	f->in_flight += p->bytes;
 }
 
-static void send_to(fanout_t *f, bool without_text, deadline_t now)
+static void send_pending(fanout_t *f, bool without_config, deadline_t now)
 {
-	for (peer_t *p = f->peers; p && f->flight < FANOUT_IN_FLIGHT_BYTES; p = p->hh.next) {
-		if (!p->waits && is_behind(f, p) && (p->holds.number == 0) == without_text)
-			send(f, p, now);
+	for (peer_t *p = f->peers; p && f->in_flight < FANOUT_IN_FLIGHT_BYTES; p = p->hh.next) {
+		if (!p->awaiting_ack && is_behind(f, p) &&
+		    (p->config.number == 0) == without_config)
+			send_config(f, p, now);
 	}
 }
 
 void fanout_tick(fanout_t *f, deadline_t now)
 {
-	if (f->text.number == 0)
+	if (f->newest.number == 0)
 		return;
-	for (peer_t *p = f->peers; p && f->flight > 0; p = p->hh.next) {
-		if (p->bytes > 0 && now >= p->taken_by)
-			land(f, p);
+	for (peer_t *p = f->peers; p && f->in_flight > 0; p = p->hh.next) {
+		if (p->bytes > 0 && now >= p->ack_by)
+			clear_in_flight(f, p);
 	}
 	if (f->behind > 0) {
-		/* Those without any text can't serve. */
-		send_to(f, true, now);
-		send_to(f, false, now);
+		/* Peers without any config first: they can't serve requests yet. */
+		send_pending(f, true, now);
+		send_pending(f, false, now);
 		return;
 	}
-	if (f->told || !f->peers)
+	if (f->converged_reported || !f->peers)
 		return;
-	f->told = true;
-	f->cb.converged(f->cb.ctx, f->text, HASH_COUNT(f->peers), now - f->since);
+	f->converged_reported = true;
+	f->cb.converged(f->cb.ctx, f->newest, HASH_COUNT(f->peers), now - f->newest_since);
 }
 
-void fanout_set_config(fanout_t *f, fanout_config_id_t t, deadline_t now)
+void fanout_set_config(fanout_t *f, fanout_config_id_t id, deadline_t now)
 {
-	if (fanout_config_id_eq(f->text, t))
+	if (fanout_config_id_eq(f->newest, id))
 		return;
 	for (size_t i = FANOUT_BASES - 1; i > 0; i--)
 		f->bases[i] = f->bases[i - 1];
-	f->bases[0] = f->text;
-	f->text = t;
-	f->since = now;
-	f->told = false;
+	f->bases[0] = f->newest;
+	f->newest = id;
+	f->newest_since = now;
+	f->converged_reported = false;
 	f->behind = 0;
 	for (peer_t *p = f->peers; p; p = p->hh.next)
 		f->behind += is_behind(f, p);
 	fanout_tick(f, now);
 }
 
-void fanout_peer_add(fanout_t *f, uint64_t id, fanout_config_id_t holds, deadline_t now)
+void fanout_peer_add(fanout_t *f, uint64_t id, fanout_config_id_t config, deadline_t now)
 {
-	peer_t *p = find(f, id);
+	peer_t *p = find_peer(f, id);
 
 	if (!p) {
 		p = mem_new(sizeof(*p));
 		p->id = id;
-		p->holds = f->text; /* until set_holds counts it */
+		p->config = f->newest; /* not behind, until set_peer_config() */
 		HASH_ADD(hh, f->peers, id, sizeof(p->id), p);
 	}
-	set_holds(f, p, holds);
+	set_peer_config(f, p, config);
 	fanout_tick(f, now);
 }
 
 void fanout_peer_remove(fanout_t *f, uint64_t id)
 {
-	peer_t *p = find(f, id);
+	peer_t *p = find_peer(f, id);
 
 	if (!p)
 		return;
-	land(f, p);
+	clear_in_flight(f, p);
 	f->behind -= is_behind(f, p);
 	HASH_DEL(f->peers, p);
 	free(p);
 }
 
-void fanout_peer_acked(fanout_t *f, uint64_t id, fanout_config_id_t holds, deadline_t now)
+void fanout_peer_acked(fanout_t *f, uint64_t id, fanout_config_id_t config, deadline_t now)
 {
-	peer_t *p = find(f, id);
+	peer_t *p = find_peer(f, id);
 
 	if (!p)
 		return;
-	land(f, p);
-	p->waits = false;
-	set_holds(f, p, holds);
+	clear_in_flight(f, p);
+	p->awaiting_ack = false;
+	set_peer_config(f, p, config);
 	fanout_tick(f, now);
 }
 
 void fanout_stats(const fanout_t *f, fanout_stats_t *out)
 {
-	*out = (fanout_stats_t){HASH_COUNT(f->peers), f->behind, f->flight};
+	*out = (fanout_stats_t){HASH_COUNT(f->peers), f->behind, f->in_flight};
 }
--- a/src/policy/leaving.c
+++ b/src/policy/leaving.c
@@ -1,3 +1,4 @@
+/* Set of replicas that announced that they leave. */
 #include "policy/leaving.h"
 
 #include <stdlib.h>
@@ -7,10 +8,10 @@
 	char *id;
 	uint64_t start_time;
 	UT_hash_handle hh;
-} leaver_t;
+} member_t;
 
-struct lv {
-	leaver_t *leaving_replicas; /* oldest first */
+struct leaving {
+	member_t *members; /* hash by id; oldest announcement first */
 };
 
 leaving_t *leaving_new(void)
@@ -18,38 +19,38 @@
 	return mem_new(sizeof(leaving_t));
 }
 
-static void forget(leaving_t *l, leaver_t *x)
+static void remove_member(leaving_t *l, member_t *x)
 {
-	HASH_DEL(l->leaving_replicas, x);
+	HASH_DEL(l->members, x);
 	free(x->id);
 	free(x);
 }
 
 void leaving_free(leaving_t *l)
 {
-	leaver_t *x;
-	leaver_t *next;
+	member_t *x;
+	member_t *next;
 
 	if (!l)
 		return;
-	HASH_ITER (hh, l->leaving_replicas, x, next) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
-		forget(l, x);
+	HASH_ITER (hh, l->members, x, next) {
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
+		remove_member(l, x);
 	}
 	free(l);
 }
 
-static leaver_t *find(const leaving_t *l, str_t id)
+static member_t *find_member(const leaving_t *l, str_t id)
 {
-	leaver_t *x;
+	member_t *x;
 
-	HASH_FIND(hh, l->leaving_replicas, id.p, id.n, x);
+	HASH_FIND(hh, l->members, id.p, id.n, x);
 	return x;
 }
 
 bool leaving_add(leaving_t *l, leaving_replica_t r)
 {
-	leaver_t *x = find(l, r.id);
+	member_t *x = find_member(l, r.id);
 
 	if (x) {
 		bool newer = r.start_time > x->start_time;
@@ -58,26 +59,27 @@
 			x->start_time = r.start_time;
 		return newer;
 	}
-	if (HASH_COUNT(l->leaving_replicas) >= LEAVING_MAX)
-		forget(l, l->leaving_replicas);
+	if (HASH_COUNT(l->members) >= LEAVING_MAX)
+		remove_member(l, l->members);
 	x = mem_new(sizeof(*x));
 	x->id = str_dup(r.id);
 	x->start_time = r.start_time;
-	HASH_ADD_KEYPTR(hh, l->leaving_replicas, x->id, r.id.n, x);
+	HASH_ADD_KEYPTR(hh, l->members, x->id, r.id.n, x);
 	return true;
 }
 
 bool leaving_check(leaving_t *l, leaving_replica_t r)
 {
-	leaver_t *x = find(l, r.id);
+	member_t *x = find_member(l, r.id);
 
 	if (!x)
 		return false;
+	/* The start time was unknown when the announcement arrived. */
 	if (x->start_time == 0)
 		x->start_time = r.start_time;
 	if (r.start_time <= x->start_time)
 		return true;
-	forget(l, x);
+	remove_member(l, x);
 	return false;
 }
 
@@ -85,7 +87,7 @@
 {
 	size_t n = 0;
 
-	for (leaver_t *x = l->leaving_replicas; x && n < max; x = x->hh.next)
+	for (member_t *x = l->members; x && n < max; x = x->hh.next)
 		out[n++] = (leaving_replica_t){str_c(x->id), x->start_time};
 	return n;
 }
--- a/src/policy/leaving.h
+++ b/src/policy/leaving.h
@@ -1,8 +1,9 @@
 /**
- * Replicas that said that they leave. The platform's list says so too, but seconds later, and a
- * process that is cut off from it must not use such a replica again either.
+ * Set of replicas that announced that they leave. The platform's replica list shows this too, but
+ * only seconds later, and a process that is cut off from the list must also stop using such a
+ * replica.
  *
- * A replica that starts again, with a later time of start, may be used, under the same id too.
+ * A replica that is started again has a later start time and may be used, even under the same id.
  * Pure. Not thread-safe.
  */
 #ifndef AUBURN_LEAVING_H
@@ -13,24 +14,26 @@
 #include <stdint.h>
 #include "base/str.h"
 
-typedef struct lv leaving_t;
+typedef struct leaving leaving_t;
 
-/** Replicas that are remembered; beyond that the one that said so longest ago is forgotten. Several
- * times those that leave within the time in which the list shows it. */
+/** Maximum size of the set; beyond it the oldest announcement is dropped. Several times the number
+ *  of replicas that leave before the list shows it. */
 #define LEAVING_MAX 1024
 
 typedef struct {
 	str_t id;
-	uint64_t start_time; /* when it started, Unix ms; 0: not known */
+	uint64_t start_time; /* Unix ms, 0 if unknown */
 } leaving_replica_t;
 
 leaving_t *leaving_new(void);
 void leaving_free(leaving_t *l);
-/** Notes that the replica that started then leaves; true when that wasn't known. */
+/** Adds a replica; false if the set already has it with this start time or a later one. */
 bool leaving_add(leaving_t *l, leaving_replica_t r);
-/** True when the replica that started then leaves. Forgets an earlier one with its id. */
+/** True if the replica is in the set. Removes the id if r has a later start time, because the
+ *  replica was restarted. */
 bool leaving_check(leaving_t *l, leaving_replica_t r);
-/** All that are remembered, up to max; views live until the next call on l. */
+/** Lists up to max replicas and returns their number. The ids are valid until the next call on l.
+ */
 size_t leaving_list(const leaving_t *l, leaving_replica_t *out, size_t max);
 
 #endif
--- a/src/policy/owner.c
+++ b/src/policy/owner.c
@@ -1,3 +1,4 @@
+/* Owner: starts, queues, refuses and preempts the streams of one replica. */
 #include "policy/owner_internal.h"
 
 #include <assert.h>
@@ -14,8 +15,8 @@
 	return -1;
 }
 
-/** Invariants that hold between any two calls. */
-static void check(const owner_t *w)
+/** Asserts the invariants that hold between any two calls. */
+static void check_invariants(const owner_t *w)
 {
 	unsigned online = 0;
 	unsigned cancelling = 0;
@@ -61,7 +62,7 @@
 	free(w);
 }
 
-static void start(owner_t *w, const owner_stream_t *s, int64_t now_ms)
+static void start_stream(owner_t *w, const owner_stream_t *s, int64_t now_ms)
 {
 	assert(w->nrun < w->options.slots && !w->alone);
 	assert(s->cls == OWNER_ONLINE || w->nqueue == 0);
@@ -79,22 +80,22 @@
 	w->options.start(w->options.ctx, s->id);
 }
 
-static bool slot_free(const owner_t *w)
+static bool has_free_slot(const owner_t *w)
 {
 	return w->nrun < w->options.slots && !w->alone;
 }
 
-static void start_waiting(owner_t *w, int64_t now_ms)
+static void start_queued(owner_t *w, int64_t now_ms)
 {
-	while (w->nqueue > 0 && slot_free(w)) {
+	while (w->nqueue > 0 && has_free_slot(w)) {
 		owner_stream_t s = w->queue[0].stream;
 
 		owner_queue_remove(w, 0);
-		start(w, &s, now_ms);
+		start_stream(w, &s, now_ms);
 	}
 }
 
-static owner_run_t *youngest_batch(const owner_t *w)
+static owner_run_t *latest_batch_run(const owner_t *w)
 {
 	for (unsigned i = w->nrun; i > 0; i--) {
 		owner_run_t *r = &w->runs[i - 1];
@@ -105,7 +106,7 @@
 	return NULL;
 }
 
-static void cancel(owner_t *w, owner_run_t *r, int64_t now_ms)
+static void cancel_run(owner_t *w, owner_run_t *r, int64_t now_ms)
 {
 	assert(r->cls == OWNER_BATCH && !r->cancelling);
 	r->cancelling = true;
@@ -114,74 +115,75 @@
 	w->options.cancel(w->options.ctx, r->id);
 }
 
-/** Cancels one batch stream for each waiting stream that has none giving way yet. */
-static void make_room(owner_t *w, int64_t now_ms)
+/** Preempts batch streams, the latest started first, until one is being cancelled for each queued
+ *  stream or none is left. */
+static void preempt_for_queue(owner_t *w, int64_t now_ms)
 {
 	owner_run_t *r;
 
 	if (w->options.preempt == OWNER_PREEMPT_NONE)
 		return;
-	while (w->ncancelling < w->nqueue && (r = youngest_batch(w)) != NULL) {
-		cancel(w, r, now_ms);
+	while (w->ncancelling < w->nqueue && (r = latest_batch_run(w)) != NULL) {
+		cancel_run(w, r, now_ms);
 		w->preempted++;
 		assert(w->ncancelling <= w->nqueue);
 	}
 }
 
-static owner_answer_t refuse_offer(owner_t *w, unsigned place, int64_t *retry_after_ms)
+static owner_answer_t refuse_offer(owner_t *w, unsigned position, int64_t *retry_after_ms)
 {
 	w->refused++;
-	*retry_after_ms = owner_capacity_retry_ms(w, place);
+	*retry_after_ms = owner_capacity_retry_ms(w, position);
 	return OWNER_REFUSED;
 }
 
-/** Batch, and any stream that runs alone: starts now or is refused. */
-static owner_answer_t offer_now(owner_t *w, const owner_stream_t *s, int64_t now_ms,
-				int64_t *retry_after_ms)
+/** Starts a batch stream, or any stream with `alone` set, or refuses it; neither is queued. */
+static owner_answer_t offer_unqueued(owner_t *w, const owner_stream_t *s, int64_t now_ms,
+				     int64_t *retry_after_ms)
 {
-	bool room = s->alone ? owner_capacity_admit_alone(w, now_ms)
-			     : owner_capacity_batch(w, now_ms) > 0;
+	bool admitted = s->alone ? owner_capacity_admit_alone(w, now_ms)
+				 : owner_capacity_batch(w, now_ms) > 0;
 
-	if (!room)
+	if (!admitted)
 		return refuse_offer(w, w->nqueue, retry_after_ms);
-	start(w, s, now_ms);
+	start_stream(w, s, now_ms);
 	return OWNER_STARTED;
 }
 
 static owner_answer_t offer_online(owner_t *w, const owner_stream_t *s, int64_t now_ms,
 				   int64_t *retry_after_ms)
 {
-	int64_t turn;
-	unsigned place = owner_queue_position(w, s, &turn);
+	int64_t virtual_deadline;
+	unsigned position = owner_queue_position(w, s, &virtual_deadline);
 
 	owner_capacity_arrival(w, now_ms);
-	if (w->closed || !owner_capacity_meets_deadline(w, place, s->deadline, now_ms))
-		return refuse_offer(w, place, retry_after_ms);
-	if (w->nqueue == 0 && slot_free(w)) {
-		start(w, s, now_ms);
+	if (w->closed || !owner_capacity_meets_deadline(w, position, s->deadline, now_ms))
+		return refuse_offer(w, position, retry_after_ms);
+	if (w->nqueue == 0 && has_free_slot(w)) {
+		start_stream(w, s, now_ms);
 		return OWNER_STARTED;
 	}
 	if (w->nqueue >= w->options.queue_max)
 		return refuse_offer(w, w->nqueue, retry_after_ms);
 	owner_queue_insert(w, s);
-	make_room(w, now_ms);
+	preempt_for_queue(w, now_ms);
 	return OWNER_QUEUED;
 }
 
 owner_answer_t owner_offer(owner_t *w, const owner_stream_t *s, int64_t now_ms,
 			   int64_t *retry_after_ms)
 {
-	owner_answer_t a;
+	owner_answer_t answer;
 
 	assert(find_run(w, s->id) < 0 && owner_queue_find(w, s->id) < 0);
 	*retry_after_ms = 0;
-	start_waiting(w, now_ms); /* owner_update may have given slots */
+	start_queued(w, now_ms); /* owner_update may have added slots */
 	if (s->cls == OWNER_ONLINE && !s->alone)
-		a = offer_online(w, s, now_ms, retry_after_ms);
+		answer = offer_online(w, s, now_ms, retry_after_ms);
 	else
-		a = offer_now(w, s, now_ms, retry_after_ms);
-	check(w);
-	return a;
+		answer = offer_unqueued(w, s, now_ms, retry_after_ms);
+	check_invariants(w);
+	return answer;
 }
 
 static void remove_run(owner_t *w, unsigned at)
@@ -207,8 +209,8 @@
 		return;
 	owner_capacity_ended(w, &w->runs[at], now_ms);
 	remove_run(w, (unsigned)at);
-	start_waiting(w, now_ms);
-	check(w);
+	start_queued(w, now_ms);
+	check_invariants(w);
 }
 
 void owner_withdraw(owner_t *w, uint64_t id, int64_t now_ms)
@@ -217,8 +219,8 @@
 
 	if (at >= 0)
 		owner_queue_remove(w, (unsigned)at);
-	start_waiting(w, now_ms);
-	check(w);
+	start_queued(w, now_ms);
+	check_invariants(w);
 }
 
 void owner_record_token(owner_t *w, uint64_t id, int64_t step_us, int64_t now_ms)
@@ -236,7 +238,7 @@
 	owner_capacity_tick(w, now_ms);
 }
 
-static void refuse_waiting(owner_t *w, unsigned at)
+static void refuse_queued(owner_t *w, unsigned at)
 {
 	uint64_t id = w->queue[at].stream.id;
 	int64_t retry = owner_capacity_retry_ms(w, w->nqueue);
@@ -251,15 +253,15 @@
 	unsigned at = 0;
 
 	owner_capacity_tick(w, now_ms);
-	start_waiting(w, now_ms);
-	make_room(w, now_ms);
+	start_queued(w, now_ms);
+	preempt_for_queue(w, now_ms);
 	while (at < w->nqueue) {
 		if (owner_capacity_meets_deadline(w, at, w->queue[at].stream.deadline, now_ms))
 			at++;
 		else
-			refuse_waiting(w, at);
+			refuse_queued(w, at);
 	}
-	check(w);
+	check_invariants(w);
 }
 
 void owner_update(owner_t *w, const owner_options_t *o)
@@ -277,10 +279,10 @@
 
 	w->closed = true;
 	while (w->nqueue > 0)
-		refuse_waiting(w, w->nqueue - 1);
-	while (cancel_batch && (r = youngest_batch(w)) != NULL)
-		cancel(w, r, now_ms);
-	check(w);
+		refuse_queued(w, w->nqueue - 1);
+	while (cancel_batch && (r = latest_batch_run(w)) != NULL)
+		cancel_run(w, r, now_ms);
+	check_invariants(w);
 }
 
 unsigned owner_batch_headroom(const owner_t *w, int64_t now_ms)
@@ -288,7 +290,8 @@
 	return owner_capacity_batch(w, now_ms);
 }
 
-static unsigned online_slots(const owner_t *w)
+/** Slots for further online streams; with preemption, batch streams don't count as using slots. */
+static unsigned count_online_slots(const owner_t *w)
 {
 	unsigned taken = w->nqueue;
 
@@ -305,7 +308,7 @@
 		.running_batch = w->nrun - w->nonline - w->ncancelling,
 		.cancelling = w->ncancelling,
 		.queued = w->nqueue,
-		.free_slots = online_slots(w),
+		.free_slots = count_online_slots(w),
 		.step_us = w->step.p95_us,
 		.drain_ms = owner_capacity_wait_ms(w, w->nqueue),
 		.first_token_ms = (int64_t)w->first_token_ms,
--- a/src/policy/owner_capacity.c
+++ b/src/policy/owner_capacity.c
@@ -1,3 +1,4 @@
+/* Owner: estimates of waiting times, and the number of batch streams that may run. */
 #include "policy/owner_internal.h"
 
 #include <assert.h>
@@ -5,23 +6,32 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MEAN_SHARE	 0.05 /* weight of a new value in a running mean */
+#define MEAN_SHARE 0.05 /* weight of a new sample in a running mean */
+
+/* The time between tokens is sampled in windows. At the end of a window, its 95th percentile
+ * adjusts the limit on running batch streams: over options.step_bound_us the limit shrinks by the
+ * factor STEP_SHRINK; from the near mark up to the bound it shrinks by one stream; below
+ * STEP_GROW_BELOW of the near mark it grows by STEP_GROW streams. */
 #define STEP_WINDOW_MS	 2000
-#define STEP_MIN_SAMPLES 16
-#define STEP_NEAR	 0.05 /* how far below the bound full latency weight begins to shrink */
-#define STEP_SHRINK	 0.75 /* over the bound; near it one batch stream goes */
-#define STEP_GROW	 1 /* batch streams a window */
-#define STEP_GROW_BELOW	 0.9 /* of the point where shrinking begins */
-#define PEAK_SLICE_MS	 100
-#define PEAK_DECAY	 0.99 /* a slice; halves in about 7 s */
+#define STEP_MIN_SAMPLES 16 /* a window with fewer samples is extended */
+#define STEP_QUANTILE	 0.95
+#define STEP_NEAR	 0.05 /* the near mark is this share below the bound, times latency_weight */
+#define STEP_SHRINK	 0.75
+#define STEP_GROW	 1
+#define STEP_GROW_BELOW	 0.9
+
+/* The peak of online arrivals is counted in time slices. */
+#define PEAK_SLICE_MS 100
+#define PEAK_DECAY    0.99 /* for each slice; halves the peak in about 7 s */
+
 #define RETRY_MIN_MS	 50
 #define RETRY_MAX_MS	 30000
-#define RETRY_UNKNOWN_MS 200
-#define ALONE_HOLD_MS	 2000
-#define ALONE_PAUSE_MS	 4000 /* from the end of one hold to the next */
-#define QUANTILE_STEP	 0.95
+#define RETRY_UNKNOWN_MS 200 /* closed, or there is no estimate */
+
+#define ALONE_PAUSE_MS 2000 /* how long other batch streams are paused for one that runs alone */
+#define ALONE_GAP_MS   4000 /* from the end of such a pause to the next */
 
-static void mean_add(double *mean, double value)
+static void update_mean(double *mean, double value)
 {
 	*mean = *mean == 0 ? value : *mean + MEAN_SHARE * (value - *mean);
 }
@@ -33,7 +43,8 @@
 	w->peak.slice_ends_ms = now_ms + PEAK_SLICE_MS;
 }
 
-static void roll_peak(owner_peak_t *p, int64_t now_ms)
+/** Lets the peak decay by the time slices that have passed. */
+static void decay_peak(owner_peak_t *p, int64_t now_ms)
 {
 	int64_t slices;
 
@@ -47,7 +58,7 @@
 
 void owner_capacity_arrival(owner_t *w, int64_t now_ms)
 {
-	roll_peak(&w->peak, now_ms);
+	decay_peak(&w->peak, now_ms);
 	w->peak.slice_arrivals++;
 	if (w->peak.slice_arrivals > w->peak.peak)
 		w->peak.peak = w->peak.slice_arrivals;
@@ -62,17 +73,17 @@
 void owner_capacity_ended(owner_t *w, const owner_run_t *r, int64_t now_ms)
 {
 	if (r->cancelling)
-		mean_add(&w->cancel_ms, (double)(now_ms - r->cancelled_ms));
+		update_mean(&w->cancel_ms, (double)(now_ms - r->cancelled_ms));
 	else
-		mean_add(&w->service_ms, (double)(now_ms - r->started_ms));
+		update_mean(&w->service_ms, (double)(now_ms - r->started_ms));
 }
 
 void owner_capacity_first_token(owner_t *w, const owner_run_t *r, int64_t now_ms)
 {
-	mean_add(&w->first_token_ms, (double)(now_ms - r->started_ms));
+	update_mean(&w->first_token_ms, (double)(now_ms - r->started_ms));
 }
 
-static int by_value(const void *a, const void *b)
+static int compare_int64(const void *a, const void *b)
 {
 	int64_t x = *(const int64_t *)a;
 	int64_t y = *(const int64_t *)b;
@@ -84,14 +95,15 @@
 {
 	unsigned n = s->samples < OWNER_STEP_SAMPLES ? s->samples : OWNER_STEP_SAMPLES;
 
-	qsort(s->sample_us, n, sizeof(*s->sample_us), by_value);
-	return s->sample_us[(unsigned)((n - 1) * QUANTILE_STEP)];
+	qsort(s->sample_us, n, sizeof(*s->sample_us), compare_int64);
+	return s->sample_us[(unsigned)((n - 1) * STEP_QUANTILE)];
 }
 
-static void follow_step(owner_t *w)
+/** Adjusts the limit on running batch streams to the last window's time between tokens. */
+static void adjust_batch_cap(owner_t *w)
 {
 	owner_step_t *s = &w->step;
-	double near =
+	double near_us =
 		(double)w->options.step_bound_us * (1 - STEP_NEAR * w->options.latency_weight);
 	unsigned batch = w->nrun - w->nonline;
 
@@ -101,9 +113,9 @@
 	}
 	if (s->p95_us >= w->options.step_bound_us)
 		s->batch_cap = fmin(s->batch_cap, batch) * STEP_SHRINK;
-	else if ((double)s->p95_us >= near)
+	else if ((double)s->p95_us >= near_us)
 		s->batch_cap = fmax(fmin(s->batch_cap, batch) - 1, 0);
-	else if ((double)s->p95_us < near * STEP_GROW_BELOW)
+	else if ((double)s->p95_us < near_us * STEP_GROW_BELOW)
 		s->batch_cap = fmin(s->batch_cap + STEP_GROW, w->options.slots);
 }
 
@@ -111,7 +123,7 @@
 {
 	owner_step_t *s = &w->step;
 
-	roll_peak(&w->peak, now_ms);
+	decay_peak(&w->peak, now_ms);
 	if (now_ms < s->window_ends_ms)
 		return;
 	s->window_ends_ms = now_ms + STEP_WINDOW_MS;
@@ -122,53 +134,55 @@
 	else
 		return;
 	s->samples = 0;
-	follow_step(w);
+	adjust_batch_cap(w);
 }
 
-/** Slots that free themselves soon because batch on them is, or will be, cancelled. */
-static unsigned giving_way(const owner_t *w)
+/** Slots whose batch stream is being cancelled, or would be preempted for an online stream. */
+static unsigned count_preemptible(const owner_t *w)
 {
 	if (w->options.preempt == OWNER_PREEMPT_NONE)
 		return w->ncancelling;
 	return w->nrun - w->nonline;
 }
 
-int64_t owner_capacity_wait_ms(const owner_t *w, unsigned place)
+int64_t owner_capacity_wait_ms(const owner_t *w, unsigned position)
 {
-	unsigned soon = giving_way(w);
+	unsigned preemptible = count_preemptible(w);
 	unsigned free = w->nrun < w->options.slots && !w->alone ? w->options.slots - w->nrun : 0;
-	unsigned others;
+	unsigned ends_needed;
 
-	if (w->alone && soon > 0)
-		soon = w->options.slots;
-	if (place < free)
+	/* The end of a stream that runs alone frees all slots. */
+	if (w->alone && preemptible > 0)
+		preemptible = w->options.slots;
+	if (position < free)
 		return 0;
-	if (place < free + soon || w->nrun == 0)
+	if (position < free + preemptible || w->nrun == 0)
 		return (int64_t)w->cancel_ms;
-	others = place - free - soon + 1;
-	return (int64_t)(others * w->service_ms / w->nrun);
+	ends_needed = position - free - preemptible + 1;
+	return (int64_t)(ends_needed * w->service_ms / w->nrun);
 }
 
-bool owner_capacity_meets_deadline(const owner_t *w, unsigned place, deadline_t deadline,
+bool owner_capacity_meets_deadline(const owner_t *w, unsigned position, deadline_t deadline,
 				   int64_t now_ms)
 {
-	int64_t need = owner_capacity_wait_ms(w, place) + (int64_t)w->first_token_ms;
+	int64_t need_ms = owner_capacity_wait_ms(w, position) + (int64_t)w->first_token_ms;
 
-	return deadline == DEADLINE_NEVER || now_ms + need <= deadline;
+	return deadline == DEADLINE_NEVER || now_ms + need_ms <= deadline;
 }
 
-int64_t owner_capacity_retry_ms(const owner_t *w, unsigned place)
+int64_t owner_capacity_retry_ms(const owner_t *w, unsigned position)
 {
-	int64_t wait = owner_capacity_wait_ms(w, place);
+	int64_t wait_ms = owner_capacity_wait_ms(w, position);
 
-	if (w->closed || wait == 0)
+	if (w->closed || wait_ms == 0)
 		return RETRY_UNKNOWN_MS;
-	if (wait < RETRY_MIN_MS)
+	if (wait_ms < RETRY_MIN_MS)
 		return RETRY_MIN_MS;
-	return wait > RETRY_MAX_MS ? RETRY_MAX_MS : wait;
+	return wait_ms > RETRY_MAX_MS ? RETRY_MAX_MS : wait_ms;
 }
 
-static unsigned kept_slots(const owner_t *w)
+/** Slots that batch streams leave free for online streams. */
+static unsigned count_reserved(const owner_t *w)
 {
 	unsigned peak;
 
@@ -194,23 +208,24 @@
 		return true;
 	}
 	if (!w->alone && now_ms >= w->next_pause_ms) {
-		w->batch_paused_until_ms = now_ms + ALONE_HOLD_MS;
-		w->next_pause_ms = w->batch_paused_until_ms + ALONE_PAUSE_MS;
+		w->batch_paused_until_ms = now_ms + ALONE_PAUSE_MS;
+		w->next_pause_ms = w->batch_paused_until_ms + ALONE_GAP_MS;
 	}
 	return false;
 }
 
 unsigned owner_capacity_batch(const owner_t *w, int64_t now_ms)
 {
-	unsigned used = w->nrun + kept_slots(w);
+	unsigned unavailable = w->nrun + count_reserved(w);
 	unsigned batch = w->nrun - w->nonline;
 	unsigned cap = (unsigned)w->step.batch_cap;
-	unsigned room;
+	unsigned free_slots;
 
 	if (now_ms < w->batch_paused_until_ms)
 		return 0;
-	if (w->closed || w->alone || w->nqueue > 0 || used >= w->options.slots || batch >= cap)
+	if (w->closed || w->alone || w->nqueue > 0 || unavailable >= w->options.slots ||
+	    batch >= cap)
 		return 0;
-	room = w->options.slots - used;
-	return room < cap - batch ? room : cap - batch;
+	free_slots = w->options.slots - unavailable;
+	return free_slots < cap - batch ? free_slots : cap - batch;
 }
--- a/src/policy/owner_queue.c
+++ b/src/policy/owner_queue.c
@@ -1,42 +1,45 @@
+/* Owner: queue of online streams, sorted by virtual deadline. */
 #include "policy/owner_internal.h"
 
 #include <assert.h>
 #include <string.h>
 #include "base/str.h"
 
-/* Each stream that a caller already has in the queue puts its next one this much later, so that
- * callers of near-equal deadlines take turns. */
-#define TURN_MS 50
+/* Spacing of the virtual deadlines of one caller's queued streams, so that callers with similar
+ * deadlines take turns. */
+#define CALLER_SPACING_MS 50
 
-static int64_t turn_of(const owner_t *w, const owner_stream_t *s)
+/* The stream's deadline, or CALLER_SPACING_MS after its caller's last queued stream if later. */
+static int64_t virtual_deadline_of(const owner_t *w, const owner_stream_t *s)
 {
-	int64_t turn = s->deadline;
+	int64_t virtual_deadline = s->deadline;
 
 	for (unsigned i = 0; i < w->nqueue; i++) {
 		const owner_waiter_t *q = &w->queue[i];
 
-		if (q->stream.caller == s->caller && q->virtual_deadline > turn - TURN_MS)
-			turn = q->virtual_deadline > DEADLINE_NEVER - TURN_MS
-				       ? DEADLINE_NEVER
-				       : q->virtual_deadline + TURN_MS;
+		if (q->stream.caller == s->caller &&
+		    q->virtual_deadline > virtual_deadline - CALLER_SPACING_MS)
+			virtual_deadline = q->virtual_deadline > DEADLINE_NEVER - CALLER_SPACING_MS
+						   ? DEADLINE_NEVER
+						   : q->virtual_deadline + CALLER_SPACING_MS;
 	}
-	return turn;
+	return virtual_deadline;
 }
 
-unsigned owner_queue_position(const owner_t *w, const owner_stream_t *s, int64_t *turn)
+unsigned owner_queue_position(const owner_t *w, const owner_stream_t *s, int64_t *virtual_deadline)
 {
 	unsigned at = w->nqueue;
 
-	*turn = turn_of(w, s);
-	while (at > 0 && w->queue[at - 1].virtual_deadline > *turn)
+	*virtual_deadline = virtual_deadline_of(w, s);
+	while (at > 0 && w->queue[at - 1].virtual_deadline > *virtual_deadline)
 		at--;
 	return at;
 }
 
 void owner_queue_insert(owner_t *w, const owner_stream_t *s)
 {
-	int64_t turn;
-	unsigned at = owner_queue_position(w, s, &turn);
+	int64_t virtual_deadline;
+	unsigned at = owner_queue_position(w, s, &virtual_deadline);
 
 	assert(w->nqueue < w->options.queue_max);
 	if (w->nqueue == w->queue_cap) {
@@ -44,7 +47,7 @@
 		w->queue = mem_grow(w->queue, w->queue_cap * sizeof(*w->queue));
 	}
 	memmove(&w->queue[at + 1], &w->queue[at], (w->nqueue - at) * sizeof(*w->queue));
-	w->queue[at] = (owner_waiter_t){*s, turn};
+	w->queue[at] = (owner_waiter_t){*s, virtual_deadline};
 	w->nqueue++;
 }
 
--- a/src/policy/retry.c
+++ b/src/policy/retry.c
@@ -1,14 +1,17 @@
+/* Retry budgets and circuit breakers. */
 #include "policy/retry.h"
 
 #include <assert.h>
 
-#define MILLI		      1000
-#define BUDGET_FLOOR_MILLI    (10 * MILLI) /* retries that a quiet service may always make */
+#define MILLI 1000 /* budgets are in thousandths of a retry */
+#define BUDGET_FLOOR_MILLI                                                                         \
+	(10 * MILLI) /* initial budget; lets a service with few requests retry                     \
+		      */
 #define BUDGET_MAX_MILLI      (100 * MILLI)
-#define BREAKER_FAILURES      3
-#define BREAKER_PAUSE_MS      250
+#define BREAKER_FAILURES      3 /* consecutive ones that open the breaker */
+#define BREAKER_PAUSE_MS      250 /* first pause */
 #define BREAKER_PAUSE_MAX_MS  8000
-#define BREAKER_PROBE_LOST_MS 10000 /* a probe without a result by then counts as lost */
+#define BREAKER_PROBE_LOST_MS 10000 /* without a result by then, another probe is allowed */
 
 void retry_budget_init(retry_budget_t *b, int percent)
 {
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -6,37 +6,42 @@
 #include <stdint.h>
 #include "base/status.h"
 
-/** Lets retries be at most a share of first tries, with a small floor. */
+/** Limits retries to a percentage of the first attempts, plus a small constant. */
 typedef struct {
 	int64_t tokens_milli;
 	int percent;
 } retry_budget_t;
 
 void retry_budget_init(retry_budget_t *b, int percent);
+/** Counts a first attempt, which adds to the budget. */
 void retry_budget_deposit(retry_budget_t *b);
-/** Takes one retry from the budget; false when it is used up. */
+/** Takes one retry from the budget; false if the budget is used up. */
 bool retry_budget_withdraw(retry_budget_t *b);
 
-/** May a request be tried again after an attempt that ended with this verdict? */
+/** True if a request may be retried after an attempt that ended with this verdict. repeatable: the
+ *  request may safely run more than once. */
 bool retry_allowed(verdict_t verdict, bool repeatable);
 
+/** In the half-open state, one probe request is under way. */
 typedef enum {
 	RETRY_BREAKER_CLOSED,
 	RETRY_BREAKER_OPEN,
 	RETRY_BREAKER_HALF_OPEN
 } retry_breaker_state_t;
 
-/** Opens after failures in a row; lets one probe through after a pause that doubles. */
+/** Opens after consecutive failures; then allows one probe after a pause, which doubles each time.
+ */
 typedef struct {
 	retry_breaker_state_t state;
-	int failures;
+	int failures; /* consecutive */
 	int64_t pause_ms;
-	int64_t probe_at_ms;
+	int64_t probe_at_ms; /* when the next probe is allowed */
 } retry_breaker_t;
 
 void retry_breaker_init(retry_breaker_t *b);
-/** True if a request may go there now; the half-open state lets one through. */
+/** True if a request may be sent now. Unless the breaker is closed, that request is the probe. */
 bool retry_breaker_allow(retry_breaker_t *b, int64_t now_ms);
+/** Records a success, which closes the breaker. */
 void retry_breaker_success(retry_breaker_t *b);
 void retry_breaker_failure(retry_breaker_t *b, int64_t now_ms);
 
--- a/src/policy/ring.c
+++ b/src/policy/ring.c
@@ -1,8 +1,9 @@
+/* Consistent hashing. */
 #include "policy/ring.h"
 
 #include <stdlib.h>
 
-static int compare(const void *x, const void *y)
+static int compare_points(const void *x, const void *y)
 {
 	const ring_point_t *a = x;
 	const ring_point_t *b = y;
@@ -15,11 +16,11 @@
 void ring_sort(ring_point_t *ring, size_t n)
 {
 	if (n > 0)
-		qsort(ring, n, sizeof(*ring), compare);
+		qsort(ring, n, sizeof(*ring), compare_points);
 }
 
-/* The first point that isn't before hash; n when there is none. */
-static size_t first_from(const ring_point_t *ring, size_t n, uint64_t hash)
+/* Binary search for the first point at or after hash; n if there is none. */
+static size_t find_first(const ring_point_t *ring, size_t n, uint64_t hash)
 {
 	size_t low = 0;
 	size_t high = n;
@@ -37,7 +38,7 @@
 
 size_t ring_successors(const ring_point_t *ring, size_t n, uint64_t hash, size_t *out, size_t max)
 {
-	size_t from = first_from(ring, n, hash);
+	size_t from = find_first(ring, n, hash);
 	size_t k;
 
 	for (k = 0; k < n && k < max; k++)
--- a/src/policy/ring.h
+++ b/src/policy/ring.h
@@ -1,7 +1,8 @@
 /**
- * Shares of a list that is too long to tell all of it to everybody: each of n members gets the ones
- * that follow it on a ring of hashes. One that comes or goes changes the shares of those before it
- * on the ring only, and each is in as many shares as any other.
+ * Consistent hashing: gives each reader of a long list a share of the list. Members of the list are
+ * points on a ring of hashes; a reader gets the points that follow its own hash. A member that
+ * joins or leaves changes only the shares of the readers just before it on the ring, and if the
+ * readers' hashes are the members' own, each member is in the same number of shares.
  *
  * Pure.
  */
@@ -13,13 +14,13 @@
 
 typedef struct {
 	uint64_t hash;
-	size_t index; /* place in the list */
+	size_t index; /* of the member in its list */
 } ring_point_t;
 
-/** Puts the points in the order of the ring. */
+/** Sorts the points into ring order. */
 void ring_sort(ring_point_t *ring, size_t n);
-/** Places in the list of up to max points, from the one with this hash, or the next, on; returns
- * how many. */
+/** Writes the list indexes of up to max points, beginning with the first one at or after this hash;
+ *  returns their number. */
 size_t ring_successors(const ring_point_t *ring, size_t n, uint64_t hash, size_t *out, size_t max);
 
 #endif
