--- a/src/front/front_attempt.c
+++ b/src/front/front_attempt.c
@@ -1,164 +1,168 @@
+/* One attempt to run a request or an item on a replica: sends it and passes the answer on by
+ * callbacks. Detects answers to other requests, silence, and malformed or endless answers. */
 #include <stdlib.h>
 #include "base/log.h"
 #include "base/metric.h"
 #include "front/front.h"
 
-/** A replica that takes no connection within this, in ms, isn't reached: handshakes take a few. */
+/** Connect timeout; handshakes take a few ms. */
 #define CONNECT_MS 250
-/** Bytes of one answer, with all that comes before it: several times the largest body that callers
- * may send. */
+/** Maximum size of one answer and everything received before it: several times the largest body
+ * that callers may send. */
 #define ANSWER_BYTES_MAX (16U << 20)
-/** Events in a row that don't get a stream on, before it counts as broken: more than the longest
- * streams have, which a replica may begin again from the start. */
-#define KNOWN_EVENTS_MAX 4096
+/** Maximum number of consecutive ignored events before the attempt counts as broken. A replica may
+ * repeat a stream from its start, so this is more than the longest streams have. */
+#define IGNORED_EVENTS_MAX 4096
 
 struct front_attempt {
-	front_attempt_options_t o;
+	front_attempt_options_t options;
 	http_call_t *call;
 	sse_parser_t sse;
-	timeout_t silence;
-	bool events;
-	unsigned known_events; /* since the last that got the stream on */
-	bool bad;
+	timeout_t silence_timer;
+	bool is_stream; /* the answer is a signed event stream */
+	unsigned ignored_events; /* since the last new one */
+	bool broken; /* found invalid; about to be ended by silence_timer */
 	char id[64];
 	char replica[64];
 };
 
-static void fx_free(front_attempt_t *x)
+static void attempt_free(front_attempt_t *a)
 {
-	timeout_stop(&x->silence);
-	sse_free(&x->sse);
-	free(x);
+	timeout_stop(&a->silence_timer);
+	sse_free(&a->sse);
+	free(a);
 }
 
-static void end(front_attempt_t *x, front_attempt_end_t how)
+static void end_attempt(front_attempt_t *a, front_attempt_end_t how)
 {
-	x->o.end(x->o.ctx, how);
-	fx_free(x);
+	a->options.end(a->options.ctx, how);
+	attempt_free(a);
 }
 
-static void arm(front_attempt_t *x, int64_t ms)
+static void restart_silence_timer(front_attempt_t *a, int64_t ms)
 {
 	if (ms > 0)
-		timeout_set(&x->silence, ms);
+		timeout_set(&a->silence_timer, ms);
 	else
-		timeout_stop(&x->silence);
+		timeout_stop(&a->silence_timer);
 }
 
 static void on_silence(void *ctx)
 {
-	front_attempt_t *x = ctx;
+	front_attempt_t *a = ctx;
 
-	http_call_cancel(x->call);
-	end(x, x->bad ? FRONT_ATTEMPT_BROKEN : FRONT_ATTEMPT_SILENT);
+	http_call_cancel(a->call);
+	end_attempt(a, a->broken ? FRONT_ATTEMPT_BROKEN : FRONT_ATTEMPT_SILENT);
 }
 
-/* A run that has gone wrong is ended from the loop, never from inside the parser. */
-static void break_off(front_attempt_t *x)
+/* Ends the attempt as broken, in the event loop's next turn: the parser that called must not find
+ * the attempt freed. */
+static void mark_broken(front_attempt_t *a)
 {
-	x->bad = true;
-	timeout_expire_now(&x->silence);
+	a->broken = true;
+	timeout_expire_now(&a->silence_timer);
 }
 
 static bool on_head(void *ctx, const http_head_t *h)
 {
-	front_attempt_t *x = ctx;
+	front_attempt_t *a = ctx;
 	platform_reply_t r;
 
 	platform_reply_decode(h, &r);
-	if (r.id.n > 0 && !str_eq(r.id, str_c(x->id)))
+	if (r.id.n > 0 && !str_eq(r.id, str_c(a->id)))
 		return false;
-	/* On a connection that was in use before it may be a late copy of an earlier answer. */
-	if (r.id.n == 0 && x->id[0] && http_call_reused_conn(x->call)) {
-		log_event(LOG_LEVEL_WARN, "answer_without_id", LOG_CSTR("request", x->id),
-			  LOG_CSTR("replica", x->replica), LOG_INT("status", r.status));
-		break_off(x);
+	/* On a reused connection, an answer without an id may be a late copy of an earlier one. */
+	if (r.id.n == 0 && a->id[0] && http_call_reused_conn(a->call)) {
+		log_event(LOG_LEVEL_WARN, "answer_without_id", LOG_CSTR("request", a->id),
+			  LOG_CSTR("replica", a->replica), LOG_INT("status", r.status));
+		mark_broken(a);
 		return false;
 	}
 	if (r.leaving && !r.other_replica)
-		front_replica_leaving(x->o.f, x->o.replica);
-	x->events = r.event_stream && r.status == 200 && r.has_signature;
-	x->o.head(x->o.ctx, h, &r);
+		front_replica_leaving(a->options.f, a->options.replica);
+	a->is_stream = r.event_stream && r.status == 200 && r.has_signature;
+	a->options.head(a->options.ctx, h, &r);
 	return true;
 }
 
 static bool on_event(void *ctx, const sse_event_t *e)
 {
-	front_attempt_t *x = ctx;
-	front_attempt_event_t is = x->o.event(x->o.ctx, e);
-
-	/* Only what gets the stream on puts its end for silence off. */
-	if (is == FRONT_EVENT_NEW)
-		arm(x, x->o.event_gap_ms);
-	x->known_events = is == FRONT_EVENT_NEW ? 0 : x->known_events + 1;
-	return is != FRONT_EVENT_INVALID && x->known_events <= KNOWN_EVENTS_MAX;
+	front_attempt_t *a = ctx;
+	front_attempt_event_t verdict = a->options.event(a->options.ctx, e);
+
+	/* Only new events restart the silence timeout. */
+	if (verdict == FRONT_EVENT_NEW)
+		restart_silence_timer(a, a->options.event_gap_ms);
+	a->ignored_events = verdict == FRONT_EVENT_NEW ? 0 : a->ignored_events + 1;
+	return verdict != FRONT_EVENT_INVALID && a->ignored_events <= IGNORED_EVENTS_MAX;
 }
 
 static void on_body(void *ctx, str_t piece)
 {
-	front_attempt_t *x = ctx;
-	bool sound;
+	front_attempt_t *a = ctx;
+	bool valid;
 
-	if (x->bad)
+	if (a->broken)
 		return;
-	if (x->events)
-		sound = sse_feed(&x->sse, piece, on_event, x);
+	if (a->is_stream)
+		valid = sse_feed(&a->sse, piece, on_event, a);
 	else
-		sound = x->o.bytes(x->o.ctx, piece);
-	if (!sound)
-		break_off(x);
+		valid = a->options.bytes(a->options.ctx, piece);
+	if (!valid)
+		mark_broken(a);
 }
 
 static void on_end(void *ctx, http_call_end_t how)
 {
-	front_attempt_t *x = ctx;
+	front_attempt_t *a = ctx;
 
-	timeout_stop(&x->silence);
-	if (x->bad) {
-		end(x, FRONT_ATTEMPT_BROKEN);
+	timeout_stop(&a->silence_timer);
+	if (a->broken) {
+		end_attempt(a, FRONT_ATTEMPT_BROKEN);
 		return;
 	}
 	if (how == HTTP_CALL_TOO_LONG) {
-		log_event(LOG_LEVEL_WARN, "answer_too_long", LOG_CSTR("request", x->id),
-			  LOG_CSTR("replica", x->replica), LOG_INT("most", ANSWER_BYTES_MAX));
+		log_event(LOG_LEVEL_WARN, "answer_too_long", LOG_CSTR("request", a->id),
+			  LOG_CSTR("replica", a->replica), LOG_INT("most", ANSWER_BYTES_MAX));
 		METRIC_INC("auburn_answers_too_long_total");
 	}
-	if (how == HTTP_CALL_DONE && x->sse.pending.n > 0 &&
-	    !x->o.bytes(x->o.ctx, str_buf(&x->sse.pending)))
+	if (how == HTTP_CALL_DONE && a->sse.pending.n > 0 &&
+	    !a->options.bytes(a->options.ctx, str_buf(&a->sse.pending)))
 		how = HTTP_CALL_MALFORMED;
 	if (how == HTTP_CALL_DONE)
-		end(x, FRONT_ATTEMPT_DONE);
+		end_attempt(a, FRONT_ATTEMPT_DONE);
 	else
-		end(x, how == HTTP_CALL_UNSENT ? FRONT_ATTEMPT_UNSENT : FRONT_ATTEMPT_BROKEN);
+		end_attempt(a,
+			    how == HTTP_CALL_UNSENT ? FRONT_ATTEMPT_UNSENT : FRONT_ATTEMPT_BROKEN);
 }
 
 front_attempt_t *front_attempt_start(const front_attempt_options_t *o)
 {
-	front_attempt_t *x = mem_new(sizeof(*x));
-
-	x->o = *o;
-	snprintf(x->id, sizeof(x->id), "%.*s", STR_ARG(o->id));
-	snprintf(x->replica, sizeof(x->replica), "%.*s", STR_ARG(o->replica.id));
-	x->o.replica.id = str_c(x->replica);
-	timeout_init(&x->silence, o->f->loop, on_silence, x);
-	x->call =
+	front_attempt_t *a = mem_new(sizeof(*a));
+
+	a->options = *o;
+	snprintf(a->id, sizeof(a->id), "%.*s", STR_ARG(o->id));
+	snprintf(a->replica, sizeof(a->replica), "%.*s", STR_ARG(o->replica.id));
+	a->options.replica.id = str_c(a->replica);
+	timeout_init(&a->silence_timer, o->f->loop, on_silence, a);
+	a->call =
 		http_call_start(o->f->http, &(http_call_options_t){
 						    .request = o->request,
 						    .addr = o->addr,
 						    .new_conn = o->new_connection,
 						    .max_bytes = ANSWER_BYTES_MAX,
 						    .connect_deadline = clock_now_ms() + CONNECT_MS,
-						    .ctx = x,
+						    .ctx = a,
 						    .head = on_head,
 						    .body = on_body,
 						    .end = on_end,
 					    });
-	arm(x, o->first_event_ms);
-	return x;
+	restart_silence_timer(a, o->first_event_ms);
+	return a;
 }
 
-void front_attempt_cancel(front_attempt_t *x)
+void front_attempt_cancel(front_attempt_t *a)
 {
-	http_call_cancel(x->call);
-	fx_free(x);
+	http_call_cancel(a->call);
+	attempt_free(a);
 }
--- a/src/front/front_link.c
+++ b/src/front/front_link.c
@@ -1,16 +1,17 @@
-/* The link to the leader: what it tells of replicas and items. */
+/* The link to the leader: handles the leader's messages; does without a leader while it is down. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
 #include "base/metric.h"
 #include "front/front.h"
 
-/** Without a leader for this long, in ms, this process reads the list of replicas itself, on a
- * period of LIST_MS, which bounds what all entries together ask of the platform. */
-#define LIST_AFTER_MS 1500
-#define LIST_MS	      2000
-/** Items are stopped after this long without a leader, in ms: before it runs them elsewhere. */
-#define ITEMS_MS (DISPATCH_ADOPT_MS - 400)
+/** After this long without a leader, this process reads the replica list itself. The period limits
+ * the load that all entries together put on the platform. */
+#define LIST_AFTER_MS  1500
+#define LIST_PERIOD_MS 2000
+/** After this long without a leader, items are stopped: before a new leader runs them elsewhere. */
+#define STOP_ITEMS_AFTER_MS (DISPATCH_ADOPT_MS - 400)
+/** Maximum number of runs that the hello to a leader reports. */
 #define RUNS_MAX 4096
 
 const front_replica_t *front_find_replica(const front_t *f, str_t id)
@@ -32,17 +33,18 @@
 	METRIC_INC("auburn_replicas_leaving_total");
 	m.link_msg_t_u.leaving_replica = (link_leaving_t){wire_bytes(r.id), r.start_time};
 	leader_link_send(f->leader, &m);
-	if (f->local)
-		dispatch_replica_leaving(f->local, r.id);
+	if (f->local_dispatch)
+		dispatch_replica_leaving(f->local_dispatch, r.id);
 }
 
+/* Rebuilds the hash of replicas from the view. */
 static void index_replicas(front_t *f)
 {
 	front_replica_t *r;
 	front_replica_t *next;
 
 	HASH_ITER (hh, f->replicas, r, next) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
 		HASH_DEL(f->replicas, r);
 		free(r->id);
 		free(r->addr);
@@ -57,14 +59,14 @@
 		r->id = str_dup(wire_str(u->id));
 		r->addr = str_dup(wire_str(u->addr));
 		r->start_time = u->start_time;
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlinked before free() */
 		HASH_ADD_KEYPTR(hh, f->replicas, r->id, strlen(r->id), r);
 	}
 	front_slot_set_replicas(f);
 }
 
-/* Of the two lists, takes over the one that the message has. */
-static void take_view(front_t *f, const link_view_t *m)
+/* Takes over the lists that the message has; the other lists stay as they are. */
+static void update_view(front_t *f, const link_view_t *m)
 {
 	link_view_t got;
 	link_view_t old = f->view;
@@ -90,35 +92,35 @@
 static void on_message(void *ctx, const link_msg_t *m)
 {
 	front_t *f = ctx;
-	front_request_t *o;
+	front_request_t *q;
 
 	switch (m->kind) {
 	case LINK_CONFIG:
 		front_routes_update(f, &m->link_msg_t_u.conf);
 		break;
 	case LINK_VIEW:
-		take_view(f, &m->link_msg_t_u.view);
+		update_view(f, &m->link_msg_t_u.view);
 		break;
 	case LINK_GRANT:
-		o = front_request_find(f, m->link_msg_t_u.grant.request);
-		if (o && front_request_is_waiting(o)) {
+		q = front_request_find(f, m->link_msg_t_u.grant.request);
+		if (q && front_request_is_waiting(q)) {
 			leaving_replica_t r = {wire_str(m->link_msg_t_u.grant.replica),
 					       m->link_msg_t_u.grant.start_time};
 
-			front_request_granted(o, r, wire_str(m->link_msg_t_u.grant.addr));
-		} else if (!o) {
+			front_request_granted(q, r, wire_str(m->link_msg_t_u.grant.addr));
+		} else if (!q) {
 			link_msg_t end = {.kind = LINK_ENDED};
 
-			/* Its caller left while the grant was on its way. */
+			/* The caller left while the grant was in transit: releases the slot. */
 			end.link_msg_t_u.ended.request = m->link_msg_t_u.grant.request;
 			end.link_msg_t_u.ended.outcome = LINK_OUTCOME_CANCELLED;
 			leader_link_send(f->leader, &end);
 		}
 		break;
 	case LINK_REFUSE:
-		o = front_request_find(f, m->link_msg_t_u.refuse.request);
-		if (o && front_request_is_waiting(o))
-			front_request_refused(o, m->link_msg_t_u.refuse.retry_ms);
+		q = front_request_find(f, m->link_msg_t_u.refuse.request);
+		if (q && front_request_is_waiting(q))
+			front_request_refused(q, m->link_msg_t_u.refuse.retry_ms);
 		break;
 	case LINK_ITEM_RUN:
 		front_item_run(f, &m->link_msg_t_u.run);
@@ -144,19 +146,21 @@
 	front_slot_leader_down(ctx);
 }
 
+/* Fills the hello that opens a link: this entry, its running requests and items, its config, and
+ * the leaving replicas. */
 static void fill_hello(void *ctx, link_hello_t *out)
 {
 	static link_run_t runs[RUNS_MAX];
 	static link_leaving_t leaving_replicas[LEAVING_MAX];
-	leaving_replica_t known[LEAVING_MAX];
+	leaving_replica_t leaving[LEAVING_MAX];
 	front_t *f = ctx;
 	size_t n = 0;
-	size_t nleavers = leaving_list(f->leaving_replicas, known, LEAVING_MAX);
+	size_t nleaving = leaving_list(f->leaving_replicas, leaving, LEAVING_MAX);
 
-	for (front_request_t *o = f->requests; o && n < RUNS_MAX; o = o->hh.next) {
-		if (!front_request_is_waiting(o))
-			runs[n++] = (link_run_t){.request = o->number,
-						 .replica = wire_bytes(str_c(o->replica))};
+	for (front_request_t *q = f->requests; q && n < RUNS_MAX; q = q->hh.next) {
+		if (!front_request_is_waiting(q))
+			runs[n++] = (link_run_t){.request = q->number,
+						 .replica = wire_bytes(str_c(q->replica))};
 	}
 	n += front_item_runs(f, runs + n, RUNS_MAX - n);
 	*out = (link_hello_t){
@@ -168,19 +172,20 @@
 	};
 	out->runs.runs_len = (u_int)n;
 	out->runs.runs_val = runs;
-	for (size_t i = 0; i < nleavers; i++)
+	for (size_t i = 0; i < nleaving; i++)
 		leaving_replicas[i] =
-			(link_leaving_t){wire_bytes(known[i].id), known[i].start_time};
-	out->leaving_replicas.leaving_replicas_len = (u_int)nleavers;
+			(link_leaving_t){wire_bytes(leaving[i].id), leaving[i].start_time};
+	out->leaving_replicas.leaving_replicas_len = (u_int)nleaving;
 	out->leaving_replicas.leaving_replicas_val = leaving_replicas;
 }
 
+/* The replica list was read by this process itself; ignored if a leader connected meanwhile. */
 static void on_list(void *ctx, link_view_t *v)
 {
 	front_t *f = ctx;
 	link_view_t old = {.upstreams = f->view.upstreams};
 
-	if (!f->local)
+	if (!f->local_dispatch)
 		return;
 	f->view.upstreams = v->upstreams;
 	v->upstreams = old.upstreams;
@@ -191,14 +196,14 @@
 {
 	deadline_t since = leader_link_down_since(f->leader);
 
-	if (!f->local)
+	if (!f->local_dispatch)
 		return;
-	dispatch_tick(f->local, now);
-	if (now - since > ITEMS_MS)
+	dispatch_tick(f->local_dispatch, now);
+	if (now - since > STOP_ITEMS_AFTER_MS)
 		front_item_stop_all(f);
 	if (!f->upstream_list || now - since < LIST_AFTER_MS || now < f->next_list_read)
 		return;
-	f->next_list_read = now + LIST_MS;
+	f->next_list_read = now + LIST_PERIOD_MS;
 	upstream_list_read(f->upstream_list);
 }
 
--- a/src/front/front_lot.c
+++ b/src/front/front_lot.c
@@ -1,23 +1,25 @@
-/* Calls on lots, which the leader answers. */
+/* Calls that open, read and end batch lots: forwarded to the leader, which answers them. */
 #include <stdlib.h>
 #include "base/log.h"
 #include "front/front.h"
 
-/** The leader's answer is given up after this, in ms: its commit has failed by then. */
-#define CALL_MS 2500
-/** A read that isn't to wait for results has its answer by then, in ms. */
-#define READ_MS 1200
-/** When a refused lot may come again, in ms: a leader is found by then; one that found no room has
- * seen some items finished. */
-#define RETRY_MS       300
-#define RETRY_QUOTA_MS 1000
+/** Timeout of calls that open or end a lot: the leader's commit has failed by then. */
+#define CALL_TIMEOUT_MS 2500
+/** Timeout of reads, in addition to the time that the caller is willing to wait for results. */
+#define READ_TIMEOUT_MS 1200
+/** Retry-After while there is no leader: one is usually found by then. */
+#define RETRY_NO_LEADER_MS 300
+/** Retry-After when a lot exceeds the quota or the memory for lots: by then some items have
+ * finished.
+ */
+#define RETRY_LIMIT_MS 1000
 
 typedef struct {
 	front_conn_data_t data;
 	front_t *f;
 	http_conn_t *conn; /* NULL once the caller has left */
 	link_call_kind_t kind;
-	int64_t after;
+	int64_t after; /* position to read results from */
 	char id[64];
 } lot_call_t;
 
@@ -56,17 +58,18 @@
 {
 	switch (st) {
 	case STATUS_LIMIT:
-		reply_error(c, 429, RETRY_QUOTA_MS);
+		reply_error(c, 429, RETRY_LIMIT_MS);
 		return 429;
 	case STATUS_NOT_FOUND:
 		reply_error(c, 404, 0);
 		return 404;
 	case STATUS_UNAVAILABLE:
 	case STATUS_NOT_LEADER:
-		reply_error(c, 503, RETRY_MS);
+		reply_error(c, 503, RETRY_NO_LEADER_MS);
 		return 503;
 	default:
-		/* May have been done: a read or an end may be sent again without harm. */
+		/* The call may have been executed. Reading or ending a lot is idempotent, so the
+		 * caller may retry it (503); opening one is not (504). */
 		reply_error(c, c->kind == LINK_CALL_LOT_OPEN ? 504 : 503, 0);
 		return c->kind == LINK_CALL_LOT_OPEN ? 504 : 503;
 	}
@@ -82,7 +85,7 @@
 		http_conn_set_data(c->conn, NULL);
 		status = st == STATUS_OK ? reply_ok(c, r) : reply_failure(c, st);
 	}
-	/* Reads that succeed come many times a second. */
+	/* Successful reads are too frequent to be logged. */
 	if (c->kind == LINK_CALL_LOT_OPEN || c->kind == LINK_CALL_LOT_END || st != STATUS_OK)
 		log_event(LOG_LEVEL_INFO, "lot_call", LOG_CSTR("lot", c->id),
 			  LOG_CSTR("call", leader_link_call_name(c->kind)),
@@ -121,7 +124,7 @@
 	o->lot = wire_copy(call->id);
 	o->route = wire_copy(str_buf(&key));
 	o->host = wire_copy(call->host);
-	leader_link_call(f->leader, &what, clock_now_ms() + CALL_MS, on_reply,
+	leader_link_call(f->leader, &what, clock_now_ms() + CALL_TIMEOUT_MS, on_reply,
 			 call_new(f, conn, LINK_CALL_LOT_OPEN, call->id));
 	wire_free(XDR_PROC(wire_lot_open_t), o);
 }
@@ -129,7 +132,7 @@
 void front_lot_call(front_t *f, http_conn_t *conn, const platform_call_t *call)
 {
 	link_call_arg_t what = {0};
-	int64_t wait = READ_MS;
+	int64_t timeout_ms = READ_TIMEOUT_MS;
 	lot_call_t *c;
 
 	switch (call->kind) {
@@ -139,7 +142,7 @@
 		what.link_call_arg_t_u.read.after = (u_int)call->after;
 		what.link_call_arg_t_u.read.wait_ms =
 			call->timeout_ms > 0 ? (int)call->timeout_ms : 0;
-		wait += what.link_call_arg_t_u.read.wait_ms;
+		timeout_ms += what.link_call_arg_t_u.read.wait_ms;
 		break;
 	case PLATFORM_CALL_ITEM_BODY:
 		what.kind = LINK_CALL_ITEM_BODY;
@@ -149,10 +152,10 @@
 	default:
 		what.kind = LINK_CALL_LOT_END;
 		what.link_call_arg_t_u.job = wire_bytes(call->id);
-		wait = CALL_MS;
+		timeout_ms = CALL_TIMEOUT_MS;
 		break;
 	}
 	c = call_new(f, conn, what.kind, call->id);
 	c->after = call->after;
-	leader_link_call(f->leader, &what, clock_now_ms() + wait, on_reply, c);
+	leader_link_call(f->leader, &what, clock_now_ms() + timeout_ms, on_reply, c);
 }
--- a/src/front/front_settings.c
+++ b/src/front/front_settings.c
@@ -1,3 +1,4 @@
+/* Settings file of auburn-front. */
 #include <stdlib.h>
 #include "base/rpc.h"
 #include "front/front.h"
@@ -8,7 +9,8 @@
 #define GRACE_DEFAULT_S 8
 #define GRACE_MAX_S	3600
 
-static status_t check(const toml_doc_t *c, const char *key, const char *addr)
+/* Checks a setting that holds an ip:port; NULL: it is not set. */
+static status_t check_addr(const toml_doc_t *c, const char *key, const char *addr)
 {
 	return addr ? rpc_check_addr(c, key, addr) : STATUS_OK;
 }
@@ -37,17 +39,17 @@
 	if (st == STATUS_OK)
 		st = toml_read(c, toml_root(c), keys, NULL);
 	if (st == STATUS_OK)
-		st = check(c, "listen", s->listen);
+		st = check_addr(c, "listen", s->listen);
 	if (st == STATUS_OK)
-		st = check(c, "directory", s->directory);
+		st = check_addr(c, "directory", s->directory);
 	if (st == STATUS_OK)
-		st = check(c, "ready", s->ready);
+		st = check_addr(c, "ready", s->ready);
 	if (st == STATUS_OK)
-		st = check(c, "metrics", s->metrics);
+		st = check_addr(c, "metrics", s->metrics);
 	if (st == STATUS_OK)
-		st = check(c, "upstream_list", s->upstream_list);
+		st = check_addr(c, "upstream_list", s->upstream_list);
 	for (size_t i = 0; st == STATUS_OK && i < s->controls.n; i++)
-		st = check(c, "controls", s->controls.v[i]);
+		st = check_addr(c, "controls", s->controls.v[i]);
 	return st;
 }
 
--- a/src/front/main.c
+++ b/src/front/main.c
@@ -1,4 +1,5 @@
-/* auburn-front: starts the listeners and the loop, stops on a signal. */
+/* auburn-front: starts the listeners and the event loop, matches requests with routes, stops on a
+ * signal. */
 #include <signal.h>
 #include <sodium.h>
 #include <stdio.h>
@@ -10,19 +11,19 @@
 #include "front/front.h"
 
 #define TICK_MS 50
-/** Left of the grace time when the process ends by itself, in ms. */
+/** The process exits this long before the end of the grace time. */
 #define EXIT_MARGIN_MS 250
-/** A stopping process takes connections for this part of the grace time, by when callers have let
- * go of its address: they keep it 2 s, some three times as long. The rest is left for the last
- * streams.
- */
-#define ACCEPT_PERCENT	 76
-#define METRICS_BODY_MAX 1024
-/** Without a request for this long, in ms, behind its last accepted connection it ends: what was
- * sent before that has come. */
-#define QUIET_MS 100
-
-/** Before a text is known: what its limits usually are. */
+/** A stopping process accepts connections for this share of the grace time. By then callers no
+ * longer use its address: they cache it for 2 s, some for three times as long. The rest of the
+ * grace time is left for the last streams. */
+#define ACCEPT_PERCENT 76
+/** Maximum body size on the directory, readiness and metrics listeners. */
+#define SMALL_BODY_MAX 1024
+/** A stopping process exits after this long without a request since it stopped accepting: requests
+ * sent earlier have arrived by then. */
+#define IDLE_EXIT_MS 100
+
+/** Limits of callers' connections until the first config sets them: its usual values. */
 #define HEADER_BYTES 16384
 #define BODY_BYTES   (4U << 20)
 #define HEADER_MS    3000
@@ -67,7 +68,7 @@
 		front_held_add(f, c, r);
 }
 
-static void on_gone(void *ctx, http_conn_t *c)
+static void on_caller_gone(void *ctx, http_conn_t *c)
 {
 	front_conn_data_t *d = http_conn_data(c);
 
@@ -91,7 +92,7 @@
 		http_reply(c, 200, STR(""), STR("ready\n"));
 }
 
-static void on_look_up(void *ctx, http_conn_t *c, const http_request_t *r)
+static void on_directory(void *ctx, http_conn_t *c, const http_request_t *r)
 {
 	directory_answer(c, r, &((front_t *)ctx)->view);
 }
@@ -112,8 +113,8 @@
 	http_reply(c, 200, STR("Content-Type: text/plain; version=0.0.4\r\n"), str_buf(&b));
 }
 
-/* Callers use the address until the process is gone: what has connected by then is served. */
-static void stop_when_idle(front_t *f, deadline_t now)
+/* Callers may use the address until the process exits, so it serves all that have connected. */
+static void exit_when_idle(front_t *f, deadline_t now)
 {
 	if (now < f->accept_until)
 		return;
@@ -122,7 +123,7 @@
 		f->idle_since = now;
 	} else if (http_server_pending(f->callers)) {
 		f->idle_since = now;
-	} else if (now - f->idle_since >= QUIET_MS) {
+	} else if (now - f->idle_since >= IDLE_EXIT_MS) {
 		ev_break(f->loop, EVBREAK_ALL);
 	}
 }
@@ -137,7 +138,7 @@
 	front_item_report_progress(f, now);
 	if (!f->exit_by)
 		return;
-	stop_when_idle(f, now);
+	exit_when_idle(f, now);
 	if (now >= f->exit_by)
 		ev_break(loop, EVBREAK_ALL);
 }
@@ -159,7 +160,7 @@
 	front_item_stop_all(f);
 }
 
-/* Only the known control processes may change without a restart. */
+/* Only the list of control processes can be changed without a restart. */
 static void on_hup(struct ev_loop *loop, ev_signal *w, int events)
 {
 	front_t *f = w->data;
@@ -176,8 +177,9 @@
 	front_settings_free(&s);
 }
 
-static http_server_t *serve(front_t *f, const char *addr, size_t body_bytes,
-			    void (*request)(void *ctx, http_conn_t *c, const http_request_t *r))
+static http_server_t *start_listener(front_t *f, const char *addr, size_t body_bytes,
+				     void (*request)(void *ctx, http_conn_t *c,
+						     const http_request_t *r))
 {
 	return http_server_new(&(http_server_options_t){
 		.loop = f->loop,
@@ -185,22 +187,24 @@
 		.limits = {HEADER_BYTES, body_bytes, HEADER_MS, IDLE_MS},
 		.ctx = f,
 		.request = request,
-		.client_gone = on_gone,
+		.client_gone = on_caller_gone,
 	});
 }
 
-static bool listen_all(front_t *f)
+static bool start_listeners(front_t *f)
 {
 	const front_settings_t *s = &f->settings;
 
-	f->callers = serve(f, s->listen, BODY_BYTES, on_request);
+	f->callers = start_listener(f, s->listen, BODY_BYTES, on_request);
 	if (!f->callers)
 		return false;
-	if (s->directory && !(f->directory = serve(f, s->directory, METRICS_BODY_MAX, on_look_up)))
+	if (s->directory &&
+	    !(f->directory = start_listener(f, s->directory, SMALL_BODY_MAX, on_directory)))
 		return false;
-	if (s->ready && !(f->ready = serve(f, s->ready, METRICS_BODY_MAX, on_ready)))
+	if (s->ready && !(f->ready = start_listener(f, s->ready, SMALL_BODY_MAX, on_ready)))
 		return false;
-	return !s->metrics || (f->metrics = serve(f, s->metrics, METRICS_BODY_MAX, on_metrics));
+	return !s->metrics ||
+	       (f->metrics = start_listener(f, s->metrics, SMALL_BODY_MAX, on_metrics));
 }
 
 static void watch_signals(front_t *f)
@@ -236,7 +240,7 @@
 	f.started = clock_now_ms();
 	f.loop = ev_default_loop(EVFLAG_AUTO);
 	f.http = http_client_new(f.loop);
-	if (!listen_all(&f)) {
+	if (!start_listeners(&f)) {
 		fprintf(stderr, "auburn-front: %s\n", status_message());
 		return EXIT_LISTEN;
 	}
