--- a/src/policy/balance.h
+++ b/src/policy/balance.h
@@ -1,5 +1,5 @@
 /** Load balancing: chooses a replica for an online request by the load that the replicas' owners
- *  last reported. Pure. */
+ * last reported. Pure. */
 #ifndef AUBURN_BALANCE_H
 #define AUBURN_BALANCE_H
 
--- a/src/policy/dispatch.c
+++ b/src/policy/dispatch.c
@@ -12,12 +12,12 @@
 #define HOLD_WEIGHT 16
 #define ITEM_WEIGHT 32
 /** Back-off of a failed replica, doubled with each consecutive failure. Needed because a crashed
- *  replica stays on the replica list for some seconds. */
+ * replica stays on the replica list for some seconds. */
 #define SUSPECT_MS	    250
 #define SUSPECT_MAX_MS	    2000
 #define SUSPECT_MAX_DOUBLES 3
 /** After most replicas of a service were silent at the same time, silence is not counted as a
- *  failure for this long: about the time that a request holds its slot. */
+ * failure for this long: about the time that a request holds its slot. */
 #define IGNORE_SILENCE_MS 700
 /** Back-off of a replica that rejected a run as full: a few steps of its engine. */
 #define FULL_MS 40
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -98,10 +98,10 @@
 void dispatch_replica_leaving(dispatch_t *d, str_t replica);
 
 /** Adds an entry, or updates its zone and takes_items. Only an entry with takes_items set is given
- *  batch items. */
+ * batch items. */
 void dispatch_entry_add(dispatch_t *d, uint64_t entry, str_t zone, bool takes_items);
 /** Removes an entry and its requests. Its items stay assigned for DISPATCH_ADOPT_MS in case the
- *  entry reconnects; after that they are queued again. */
+ * entry reconnects; after that they are queued again. */
 void dispatch_entry_remove(dispatch_t *d, uint64_t entry, deadline_t now);
 
 /** Queues an online request; ends in the callback grant or refuse. */
@@ -127,8 +127,7 @@
 void dispatch_item_set_service(dispatch_t *d, dispatch_item_t *it, str_t service);
 bool dispatch_item_has_service(const dispatch_item_t *it);
 bool dispatch_item_is_waiting(const dispatch_item_t *it);
-/** Records that the item failed on this replica; its next run uses another replica if one is free.
- */
+/** Records that the item failed on this replica; its next run prefers another one. */
 void dispatch_item_avoid(dispatch_item_t *it, str_t replica);
 /** True if no connected entry runs the item, so dispatch_item_adopt may be called. */
 bool dispatch_item_is_adoptable(const dispatch_item_t *it, deadline_t now);
@@ -138,11 +137,11 @@
 /** Starts no items until this time, so that entries can first report the items they run. */
 void dispatch_hold_items(dispatch_t *d, deadline_t until);
 /** Assigns waiting requests and items to slots. Called periodically; most of the functions above
- *  also do so at once. */
+ * also do so at once. */
 void dispatch_tick(dispatch_t *d, deadline_t now);
 
 /** How long the items of a disconnected entry stay assigned to it, in ms. An entry that loses its
- *  dispatcher stops its items earlier than this, so that no item runs twice. */
+ * dispatcher stops its items earlier than this, so that no item runs twice. */
 #define DISPATCH_ADOPT_MS 1500
 
 typedef struct {
--- a/src/policy/dispatch_internal.h
+++ b/src/policy/dispatch_internal.h
@@ -81,11 +81,11 @@
 	void *data;
 	item_state_t state;
 	replica_t *replica; /* whose slot it holds, or NULL */
-	uint64_t entry; /* that runs it, or was told to stop it */
+	uint64_t entry; /* that runs the item, or has been asked to stop it */
 	deadline_t adopt_until; /* its entry disconnected: until then the item stays assigned, in
 				   case an entry reports that it runs the item; then it is queued
 				   again. 0 while the entry is connected */
-	deadline_t placed_at; /* when it got its slot, or when ran_ms was last updated */
+	deadline_t placed_at; /* start of its slot time, or the last update of ran_ms */
 	int64_t ran_ms; /* slot time so far; a later run resumes after its events */
 	dispatch_item_t *prev; /* in waiting_items, sorted by due time, or in running_items */
 	dispatch_item_t *next;
--- a/src/policy/dispatch_pick.c
+++ b/src/policy/dispatch_pick.c
@@ -5,9 +5,9 @@
 #include "policy/dispatch_internal.h"
 
 /** Costs by which replicas are ranked for a request. A replica with all slots in use costs
- *  COST_SCALE, a partly used one proportionally less. Another zone costs traffic between zones. A
- *  replica other than the one that last processed the prompt prefix must process the prefix again.
- *  Neither outweighs a full replica. */
+ * COST_SCALE, a partly used one proportionally less. Another zone costs traffic between zones. A
+ * replica other than the one that last processed the prompt prefix must process the prefix again.
+ * Neither outweighs a full replica. */
 #define COST_OTHER_ZONE	  2
 #define COST_OTHER_PREFIX 1
 #define COST_SCALE	  4
--- a/src/policy/dispatch_place.c
+++ b/src/policy/dispatch_place.c
@@ -11,23 +11,22 @@
 /** Retry-After when no replica accepts work: about the time until the replica list shows one. */
 #define RETRY_NO_REPLICA_MS 500
 /** Estimated time from the grant to a stream's first event: the engine processes the prompt in a
- *  few steps of some ms each. */
+ * few steps of some ms each. */
 #define FIRST_EVENT_MS 50
 /** An item preempted sooner than this after it got its slot has not made up for the cost of the
- *  start: processing its prompt and its earlier events again takes tens of ms. */
+ * start: processing its prompt and its earlier events again takes tens of ms. */
 #define EARLY_PREEMPT_MS 500
 /** In each period the reserve for online requests shrinks by one slot plus 1/RESERVE_DECAY_PART of
- *  itself, so that most of it is gone between two peaks 2 s apart, whatever the fleet's size. */
+ * itself, so that most of it is gone between two peaks 2 s apart, whatever the fleet's size. */
 #define RESERVE_DECAY_MS   250
 #define RESERVE_DECAY_PART 4
 /** The reserve is at most 1/RESERVE_MAX_PART of the slots, so that items can use most of the slots
- *  that online requests leave free. */
+ * that online requests leave free. */
 #define RESERVE_MAX_PART 4
 /** How long requests wait for the first replica list: a leader reads the list within tens of ms, an
- *  entry without a leader after 1.5 s. */
+ * entry without a leader after 1.5 s. */
 #define LIST_WAIT_MS 2000
-/** Minimum estimate of an item's remaining time, for items that already ran longer than the mean.
- */
+/** Minimum estimate of an item's remaining time, for items that have outlasted the mean. */
 #define REMAINING_MIN_MS 500
 
 static str_t entry_zone(dispatch_t *d, uint64_t entry)
@@ -38,8 +37,8 @@
 	return e ? str_c(e->zone) : (str_t){"", 0};
 }
 
-/* At the first use of a service in a pass: recomputes its per-pass fields and decays its reserve.
- */
+/* On the first use of a service in a pass, recomputes its per-pass fields and decays its reserve;
+ * returns the service. */
 static service_t *refresh_service(dispatch_t *d, service_t *s, deadline_t now)
 {
 	if (s->pass == d->pass)
@@ -161,8 +160,8 @@
 	s->reserve_decay_at = now + RESERVE_DECAY_MS;
 }
 
-/* Has an item stopped. Its slot counts as free from now on, even before the entry has stopped it.
- */
+/* Tells the entry to stop an item. The item's slot counts as free at once, not only when the entry
+ * has stopped it. */
 static void preempt_item(dispatch_t *d, dispatch_item_t *it, deadline_t now)
 {
 	grow_reserve(d, it, now);
--- a/src/policy/fanout.c
+++ b/src/policy/fanout.c
@@ -80,8 +80,7 @@
 	f->behind += is_behind(f, p);
 }
 
-/* The base of the delta for a peer that has this config; none if the peer needs the whole config.
- */
+/* The base of the delta for a peer with this config; none if the peer needs the whole config. */
 static fanout_config_id_t delta_base(const fanout_t *f, fanout_config_id_t config)
 {
 	for (size_t i = 0; i < FANOUT_BASES; i++) {
--- a/src/policy/fanout.h
+++ b/src/policy/fanout.h
@@ -20,13 +20,13 @@
 typedef struct fanout fanout_t;
 
 /** Number of earlier configs from which a delta is sent. An entry with an older config, or none, is
- *  sent the whole config. */
+ * sent the whole config. */
 #define FANOUT_BASES 8
 /** Limit of the bytes in flight: a link of 600 Mbit/s carries them in 55 ms, well below the silence
- *  timeout after which a leader is presumed lost. */
+ * timeout after which a leader is presumed lost. */
 #define FANOUT_IN_FLIGHT_BYTES (4U << 20)
 /** Bytes that an entry has not acknowledged after this time no longer count as in flight: the entry
- *  is frozen or about to be disconnected, and must not delay the others. */
+ * is frozen or about to be disconnected, and must not delay the others. */
 #define FANOUT_ACK_MS 500
 
 /** Identifies a config; number 0: none. */
@@ -40,7 +40,7 @@
 typedef struct {
 	void *ctx;
 	/** Sends the newest config, as a delta from base or, if base is none, whole. Returns the
-	 *  number of bytes. */
+	 * number of bytes. */
 	size_t (*send)(void *ctx, uint64_t peer, fanout_config_id_t base);
 	/** All peers have the newest config; ms: time since fanout_set_config. */
 	void (*converged)(void *ctx, fanout_config_id_t id, size_t peers, int64_t ms);
@@ -56,7 +56,7 @@
 /** Records the config that a peer acknowledged; it may differ from the one sent. */
 void fanout_peer_acked(fanout_t *f, uint64_t peer, fanout_config_id_t id, deadline_t now);
 /** Sends what may be sent. Called periodically; the functions above also do so, except for
- *  fanout_peer_remove. */
+ * fanout_peer_remove. */
 void fanout_tick(fanout_t *f, deadline_t now);
 
 typedef struct {
--- a/src/policy/leaving.h
+++ b/src/policy/leaving.h
@@ -17,7 +17,7 @@
 typedef struct leaving leaving_t;
 
 /** Maximum size of the set; beyond it the oldest announcement is dropped. Several times the number
- *  of replicas that leave before the list shows it. */
+ * of replicas that leave before the list shows it. */
 #define LEAVING_MAX 1024
 
 typedef struct {
@@ -30,10 +30,9 @@
 /** Adds a replica; false if the set already has it with this start time or a later one. */
 bool leaving_add(leaving_t *l, leaving_replica_t r);
 /** True if the replica is in the set. Removes the id if r has a later start time, because the
- *  replica was restarted. */
+ * replica was restarted. */
 bool leaving_check(leaving_t *l, leaving_replica_t r);
-/** Lists up to max replicas and returns their number. The ids are valid until the next call on l.
- */
+/** Lists up to max replicas, returns their number. The ids are valid until the next call on l. */
 size_t leaving_list(const leaving_t *l, leaving_replica_t *out, size_t max);
 
 #endif
--- a/src/policy/owner.c
+++ b/src/policy/owner.c
@@ -116,7 +116,7 @@
 }
 
 /** Preempts batch streams, the latest started first, until one is being cancelled for each queued
- *  stream or none is left. */
+ * stream or none is left. */
 static void preempt_for_queue(owner_t *w, int64_t now_ms)
 {
 	owner_run_t *r;
--- a/src/policy/owner.h
+++ b/src/policy/owner.h
@@ -18,10 +18,9 @@
 typedef enum { OWNER_ONLINE, OWNER_BATCH } owner_class_t;
 
 /** What happens to a batch stream when an online stream finds no slot: nothing; it is cancelled and
- *  later restarted; it is cancelled and later resumed. */
+ * later restarted; it is cancelled and later resumed. */
 typedef enum { OWNER_PREEMPT_NONE, OWNER_PREEMPT_CANCEL, OWNER_PREEMPT_RESUME } owner_preempt_t;
-/** Slots that batch must leave free: none, a fixed number, or the recent peak of online arrivals.
- */
+/** Slots that batch leaves free: none, a fixed number, or the recent peak of online arrivals. */
 typedef enum { OWNER_RESERVE_NONE, OWNER_RESERVE_FIXED, OWNER_RESERVE_PEAK } owner_reserve_t;
 
 typedef struct {
@@ -34,13 +33,12 @@
 	unsigned queue_max; /* maximum number of online streams that wait */
 	void *ctx;
 	/** Start stream id on the replica; may be called within owner_offer, before it returns
-	 *  OWNER_STARTED. */
+	 * OWNER_STARTED. */
 	void (*start)(void *ctx, uint64_t id);
-	/** Cancel batch stream id on the engine; its end must be reported with owner_stream_ended.
-	 */
+	/** Cancel batch stream id on the engine; owner_stream_ended must report its end. */
 	void (*cancel)(void *ctx, uint64_t id);
 	/** A queued stream is refused because it can't meet its deadline or the owner was closed;
-	 *  it has not run. */
+	 * it has not run. */
 	void (*refuse)(void *ctx, uint64_t id, int64_t retry_after_ms);
 } owner_options_t;
 
@@ -62,21 +60,21 @@
 void owner_update(owner_t *w, const owner_options_t *o);
 
 /** Offers a stream. After OWNER_REFUSED, *retry_after_ms estimates when a slot will be free. Only
- *  online streams are queued. */
+ * online streams are queued. */
 owner_answer_t owner_offer(owner_t *w, const owner_stream_t *s, int64_t now_ms,
 			   int64_t *retry_after_ms);
 /** Releases the slot of a running stream, whatever the reason for its end, and starts queued
- *  streams. Ignores an id that is not running. */
+ * streams. Ignores an id that is not running. */
 void owner_stream_ended(owner_t *w, uint64_t id, int64_t now_ms);
 /** Removes a queued stream whose caller left. */
 void owner_withdraw(owner_t *w, uint64_t id, int64_t now_ms);
 /** Records that a running stream produced a token. step_us: time since the stream's previous token,
- *  0 for its first. */
+ * 0 for its first. */
 void owner_record_token(owner_t *w, uint64_t id, int64_t step_us, int64_t now_ms);
 /** Refuses queued streams that can't meet their deadline; call every 10 to 50 ms. */
 void owner_tick(owner_t *w, int64_t now_ms);
 /** Accepts no new streams, because the replica leaves or the lease was lost: refuses the queued
- *  streams and cancels running batch streams if cancel_batch is set. */
+ * streams and cancels running batch streams if cancel_batch is set. */
 void owner_close(owner_t *w, bool cancel_batch, int64_t now_ms);
 
 /** Number of batch streams that could start now. */
--- a/src/policy/retry.c
+++ b/src/policy/retry.c
@@ -4,9 +4,8 @@
 #include <assert.h>
 
 #define MILLI 1000 /* budgets are in thousandths of a retry */
-#define BUDGET_FLOOR_MILLI                                                                         \
-	(10 * MILLI) /* initial budget; lets a service with few requests retry                     \
-		      */
+/* Initial budget, so that a service with few requests may retry. */
+#define BUDGET_FLOOR_MILLI    (10 * MILLI)
 #define BUDGET_MAX_MILLI      (100 * MILLI)
 #define BREAKER_FAILURES      3 /* consecutive ones that open the breaker */
 #define BREAKER_PAUSE_MS      250 /* first pause */
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -19,7 +19,7 @@
 bool retry_budget_withdraw(retry_budget_t *b);
 
 /** True if a request may be retried after an attempt that ended with this verdict. repeatable: the
- *  request may safely run more than once. */
+ * request may safely run more than once. */
 bool retry_allowed(verdict_t verdict, bool repeatable);
 
 /** In the half-open state, one probe request is under way. */
@@ -29,8 +29,7 @@
 	RETRY_BREAKER_HALF_OPEN
 } retry_breaker_state_t;
 
-/** Opens after consecutive failures; then allows one probe after a pause, which doubles each time.
- */
+/** Opens after consecutive failures, then allows a probe after a pause that doubles each time. */
 typedef struct {
 	retry_breaker_state_t state;
 	int failures; /* consecutive */
--- a/src/policy/ring.h
+++ b/src/policy/ring.h
@@ -20,7 +20,7 @@
 /** Sorts the points into ring order. */
 void ring_sort(ring_point_t *ring, size_t n);
 /** Writes the list indexes of up to max points, beginning with the first one at or after this hash;
- *  returns their number. */
+ * returns their number. */
 size_t ring_successors(const ring_point_t *ring, size_t n, uint64_t hash, size_t *out, size_t max);
 
 #endif
