--- a/src/front/front.h
+++ b/src/front/front.h
@@ -31,7 +31,7 @@
 	char *metrics; /* ip:port of /metrics; may be NULL */
 	char *upstream_list; /* ip:port of the replica list; may be NULL */
 	toml_strs_t controls; /* ip:port of the RPC of control processes */
-	int64_t rpc_port; /* RPC port of control processes for which `controls` has no port */
+	int64_t rpc_port; /* RPC port of all control processes; accepted but not used here */
 	int64_t link_port; /* port on which control processes accept links */
 	int64_t grace_s; /* maximum duration of a planned stop */
 } front_settings_t;
@@ -78,7 +78,7 @@
 	link_config_t pending_config; /* arrived while another was being decoded; owned */
 	link_view_t view; /* replicas, entries and control processes, from the leader */
 	front_replica_t *replicas; /* hash by id, from view */
-	leaving_t *leaving_replicas; /* that announced this to this process */
+	leaving_t *leaving_replicas; /* replicas whose announcement reached this process */
 	dispatch_t *local_dispatch; /* used while no leader is connected, NULL otherwise */
 	uint64_t last_request;
 	front_request_t *requests; /* hash by number */
@@ -125,8 +125,8 @@
 /** The request's or item's verdict on an event of the answer. */
 typedef enum {
 	FRONT_EVENT_NEW, /* the next event of the stream */
-	FRONT_EVENT_IGNORED, /* already received, or without an event id */
-	FRONT_EVENT_INVALID /* not part of this stream */
+	FRONT_EVENT_IGNORED, /* a repeated event or one without an id: no progress of the stream */
+	FRONT_EVENT_INVALID /* its id leaves a gap, or it can't be buffered for lack of memory */
 } front_attempt_event_t;
 
 typedef enum {
@@ -180,7 +180,7 @@
 	bool returning; /* the caller has already waited at another entry */
 	unsigned max_attempts;
 	unsigned priority;
-	int64_t event_gap_ms; /* maximum pause between events by the route */
+	int64_t pause_ms; /* maximum pause between events, from the route */
 	int64_t give_up_ms;
 	deadline_t objective;
 	deadline_t deadline;
@@ -190,7 +190,7 @@
 	platform_reply_t reply; /* its views are valid only while the head is handled */
 	bool head_sent; /* to the caller */
 	bool may_have_run; /* an attempt failed after the replica may have started the request */
-	bool first_seen;
+	bool first_seen; /* unused */
 	unsigned attempts; /* that may have run on a replica, including the current one */
 	unsigned not_run; /* attempts that a replica rejected or did not receive */
 	long long last_event; /* id of the last event sent to the caller */
--- a/src/front/front_attempt.c
+++ b/src/front/front_attempt.c
@@ -71,7 +71,8 @@
 	platform_reply_decode(h, &r);
 	if (r.id.n > 0 && !str_eq(r.id, str_c(a->id)))
 		return false;
-	/* On a reused connection, an answer without an id may be a late copy of an earlier one. */
+	/* On a reused connection, an answer without an id may be a repeated answer to an earlier
+	 * request. */
 	if (r.id.n == 0 && a->id[0] && http_call_reused_conn(a->call)) {
 		log_event(LOG_LEVEL_WARN, "answer_without_id", LOG_CSTR("request", a->id),
 			  LOG_CSTR("replica", a->replica), LOG_INT("status", r.status));
--- a/src/front/front_lot.c
+++ b/src/front/front_lot.c
@@ -16,7 +16,7 @@
 
 typedef struct {
 	front_conn_data_t data;
-	front_t *f;
+	front_t *f; /* unused */
 	http_conn_t *conn; /* NULL once the caller has left */
 	link_call_kind_t kind;
 	int64_t after; /* position to read results from */
--- a/src/front/front_request.c
+++ b/src/front/front_request.c
@@ -6,8 +6,8 @@
 #include "base/metric.h"
 #include "front/front.h"
 
-/** Maximum number of attempts that replicas did not run (rejected or unreachable) before the
- * request is refused; each costs a round trip. */
+/** Number of attempts that no replica ran (rejected or unreachable) after which the request fails;
+ * each costs a round trip. */
 #define NOT_RUN_MAX 4
 /** Silence timeout of the first event, as a share of the objective; the rest of the objective is
  * left for a second replica. */
@@ -321,7 +321,7 @@
 
 void front_request_granted(front_request_t *q, leaving_replica_t replica, str_t addr)
 {
-	AUTO_FREE char *to = str_dup(addr);
+	AUTO_FREE char *addr_cstr = str_dup(addr);
 	AUTO_BUF req = {0};
 	int64_t objective_ms = q->objective - q->req.received;
 	platform_send_t s = {replica.id, clock_left_ms(q->deadline), q->last_event};
@@ -341,10 +341,10 @@
 		.request = str_buf(&req),
 		.id = q->call.id,
 		.replica = replica,
-		.addr = to,
+		.addr = addr_cstr,
 		.new_connection = !is_repeatable(q),
 		.first_event_ms = may_retry(q) ? objective_ms * FIRST_PERCENT / 100 : 0,
-		.event_gap_ms = may_retry(q) ? q->event_gap_ms * PAUSE_PERCENT / 100 : 0,
+		.event_gap_ms = may_retry(q) ? q->pause_ms * PAUSE_PERCENT / 100 : 0,
 		.ctx = q,
 		.head = on_head,
 		.event = on_event,
@@ -404,7 +404,7 @@
 	q->resumable = route->resumable;
 	q->max_attempts = (unsigned)route->attempts;
 	q->priority = (unsigned)route->priority;
-	q->event_gap_ms = route->pause_ms;
+	q->pause_ms = route->pause_ms;
 	q->give_up_ms = route->give_up_ms;
 	q->returning = caller_timeout_ms < route->timeout_ms * RETURNING_PERCENT / 100;
 	q->objective = r->received + route->objective_ms;
--- a/src/policy/bucket.h
+++ b/src/policy/bucket.h
@@ -22,7 +22,7 @@
 void bucket_map_free(bucket_map_t *m);
 /** Returns the caller's bucket, adding it if needed. */
 bucket_t *bucket_map_get(bucket_map_t *m, uint64_t caller, int64_t now_ms);
-/** Memory used by the map. */
+/** Memory used by the map, in bytes; for tests. */
 size_t bucket_map_bytes(const bucket_map_t *m);
 
 #endif
--- a/src/policy/dispatch.c
+++ b/src/policy/dispatch.c
@@ -19,7 +19,7 @@
 /** After most replicas of a service were silent at the same time, silence is not counted as a
  * failure for this long: about the time that a request holds its slot. */
 #define IGNORE_SILENCE_MS 700
-/** Back-off of a replica that rejected a run as full: a few steps of its engine. */
+/** Back-off of a replica that rejected a run as full: a few token steps of its engine. */
 #define FULL_MS 40
 
 const char *dispatch_outcome_name(dispatch_outcome_t how)
@@ -51,7 +51,7 @@
 	dispatch_t *d = mem_new(sizeof(*d));
 
 	d->cb = *cb;
-	d->random = random_seed | 1;
+	d->random = random_seed | 1; /* prng_next() needs a state other than 0 */
 	return d;
 }
 
@@ -346,7 +346,9 @@
 	return suspects * 2 > all && all > 1;
 }
 
-static void ignore_silence(dispatch_t *d, const service_t *s, deadline_t now)
+/* Clears the failures and the back-off of all replicas of the service, whatever their cause, and
+ * ignores silence for a while. */
+static void reset_service_health(dispatch_t *d, const service_t *s, deadline_t now)
 {
 	for (replica_t *r = d->replicas; r; r = r->hh.next) {
 		if (r->service != s)
@@ -380,7 +382,7 @@
 		if (now < r->ignore_silence_until)
 			return;
 		if (now >= r->suspect_until && most_replicas_silent(d, r, now)) {
-			ignore_silence(d, r->service, now);
+			reset_service_health(d, r->service, now);
 			return;
 		}
 		break;
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -7,11 +7,12 @@
  * online requests arrive in peaks of several seconds at up to twice their mean rate, and batch
  * items use the remaining slots.
  *
- * An online request that finds no free slot preempts the batch item with the latest due time. The
- * preempted item resumes on another replica after the events it has already produced. An online
- * request waits only when online requests alone need more slots than there are, and is refused with
- * a retry time if waiting would not help. During a peak, freed slots are reserved for online
- * requests, because an item started in one would be preempted within milliseconds.
+ * An online request that finds no free slot preempts a batch item, preferably one that can still
+ * finish by its due time. The preempted item resumes on another replica after the events it has
+ * already produced. An online request waits only when online requests alone need more slots than
+ * there are, and is refused with a retry time if waiting would not help. During a peak, freed slots
+ * are reserved for online requests, because an item started in one would be preempted within
+ * milliseconds.
  *
  * Pure: time is an argument, effects are callbacks. Not thread-safe.
  */
@@ -42,7 +43,7 @@
 typedef enum {
 	DISPATCH_NO_REPLICA_LIST, /* no replica list has arrived */
 	DISPATCH_PAST_DEADLINE, /* the request could not complete by its deadline */
-	DISPATCH_CALLER_GIVES_UP, /* the caller would give up before the first event */
+	DISPATCH_CALLER_GIVES_UP, /* the caller would give up before the next event */
 	DISPATCH_PAST_OBJECTIVE /* a new request whose first event would miss its objective */
 } dispatch_refusal_t;
 
@@ -79,7 +80,7 @@
 	unsigned priority; /* 0 is the highest */
 	bool resumed; /* the caller is already reading the stream; goes before all others */
 	bool returning; /* the caller has already waited at another entry and is past its objective;
-			   refused only if its deadline or give-up time can't be met */
+			   never refused for a missed objective */
 	deadline_t objective; /* when the first byte is due */
 	deadline_t deadline; /* end of the caller's total timeout */
 	deadline_t give_up_at; /* when the caller leaves unless it gets another event first */
@@ -104,7 +105,7 @@
  * entry reconnects; after that they are queued again. */
 void dispatch_entry_remove(dispatch_t *d, uint64_t entry, deadline_t now);
 
-/** Queues an online request; ends in the callback grant or refuse. */
+/** Queues an online request. The callback grant or refuse follows, maybe before the return. */
 void dispatch_request_add(dispatch_t *d, const dispatch_request_t *req, deadline_t now);
 /** Removes a waiting request whose caller left. */
 void dispatch_request_withdraw(dispatch_t *d, uint64_t entry, uint64_t request);
@@ -136,8 +137,9 @@
 
 /** Starts no items until this time, so that entries can first report the items they run. */
 void dispatch_hold_items(dispatch_t *d, deadline_t until);
-/** Assigns waiting requests and items to slots. Called periodically; most of the functions above
- * also do so at once. */
+/** Assigns waiting requests and items to slots. To be called periodically and after
+ * dispatch_item_add. These functions also do so themselves: dispatch_set_replicas, _entry_remove,
+ * _request_add, _request_ended, _item_adopt, _item_requeue and _item_remove. */
 void dispatch_tick(dispatch_t *d, deadline_t now);
 
 /** How long the items of a disconnected entry stay assigned to it, in ms. An entry that loses its
@@ -145,7 +147,7 @@
 #define DISPATCH_ADOPT_MS 1500
 
 typedef struct {
-	unsigned replicas; /* that accept new work */
+	unsigned replicas; /* listed and not leaving */
 	unsigned slots; /* of these replicas */
 	unsigned online; /* running online requests */
 	unsigned items; /* running batch items */
--- a/src/policy/dispatch_internal.h
+++ b/src/policy/dispatch_internal.h
@@ -91,7 +91,7 @@
 	dispatch_item_t *next;
 };
 
-/** The replica that last processed a prompt prefix and so may have it cached. */
+/** The replica that was last granted a prompt with this prefix and so may have it cached. */
 typedef struct {
 	uint64_t prefix;
 	replica_t *replica;
@@ -133,13 +133,16 @@
 					   deadline_t now);
 /** Picks the entry that runs an item on this replica, or NULL. */
 entry_t *dispatch_pick_entry(dispatch_t *d, const replica_t *r);
-/** Records that the replica has processed this prompt prefix. */
+/** Records that a prompt with this prefix was granted to the replica. */
 void dispatch_prefix_record(dispatch_t *d, uint64_t prefix, replica_t *r);
 /** Drops the recorded prefixes of a replica, or of all replicas if r is NULL. */
 void dispatch_prefix_forget(dispatch_t *d, const replica_t *r);
-/** Counts all slots, used or free, of the service's usable replicas. */
+/** Counts all slots, used or free, of the service's usable replicas. A replica whose last runs
+ * failed counts as one slot. */
 unsigned dispatch_count_slots(const dispatch_t *d, const service_t *s, deadline_t now);
 unsigned dispatch_count_free_slots(const dispatch_t *d, const service_t *s, deadline_t now);
+/** True if the item could wait out a peak of online requests and still finish by its due time. */
+bool dispatch_item_has_slack(const dispatch_item_t *it, deadline_t now);
 
 /* dispatch_place.c */
 
@@ -155,8 +158,6 @@
 int64_t dispatch_item_remaining_ms(const dispatch_item_t *it, deadline_t now);
 /** True if the item, run from now on, is expected to finish by its due time. */
 bool dispatch_item_meets_due(const dispatch_item_t *it, deadline_t now);
-/** True if the item could wait out a peak of online requests and still finish by its due time. */
-bool dispatch_item_has_slack(const dispatch_item_t *it, deadline_t now);
 void dispatch_waiter_free(dispatch_t *d, waiter_t *q);
 
 #endif
--- a/src/policy/dispatch_pick.c
+++ b/src/policy/dispatch_pick.c
@@ -6,7 +6,7 @@
 
 /** Costs by which replicas are ranked for a request. A replica with all slots in use costs
  * COST_SCALE, a partly used one proportionally less. Another zone costs traffic between zones. A
- * replica other than the one that last processed the prompt prefix must process the prefix again.
+ * replica other than the one that was last granted the prompt prefix must process the prefix again.
  * Neither outweighs a full replica. */
 #define COST_OTHER_ZONE	  2
 #define COST_OTHER_PREFIX 1
@@ -42,7 +42,7 @@
 	return false;
 }
 
-/* The replica that last processed this prompt prefix, or NULL. */
+/* The replica that was last granted a prompt with this prefix, or NULL. */
 static replica_t *find_prefix_holder(const dispatch_t *d, uint64_t prefix)
 {
 	prefix_t *p = NULL;
--- a/src/policy/dispatch_place.c
+++ b/src/policy/dispatch_place.c
@@ -208,9 +208,9 @@
 
 /* Decides about a request that found no slot: true if it goes on waiting, false if it was refused.
  * wait_ms estimates its time to a slot from the mean hold time, as if all slots served only the
- * requests ahead of it. A request is refused if it can't be answered before its deadline or before
- * its caller gives up, and a new one also if it would miss its objective; the refusal says when to
- * retry. */
+ * requests ahead of it. A request is refused if the first replica list does not arrive in time,
+ * if it can't be answered before its deadline or before its caller gives up, and a new one also if
+ * it would miss its objective. The refusal says when to retry. */
 static bool wait_or_refuse(dispatch_t *d, waiter_t *q, request_rank_t rank, const service_t *s,
 			   deadline_t now)
 {
--- a/src/policy/fanout.c
+++ b/src/policy/fanout.c
@@ -127,14 +127,14 @@
 	f->cb.converged(f->cb.ctx, f->newest, HASH_COUNT(f->peers), now - f->newest_since);
 }
 
-void fanout_set_config(fanout_t *f, fanout_config_id_t id, deadline_t now)
+void fanout_set_config(fanout_t *f, fanout_config_id_t config, deadline_t now)
 {
-	if (fanout_config_id_eq(f->newest, id))
+	if (fanout_config_id_eq(f->newest, config))
 		return;
 	for (size_t i = FANOUT_BASES - 1; i > 0; i--)
 		f->bases[i] = f->bases[i - 1];
 	f->bases[0] = f->newest;
-	f->newest = id;
+	f->newest = config;
 	f->newest_since = now;
 	f->converged_reported = false;
 	f->behind = 0;
@@ -143,13 +143,13 @@
 	fanout_tick(f, now);
 }
 
-void fanout_peer_add(fanout_t *f, uint64_t id, fanout_config_id_t config, deadline_t now)
+void fanout_peer_add(fanout_t *f, uint64_t peer, fanout_config_id_t config, deadline_t now)
 {
-	peer_t *p = find_peer(f, id);
+	peer_t *p = find_peer(f, peer);
 
 	if (!p) {
 		p = mem_new(sizeof(*p));
-		p->id = id;
+		p->id = peer;
 		p->config = f->newest; /* not behind, until set_peer_config() */
 		HASH_ADD(hh, f->peers, id, sizeof(p->id), p);
 	}
@@ -157,9 +157,9 @@
 	fanout_tick(f, now);
 }
 
-void fanout_peer_remove(fanout_t *f, uint64_t id)
+void fanout_peer_remove(fanout_t *f, uint64_t peer)
 {
-	peer_t *p = find_peer(f, id);
+	peer_t *p = find_peer(f, peer);
 
 	if (!p)
 		return;
@@ -169,9 +169,9 @@
 	free(p);
 }
 
-void fanout_peer_acked(fanout_t *f, uint64_t id, fanout_config_id_t config, deadline_t now)
+void fanout_peer_acked(fanout_t *f, uint64_t peer, fanout_config_id_t config, deadline_t now)
 {
-	peer_t *p = find_peer(f, id);
+	peer_t *p = find_peer(f, peer);
 
 	if (!p)
 		return;
--- a/src/policy/leaving.h
+++ b/src/policy/leaving.h
@@ -27,10 +27,11 @@
 
 leaving_t *leaving_new(void);
 void leaving_free(leaving_t *l);
-/** Adds a replica; false if the set already has it with this start time or a later one. */
+/** Adds a replica or raises its start time; false if the set already has it with this start time or
+ * a later one. */
 bool leaving_add(leaving_t *l, leaving_replica_t r);
-/** True if the replica is in the set. Removes the id if r has a later start time, because the
- * replica was restarted. */
+/** True if the replica is in the set. A replica that was added with an unknown start time takes
+ * that of r. If r has a later start time, the replica was restarted and is removed from the set. */
 bool leaving_check(leaving_t *l, leaving_replica_t r);
 /** Lists up to max replicas, returns their number. The ids are valid until the next call on l. */
 size_t leaving_list(const leaving_t *l, leaving_replica_t *out, size_t max);
--- a/src/policy/owner.h
+++ b/src/policy/owner.h
@@ -20,7 +20,8 @@
 /** What happens to a batch stream when an online stream finds no slot: nothing; it is cancelled and
  * later restarted; it is cancelled and later resumed. */
 typedef enum { OWNER_PREEMPT_NONE, OWNER_PREEMPT_CANCEL, OWNER_PREEMPT_RESUME } owner_preempt_t;
-/** Slots that batch leaves free: none, a fixed number, or the recent peak of online arrivals. */
+/** Slots that batch leaves free: none, a fixed number, or the recent peak of online arrivals times
+ * latency_weight. */
 typedef enum { OWNER_RESERVE_NONE, OWNER_RESERVE_FIXED, OWNER_RESERVE_PEAK } owner_reserve_t;
 
 typedef struct {
@@ -71,7 +72,8 @@
 /** Records that a running stream produced a token. step_us: time since the stream's previous token,
  * 0 for its first. */
 void owner_record_token(owner_t *w, uint64_t id, int64_t step_us, int64_t now_ms);
-/** Refuses queued streams that can't meet their deadline; call every 10 to 50 ms. */
+/** Starts queued streams if slots are free, preempts for the others, and refuses those that can't
+ * meet their deadline; call every 10 to 50 ms. */
 void owner_tick(owner_t *w, int64_t now_ms);
 /** Accepts no new streams, because the replica leaves or the lease was lost: refuses the queued
  * streams and cancels running batch streams if cancel_batch is set. */
--- a/src/policy/owner_capacity.c
+++ b/src/policy/owner_capacity.c
@@ -8,10 +8,10 @@
 
 #define MEAN_SHARE 0.05 /* weight of a new sample in a running mean */
 
-/* The time between tokens is sampled in windows. At the end of a window, its 95th percentile
- * adjusts the limit on running batch streams: over options.step_bound_us the limit shrinks by the
- * factor STEP_SHRINK; from the near mark up to the bound it shrinks by one stream; below
- * STEP_GROW_BELOW of the near mark it grows by STEP_GROW streams. */
+/* Step times, the times between two tokens, are sampled in windows. At the end of a window, its
+ * 95th percentile adjusts the limit on running batch streams: over options.step_bound_us the limit
+ * shrinks by the factor STEP_SHRINK; from the near mark up to the bound it shrinks by one stream;
+ * below STEP_GROW_BELOW of the near mark it grows by STEP_GROW streams. */
 #define STEP_WINDOW_MS	 2000
 #define STEP_MIN_SAMPLES 16 /* a window with fewer samples is extended */
 #define STEP_QUANTILE	 0.95
--- a/src/policy/owner_internal.h
+++ b/src/policy/owner_internal.h
@@ -24,7 +24,8 @@
 				     streams in the queue */
 } owner_waiter_t;
 
-/** Recent times between tokens, and the limit on batch streams derived from them. */
+/** Recent step times, and the limit on batch streams derived from them. A step is the time between
+ * two tokens of a stream. */
 typedef struct {
 	int64_t sample_us[OWNER_STEP_SAMPLES]; /* ring buffer */
 	unsigned samples; /* samples taken in the current window */
@@ -77,7 +78,7 @@
 void owner_capacity_ended(owner_t *w, const owner_run_t *r, int64_t now_ms);
 /** Records the time to the first token of a stream. */
 void owner_capacity_first_token(owner_t *w, const owner_run_t *r, int64_t now_ms);
-/** At the end of a window of token times, recomputes p95_us and batch_cap. */
+/** At the end of a window of step times, recomputes p95_us and batch_cap. */
 void owner_capacity_tick(owner_t *w, int64_t now_ms);
 /** Estimated time until the stream at this queue position starts, from the measured means. */
 int64_t owner_capacity_wait_ms(const owner_t *w, unsigned position);
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -8,7 +8,7 @@
 
 /** Limits retries to a percentage of the first attempts, plus a small constant. */
 typedef struct {
-	int64_t tokens_milli;
+	int64_t tokens_milli; /* thousandths of a retry */
 	int percent;
 } retry_budget_t;
 
