--- a/src/front/front.h
+++ b/src/front/front.h
@@ -76,7 +76,8 @@
 	worker_pool_t *decoder; /* one thread, so that deltas are applied in order */
 	bool decoding;
 	link_config_t pending_config; /* arrived while another was being decoded; owned */
-	link_view_t view; /* replicas, entries and control processes, from the leader */
+	link_view_t view; /* replicas, entries and control processes, from the leader; without a
+			     leader, replicas are from upstream_list */
 	front_replica_t *replicas; /* hash by id, from view */
 	leaving_t *leaving_replicas; /* replicas whose announcement reached this process */
 	dispatch_t *local_dispatch; /* used while no leader is connected, NULL otherwise */
@@ -85,7 +86,7 @@
 	front_item_t *items;
 	front_held_t *held; /* requests that wait for the first config */
 	deadline_t started;
-	size_t buffered_bytes; /* size of all answers buffered in memory */
+	size_t buffered_bytes; /* total size of the `body` buffers of all online requests */
 } front_t;
 
 /* front_link.c: link to the leader, replicas */
@@ -95,7 +96,7 @@
 /** Finds a listed replica, or NULL. */
 const front_replica_t *front_find_replica(const front_t *f, str_t id);
 /** Records that a replica announced that it leaves, and reports it to the leader. */
-void front_replica_leaving(front_t *f, leaving_replica_t r);
+void front_replica_leaving(front_t *f, replica_ref_t r);
 
 /* front_routes.c: the route table in force */
 
@@ -125,14 +126,15 @@
 /** The request's or item's verdict on an event of the answer. */
 typedef enum {
 	FRONT_EVENT_NEW, /* the next event of the stream */
-	FRONT_EVENT_IGNORED, /* a repeated event or one without an id: no progress of the stream */
+	FRONT_EVENT_NO_PROGRESS, /* repeated, or without an id */
 	FRONT_EVENT_INVALID /* its id leaves a gap, or it can't be buffered for lack of memory */
 } front_attempt_event_t;
 
 typedef enum {
 	FRONT_ATTEMPT_DONE, /* the answer is complete */
 	FRONT_ATTEMPT_UNSENT, /* the replica certainly did not receive the request */
-	FRONT_ATTEMPT_BROKEN, /* the answer ended early or was malformed */
+	FRONT_ATTEMPT_BROKEN, /* the answer ended early, was malformed or too long, or was rejected
+				 by the callback event or bytes */
 	FRONT_ATTEMPT_SILENT /* no event within the silence timeout */
 } front_attempt_end_t;
 
@@ -140,7 +142,7 @@
 	front_t *f;
 	str_t request; /* bytes to send; copied */
 	str_t id; /* of the request; answers with another id are ignored */
-	leaving_replica_t replica; /* copied */
+	replica_ref_t replica; /* copied */
 	const char *addr;
 	bool new_connection; /* don't reuse a kept-alive connection */
 	int64_t first_event_ms; /* silence timeout until the first event; 0: none */
@@ -177,11 +179,12 @@
 	char replica[64]; /* of the current or last attempt */
 	route_kind_t kind;
 	bool resumable;
-	bool returning; /* the caller has already waited at another entry */
+	bool returning; /* the caller has waited at another entry, so the objective is past */
 	unsigned max_attempts;
 	unsigned priority;
 	int64_t pause_ms; /* maximum pause between events, from the route */
-	int64_t give_up_ms;
+	int64_t give_up_ms; /* the caller leaves after this time without an event; 0: it waits until
+			       the deadline */
 	deadline_t objective;
 	deadline_t deadline;
 	deadline_t give_up_at; /* when the caller leaves unless it gets another event first */
@@ -210,7 +213,7 @@
 			 const platform_call_t *call, const route_spec_t *route);
 void front_request_caller_left(front_request_t *q);
 /** A slot was granted: starts an attempt on the replica. */
-void front_request_granted(front_request_t *q, leaving_replica_t replica, str_t addr);
+void front_request_granted(front_request_t *q, replica_ref_t replica, str_t addr);
 /** No slot was granted: ends the request. */
 void front_request_refused(front_request_t *q, int64_t retry_ms);
 /** True while the request waits for a slot. */
@@ -251,7 +254,7 @@
 /** A request to a batch route: opens a lot with the items in its body. */
 void front_lot_open(front_t *f, http_conn_t *c, const http_request_t *r,
 		    const platform_call_t *call, const route_spec_t *route);
-/** Reads the results or an item body of a lot, or ends the lot. */
+/** Reads a lot's results or the body submitted for one of its open items, or ends the lot. */
 void front_lot_call(front_t *f, http_conn_t *c, const platform_call_t *call);
 
 /** The data of a caller's connection: this struct, or one that begins with it. */
--- a/src/front/front_attempt.c
+++ b/src/front/front_attempt.c
@@ -10,9 +10,10 @@
 /** Maximum size of one answer and everything received before it: several times the largest body
  * that callers may send. */
 #define ANSWER_BYTES_MAX (16U << 20)
-/** Maximum number of consecutive ignored events before the attempt counts as broken. A replica may
- * repeat a stream from its start, so this is more than the longest streams have. */
-#define IGNORED_EVENTS_MAX 4096
+/** Maximum number of consecutive events without progress (repeated, or without an id) before the
+ * attempt counts as broken. A replica may repeat a stream from its start, so this is more than the
+ * longest streams have. */
+#define NO_PROGRESS_EVENTS_MAX 4096
 
 struct front_attempt {
 	front_attempt_options_t options;
@@ -20,7 +21,7 @@
 	sse_parser_t sse;
 	timeout_t silence_timer;
 	bool is_stream; /* the answer is a signed event stream */
-	unsigned ignored_events; /* since the last new one */
+	unsigned no_progress_events; /* since the last new one */
 	bool broken; /* found invalid; about to be ended by silence_timer */
 	char id[64];
 	char replica[64];
@@ -94,8 +95,8 @@
 	/* Only new events restart the silence timeout. */
 	if (verdict == FRONT_EVENT_NEW)
 		restart_silence_timer(a, a->options.event_gap_ms);
-	a->ignored_events = verdict == FRONT_EVENT_NEW ? 0 : a->ignored_events + 1;
-	return verdict != FRONT_EVENT_INVALID && a->ignored_events <= IGNORED_EVENTS_MAX;
+	a->no_progress_events = verdict == FRONT_EVENT_NEW ? 0 : a->no_progress_events + 1;
+	return verdict != FRONT_EVENT_INVALID && a->no_progress_events <= NO_PROGRESS_EVENTS_MAX;
 }
 
 static void on_body(void *ctx, str_t piece)
--- a/src/front/front_item.c
+++ b/src/front/front_item.c
@@ -8,7 +8,7 @@
 /** Silence timeout of an item, after which another replica runs it: many times the usual pause
  * between events, because no caller waits for the next one. */
 #define SILENT_MS 1500
-/** Period of progress reports: a fault loses at most this much of an item's work. */
+/** Period of progress reports; limits the work that is usually lost by a fault. */
 #define REPORT_MS 1000
 
 struct front_item {
@@ -16,8 +16,8 @@
 	link_item_run_t spec; /* owned */
 	buf_t text; /* events so far, including those of earlier runs */
 	unsigned events;
-	size_t reported_bytes; /* part of text that the leader has */
-	unsigned reported_events;
+	size_t reported_bytes; /* bytes of text already sent to a leader */
+	unsigned reported_events; /* number of events already sent to a leader */
 	deadline_t next_report;
 	front_attempt_t *attempt;
 	platform_reply_t reply;
@@ -28,6 +28,7 @@
 	front_item_t *next;
 };
 
+/* Names in log lines. */
 static const char *const end_names[] = {[LINK_ITEM_END_DONE] = "done",
 					[LINK_ITEM_END_IMPOSSIBLE] = "impossible",
 					[LINK_ITEM_END_FAILED] = "failed",
@@ -88,7 +89,7 @@
 	front_item_t *it = ctx;
 
 	if (e->id < 0 || (unsigned long long)e->id <= it->events)
-		return FRONT_EVENT_IGNORED;
+		return FRONT_EVENT_NO_PROGRESS;
 	if ((unsigned long long)e->id != it->events + 1ULL)
 		return FRONT_EVENT_INVALID;
 	if (it->events > 0)
@@ -105,7 +106,7 @@
 }
 
 /* The answer is complete: its status decides how the item ends. */
-static void on_answer(front_item_t *it)
+static void handle_answer(front_item_t *it)
 {
 	const platform_reply_t *r = &it->reply;
 
@@ -131,7 +132,7 @@
 
 	it->attempt = NULL;
 	if (how == FRONT_ATTEMPT_DONE)
-		on_answer(it);
+		handle_answer(it);
 	else
 		end_item(it, LINK_ITEM_END_UNFINISHED,
 			 how == FRONT_ATTEMPT_UNSENT   ? DISPATCH_UNREACHABLE
@@ -155,7 +156,7 @@
 	front_item_t *it = find_item(f, m->job, m->item);
 	AUTO_BUF req = {0};
 	AUTO_FREE char *addr = str_dup(wire_str(m->addr));
-	leaving_replica_t replica = {wire_str(m->replica), m->start_time};
+	replica_ref_t replica = {wire_str(m->replica), m->start_time};
 	platform_send_t s;
 
 	if (it)
--- a/src/front/front_link.c
+++ b/src/front/front_link.c
@@ -22,7 +22,7 @@
 	return r;
 }
 
-void front_replica_leaving(front_t *f, leaving_replica_t r)
+void front_replica_leaving(front_t *f, replica_ref_t r)
 {
 	link_msg_t m = {.kind = LINK_LEAVING};
 
@@ -104,8 +104,8 @@
 	case LINK_GRANT:
 		q = front_request_find(f, m->link_msg_t_u.grant.request);
 		if (q && front_request_is_waiting(q)) {
-			leaving_replica_t r = {wire_str(m->link_msg_t_u.grant.replica),
-					       m->link_msg_t_u.grant.start_time};
+			replica_ref_t r = {wire_str(m->link_msg_t_u.grant.replica),
+					   m->link_msg_t_u.grant.start_time};
 
 			front_request_granted(q, r, wire_str(m->link_msg_t_u.grant.addr));
 		} else if (!q) {
@@ -152,7 +152,7 @@
 {
 	static link_run_t runs[RUNS_MAX];
 	static link_leaving_t leaving_replicas[LEAVING_MAX];
-	leaving_replica_t leaving[LEAVING_MAX];
+	replica_ref_t leaving[LEAVING_MAX];
 	front_t *f = ctx;
 	size_t n = 0;
 	size_t nleaving = leaving_list(f->leaving_replicas, leaving, LEAVING_MAX);
--- a/src/front/front_request.c
+++ b/src/front/front_request.c
@@ -19,7 +19,8 @@
 #define RETURNING_PERCENT 95
 /** Timeout of a caller that does not state one. */
 #define WAIT_DEFAULT_MS 30000
-/** Limit of all answers buffered in memory together: a third of the memory of an entry's VM. */
+/** Limit of the buffered answers of all online requests together: a third of the memory of an
+ * entry's VM. */
 #define BUFFERED_BYTES_MAX (48U << 20)
 /** Retry-After of a refusal for which there is no estimate. */
 #define RETRY_MS 200
@@ -201,13 +202,13 @@
 	front_request_t *q = ctx;
 
 	if (e->id >= 0 && e->id <= q->last_event)
-		return FRONT_EVENT_IGNORED;
+		return FRONT_EVENT_NO_PROGRESS;
 	if (e->id >= 0 && e->id != q->last_event + 1)
 		return FRONT_EVENT_INVALID;
 	/* Events without an id are buffered until the next event with an id, because another
 	 * replica may resume the stream without them. */
 	if (e->id < 0)
-		return buffer_bytes(q, e->raw) ? FRONT_EVENT_IGNORED : FRONT_EVENT_INVALID;
+		return buffer_bytes(q, e->raw) ? FRONT_EVENT_NO_PROGRESS : FRONT_EVENT_INVALID;
 	if (!q->head_sent) {
 		q->head_sent = true;
 		q->first_byte_ms = clock_now_ms() - q->req.received;
@@ -255,8 +256,9 @@
 	buf_free(&body);
 }
 
-/* The answer is complete: passes it to the caller, or retries on another replica. */
-static void on_answer(front_request_t *q)
+/* The answer is complete: passes it to the caller, retries on another replica, or, if the replica
+ * rejected the request as invalid, ends the request with status 400. */
+static void handle_answer(front_request_t *q)
 {
 	const platform_reply_t *r = &q->reply;
 
@@ -283,7 +285,7 @@
 	q->attempt = NULL;
 	switch (how) {
 	case FRONT_ATTEMPT_DONE:
-		on_answer(q);
+		handle_answer(q);
 		break;
 	case FRONT_ATTEMPT_UNSENT:
 		retry_elsewhere(q, DISPATCH_UNREACHABLE);
@@ -319,7 +321,7 @@
 	return is_repeatable(q) && q->attempts < q->max_attempts;
 }
 
-void front_request_granted(front_request_t *q, leaving_replica_t replica, str_t addr)
+void front_request_granted(front_request_t *q, replica_ref_t replica, str_t addr)
 {
 	AUTO_FREE char *addr_cstr = str_dup(addr);
 	AUTO_BUF req = {0};
--- a/src/front/front_routes.c
+++ b/src/front/front_routes.c
@@ -6,7 +6,7 @@
 #include "front/front.h"
 
 typedef struct {
-	worker_task_t task; /* first member */
+	worker_task_t task; /* must be first: the callbacks cast the task back */
 	front_t *f;
 	link_config_t m; /* owned */
 	const route_table_t *base; /* of the delta, or NULL; not replaced while the task runs */
--- a/src/front/front_slot.c
+++ b/src/front/front_slot.c
@@ -16,7 +16,7 @@
 	const front_replica_t *r = front_find_replica(f, replica);
 
 	if (q && front_request_is_waiting(q))
-		front_request_granted(q, (leaving_replica_t){replica, r ? r->start_time : 0},
+		front_request_granted(q, (replica_ref_t){replica, r ? r->start_time : 0},
 				      str_c(r ? r->addr : ""));
 }
 
@@ -38,7 +38,7 @@
 	front_request_refused(q, retry_ms);
 }
 
-/* Never called: this process takes no items from its local dispatcher. */
+/* This callback and the next are never called, because the local dispatcher has no items. */
 static void ignore_stop_item(void *ctx, void *data, uint64_t entry)
 {
 }
@@ -143,9 +143,9 @@
 			.zone = str_c(f->settings.zone),
 			.service = wire_str(u->service),
 			.slots = u->slots,
-			.leaving = u->leaving || leaving_check(f->leaving_replicas,
-							       (leaving_replica_t){wire_str(u->id),
-										   u->start_time}),
+			.leaving = u->leaving ||
+				   leaving_check(f->leaving_replicas,
+						 (replica_ref_t){wire_str(u->id), u->start_time}),
 			.start_time = u->start_time,
 		};
 	}
--- a/src/front/main.c
+++ b/src/front/main.c
@@ -105,6 +105,7 @@
 	metric_set(metric_get(METRIC_GAUGE, "auburn_requests_open", NULL), HASH_COUNT(f->requests));
 	metric_set(metric_get(METRIC_GAUGE, "auburn_items_running", NULL),
 		   (int64_t)front_item_count(f));
+	/* The number of connections made since the start, not of those open now. */
 	metric_set(metric_get(METRIC_GAUGE, "auburn_replica_connections", NULL),
 		   (int64_t)http_client_connects(f->http));
 	metric_set(metric_get(METRIC_GAUGE, "auburn_leader_linked", NULL),
@@ -160,7 +161,8 @@
 	front_item_stop_all(f);
 }
 
-/* Only the list of control processes can be changed without a restart. */
+/* SIGHUP reloads the settings but only adds control processes. All other changes, also the removal
+ * of a control process, need a restart. */
 static void on_hup(struct ev_loop *loop, ev_signal *w, int events)
 {
 	front_t *f = w->data;
--- a/src/policy/balance.h
+++ b/src/policy/balance.h
@@ -11,12 +11,13 @@
 typedef struct {
 	int free_slots;
 	int queued;
-	int running;
+	int running; /* not used by balance_pick */
 	int slots;
-	int sent_since_report; /* requests that this entry sent there since the last report */
+	int sent_since_report; /* requests sent to the replica by this entry since the report */
 	bool same_zone;
 	bool owned_here;
-	bool usable; /* live, owned, breaker closed, not tried by this request yet */
+	bool usable; /* live, its owner is reachable, its breaker admits a request or probe, and
+		      this request has not tried it yet */
 	bool prefix_known; /* the replica's cache probably holds the request's prefix */
 	deadline_t reported_at; /* arrival of the last report; 0 if there was none */
 } balance_candidate_t;
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -30,7 +30,7 @@
 	DISPATCH_OK,
 	DISPATCH_FULL, /* the replica rejected the run for lack of capacity */
 	DISPATCH_UNREACHABLE, /* connection failed, or another replica answers at the address */
-	DISPATCH_BROKEN, /* the answer ended early or was malformed */
+	DISPATCH_BROKEN, /* the answer ended early, was malformed or not signed */
 	DISPATCH_SILENT, /* no event within the silence timeout */
 	DISPATCH_FAILED, /* the replica answered with an error */
 	DISPATCH_CANCELLED, /* the caller left, or the run was stopped */
@@ -79,8 +79,8 @@
 	str_t service;
 	unsigned priority; /* 0 is the highest */
 	bool resumed; /* the caller is already reading the stream; goes before all others */
-	bool returning; /* the caller has already waited at another entry and is past its objective;
-			   never refused for a missed objective */
+	bool returning; /* the caller waited at another entry before, or an attempt failed: counts
+			   as past its objective and is not refused for that */
 	deadline_t objective; /* when the first byte is due */
 	deadline_t deadline; /* end of the caller's total timeout */
 	deadline_t give_up_at; /* when the caller leaves unless it gets another event first */
@@ -130,7 +130,8 @@
 bool dispatch_item_is_waiting(const dispatch_item_t *it);
 /** Records that the item failed on this replica; its next run prefers another one. */
 void dispatch_item_avoid(dispatch_item_t *it, str_t replica);
-/** True if no connected entry runs the item, so dispatch_item_adopt may be called. */
+/** True if dispatch_item_adopt may be called: the item waits, or its entry disconnected less than
+ * DISPATCH_ADOPT_MS ago. */
 bool dispatch_item_is_adoptable(const dispatch_item_t *it, deadline_t now);
 /** Removes an item. Its current run is stopped unless `ended` says that the run is over. */
 void dispatch_item_remove(dispatch_t *d, dispatch_item_t *it, bool ended, deadline_t now);
--- a/src/policy/dispatch_place.c
+++ b/src/policy/dispatch_place.c
@@ -146,7 +146,8 @@
 	return it->due > now + dispatch_item_remaining_ms(it, now);
 }
 
-/* Adds a slot to the service's reserve if the item is preempted early. In a peak, a free slot is
+/* Adds a slot to the service's reserve if an item is preempted early, by a request or for another
+ * item. In a peak, a free slot is
  * requested again within milliseconds: an item that takes it is preempted before it did anything
  * but process its prompt again. */
 static void grow_reserve(dispatch_t *d, const dispatch_item_t *it, deadline_t now)
--- a/src/policy/fanout.c
+++ b/src/policy/fanout.c
@@ -8,7 +8,7 @@
 typedef struct {
 	uint64_t id;
 	fanout_config_id_t config;
-	size_t bytes; /* in flight to this peer, up to FANOUT_ACK_MS */
+	size_t bytes; /* in flight to this peer, for at most FANOUT_ACK_MS after sending */
 	bool awaiting_ack;
 	deadline_t ack_by;
 	UT_hash_handle hh;
--- a/src/policy/leaving.c
+++ b/src/policy/leaving.c
@@ -48,7 +48,7 @@
 	return x;
 }
 
-bool leaving_add(leaving_t *l, leaving_replica_t r)
+bool leaving_add(leaving_t *l, replica_ref_t r)
 {
 	member_t *x = find_member(l, r.id);
 
@@ -68,7 +68,7 @@
 	return true;
 }
 
-bool leaving_check(leaving_t *l, leaving_replica_t r)
+bool leaving_check(leaving_t *l, replica_ref_t r)
 {
 	member_t *x = find_member(l, r.id);
 
@@ -83,11 +83,11 @@
 	return false;
 }
 
-size_t leaving_list(const leaving_t *l, leaving_replica_t *out, size_t max)
+size_t leaving_list(const leaving_t *l, replica_ref_t *out, size_t max)
 {
 	size_t n = 0;
 
 	for (member_t *x = l->members; x && n < max; x = x->hh.next)
-		out[n++] = (leaving_replica_t){str_c(x->id), x->start_time};
+		out[n++] = (replica_ref_t){str_c(x->id), x->start_time};
 	return n;
 }
--- a/src/policy/owner.c
+++ b/src/policy/owner.c
@@ -219,7 +219,7 @@
 
 	if (at >= 0)
 		owner_queue_remove(w, (unsigned)at);
-	start_queued(w, now_ms);
+	start_queued(w, now_ms); /* owner_update may have added slots */
 	check_invariants(w);
 }
 
--- a/src/policy/owner.h
+++ b/src/policy/owner.h
@@ -17,12 +17,19 @@
 
 typedef enum { OWNER_ONLINE, OWNER_BATCH } owner_class_t;
 
-/** What happens to a batch stream when an online stream finds no slot: nothing; it is cancelled and
- * later restarted; it is cancelled and later resumed. */
-typedef enum { OWNER_PREEMPT_NONE, OWNER_PREEMPT_CANCEL, OWNER_PREEMPT_RESUME } owner_preempt_t;
-/** Slots that batch leaves free: none, a fixed number, or the recent peak of online arrivals times
- * latency_weight. */
-typedef enum { OWNER_RESERVE_NONE, OWNER_RESERVE_FIXED, OWNER_RESERVE_PEAK } owner_reserve_t;
+/** What happens to a batch stream when an online stream finds no slot. */
+typedef enum {
+	OWNER_PREEMPT_NONE, /* nothing: the online stream waits */
+	OWNER_PREEMPT_CANCEL, /* it is cancelled and later restarted from the beginning */
+	OWNER_PREEMPT_RESUME /* it is cancelled and later resumed after its last token */
+} owner_preempt_t;
+
+/** Slots that batch leaves free for online streams. */
+typedef enum {
+	OWNER_RESERVE_NONE,
+	OWNER_RESERVE_FIXED, /* reserved_slots */
+	OWNER_RESERVE_PEAK /* the recent peak of online arrivals times latency_weight */
+} owner_reserve_t;
 
 typedef struct {
 	unsigned slots;
@@ -49,7 +56,7 @@
 	deadline_t deadline; /* for the first token (online) or for the whole item (batch) */
 	uint64_t caller; /* hash of the caller; callers take turns in the queue */
 	bool alone; /* suspected of crashing replicas: runs with no other stream and is never
-		     * queued. A refusal pauses other batch streams for a while, so the caller
+		     * queued. A refusal may pause other batch streams for a while, so the caller
 		     * should offer the stream to this replica again. */
 } owner_stream_t;
 
@@ -89,7 +96,7 @@
 	unsigned queued;
 	unsigned free_slots; /* slots for further online streams, counting preemptible ones */
 	int64_t step_us; /* recent 95th percentile of the time between tokens */
-	int64_t drain_ms; /* time until a stream offered now would start */
+	int64_t drain_ms; /* estimated time until an online stream offered now would start */
 	int64_t first_token_ms; /* recent mean time from a stream's start to its first token */
 	uint64_t preempted;
 	uint64_t refused;
