--- a/src/entry/addresses.c
+++ b/src/entry/addresses.c
@@ -14,10 +14,11 @@
 	return en->settings.address_ttl_ms;
 }
 
-typedef void (*each_t)(void *ctx, const wire_member_t *m);
+typedef void (*member_visit_t)(void *ctx, const wire_member_t *m);
 
 /* Members that take callers: those of the zone first, each group turned by a random start. */
-static void each_member(const wire_view_t *v, str_t zone, each_t each, void *ctx)
+static void for_each_serving_member(const wire_view_t *v, str_t zone, member_visit_t visit,
+				    void *ctx)
 {
 	u_int n = v->members.members_len;
 	u_int start = n ? (u_int)(entry_random() % n) : 0;
@@ -27,7 +28,7 @@
 			const wire_member_t *m = &v->members.members_val[(start + i) % n];
 
 			if (!m->draining && str_eq(wire_str(m->zone), zone) == near)
-				each(ctx, m);
+				visit(ctx, m);
 		}
 	}
 }
@@ -36,11 +37,11 @@
 	buf_t *out;
 	uint64_t skip; /* session */
 	const entry_ctx_t *en;
-} list_t;
+} address_list_t;
 
-static void add_json(void *ctx, const wire_member_t *m)
+static void append_json_address(void *ctx, const wire_member_t *m)
 {
-	list_t *l = ctx;
+	address_list_t *l = ctx;
 
 	if (m->session == l->skip)
 		return;
@@ -53,9 +54,9 @@
 	buf_addc(l->out, '}');
 }
 
-static void add_comma(void *ctx, const wire_member_t *m)
+static void append_listed_address(void *ctx, const wire_member_t *m)
 {
-	list_t *l = ctx;
+	address_list_t *l = ctx;
 
 	if (m->session == l->skip)
 		return;
@@ -67,10 +68,11 @@
 void addresses_list_others(entry_ctx_t *en, buf_t *out)
 {
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
-	list_t l = {out, entry_session(en->snapshot), en};
+	address_list_t l = {out, entry_session(en->snapshot), en};
 
 	if (v)
-		each_member(&v->view, str_c(en->settings.zone), add_comma, &l);
+		for_each_serving_member(&v->view, str_c(en->settings.zone), append_listed_address,
+					&l);
 }
 
 int addresses_get(const struct _u_request *req, struct _u_response *res, void *ctx)
@@ -80,14 +82,15 @@
 	AUTO_BUF b = {0};
 	str_t zone = httpd_param(req, "zone");
 	int64_t ttl = addresses_ttl_ms(en);
-	list_t l = {&b, atomic_load(&en->draining) ? entry_session(en->snapshot) : 0, en};
+	address_list_t l = {&b, atomic_load(&en->draining) ? entry_session(en->snapshot) : 0, en};
 
 	if (!v || !entry_lease_valid(en->snapshot))
 		return httpd_error(res, 503, "no_lease",
 				   STR("this entry has not heard from the control in time"),
 				   VERDICT_NOT_RUN, MS_PER_S);
 	buf_add(&b, STR("{\"addresses\":["));
-	each_member(&v->view, zone.n ? zone : str_c(en->settings.zone), add_json, &l);
+	for_each_serving_member(&v->view, zone.n ? zone : str_c(en->settings.zone),
+				append_json_address, &l);
 	buf_addf(&b, "],\"valid_ms\":%" PRId64 ",\"valid_until_wall_ms\":%" PRId64 "}", ttl,
 		 clock_wall_ms() + ttl);
 	return httpd_json(res, 200, str_buf(&b));
--- a/src/entry/admission.c
+++ b/src/entry/admission.c
@@ -10,12 +10,12 @@
 	uint64_t service;
 	int64_t running;
 	UT_hash_handle hh;
-} count_t;
+} service_count_t;
 
-struct ad {
+struct admission {
 	pthread_mutex_t lock;
 	bucket_map_t *buckets;
-	count_t *counts;
+	service_count_t *counts;
 };
 
 admission_t *admission_new(void)
@@ -40,10 +40,10 @@
 	return ok;
 }
 
-static count_t *count_of(admission_t *a, str_t service)
+static service_count_t *get_service_count(admission_t *a, str_t service)
 {
 	uint64_t h = str_hash(service);
-	count_t *c;
+	service_count_t *c;
 
 	HASH_FIND(hh, a->counts, &h, sizeof(h), c);
 	if (!c) {
@@ -57,11 +57,11 @@
 bool admission_enter(admission_t *a, str_t service, int64_t bound, unsigned entries)
 {
 	int64_t share = entries ? (bound + entries - 1) / entries : bound;
-	count_t *c;
+	service_count_t *c;
 	bool ok;
 
 	pthread_mutex_lock(&a->lock);
-	c = count_of(a, service);
+	c = get_service_count(a, service);
 	ok = bound == 0 || c->running < share;
 	if (ok)
 		c->running++;
@@ -71,10 +71,10 @@
 
 void admission_leave(admission_t *a, str_t service)
 {
-	count_t *c;
+	service_count_t *c;
 
 	pthread_mutex_lock(&a->lock);
-	c = count_of(a, service);
+	c = get_service_count(a, service);
 	assert(c->running > 0);
 	c->running--;
 	pthread_mutex_unlock(&a->lock);
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -45,7 +45,7 @@
 typedef struct {
 	void *ctx;
 	void (*on_token)(void *ctx, unsigned index, str_t text);
-	void (*end)(void *ctx, const attempt_end_t *end); /* once, the last */
+	void (*on_end)(void *ctx, const attempt_end_t *end); /* once, the last */
 } attempt_sink_t;
 
 const char *attempt_outcome_name(attempt_outcome_t k);
--- a/src/entry/attempt_start.c
+++ b/src/entry/attempt_start.c
@@ -17,51 +17,51 @@
 	upstream_t *up;
 	attempt_sink_t sink;
 	bool ended;
-	attempt_outcome_t kind;
+	attempt_outcome_t outcome;
 	int64_t retry_after_ms;
 	buf_t message;
-} remote_t;
+} remote_attempt_t;
 
 void attempt_write_params(buf_t *out, const entry_ctx_t *en, const char *upstream, uint64_t fence,
-			  const attempt_params_t *w)
+			  const attempt_params_t *params)
 {
 	buf_addf(out, "{\"session\":%" PRIu64 ",\"fence\":%" PRIu64 ",\"left_ms\":%" PRId64,
-		 entry_session(en->snapshot), fence, clock_left_ms(w->deadline));
-	buf_addf(out, ",\"max_tokens\":%u,\"resume_from\":%u,\"upstream\":", w->max_tokens,
-		 w->resume_from);
+		 entry_session(en->snapshot), fence, clock_left_ms(params->deadline));
+	buf_addf(out, ",\"max_tokens\":%u,\"resume_from\":%u,\"upstream\":", params->max_tokens,
+		 params->resume_from);
 	buf_add_json(out, str_c(upstream));
 	buf_add(out, STR(",\"caller\":"));
-	buf_add_json(out, w->caller);
+	buf_add_json(out, params->caller);
 	buf_add(out, STR(",\"key\":"));
-	buf_add_json(out, w->key);
+	buf_add_json(out, params->key);
 	buf_add(out, STR(",\"service\":"));
-	buf_add_json(out, w->service);
+	buf_add_json(out, params->service);
 	buf_add(out, STR(",\"model\":"));
-	buf_add_json(out, w->model);
+	buf_add_json(out, params->model);
 	buf_add(out, STR(",\"prompt\":"));
-	buf_add_json(out, w->prompt);
+	buf_add_json(out, params->prompt);
 	buf_addc(out, '}');
 }
 
-static void take_end(remote_t *r, json_t *j)
+static void parse_end_event(remote_attempt_t *r, json_t *j)
 {
-	const char *kind = json_string_value(json_object_get(j, "kind"));
+	const char *outcome = json_string_value(json_object_get(j, "kind"));
 	const char *message = json_string_value(json_object_get(j, "message"));
 
-	r->kind = attempt_outcome_parse(str_c(kind));
-	r->ended = r->kind != ATTEMPT_OUTCOMES;
+	r->outcome = attempt_outcome_parse(str_c(outcome));
+	r->ended = r->outcome != ATTEMPT_OUTCOMES;
 	r->retry_after_ms = json_integer_value(json_object_get(j, "retry_after_ms"));
 	buf_add(&r->message, str_c(message));
 }
 
-static bool on_event(void *ctx, str_t name, str_t data)
+static bool on_owner_event(void *ctx, str_t name, str_t data)
 {
-	remote_t *r = ctx;
+	remote_attempt_t *r = ctx;
 	json_t *j = json_loadb(data.p, data.n, 0, NULL);
 	json_t *text = json_object_get(j, "text");
 
 	if (str_eq(name, STR("end")))
-		take_end(r, j);
+		parse_end_event(r, j);
 	else if (json_is_string(text))
 		r->sink.on_token(r->sink.ctx,
 				 (unsigned)json_integer_value(json_object_get(j, "index")),
@@ -70,10 +70,10 @@
 	return true;
 }
 
-static attempt_outcome_t kind_of(const remote_t *r, const fetch_end_t *end)
+static attempt_outcome_t outcome_of(const remote_attempt_t *r, const fetch_end_t *end)
 {
 	if (r->ended)
-		return r->kind;
+		return r->outcome;
 	if (end->result == FETCH_NOT_SENT)
 		return ATTEMPT_UNREACHED;
 	if (end->result == FETCH_FINISHED && end->http_status == HTTP_UNAVAILABLE)
@@ -81,10 +81,10 @@
 	return end->result == FETCH_TIMED_OUT ? ATTEMPT_STALLED : ATTEMPT_LOST;
 }
 
-static void on_end(void *ctx, const fetch_end_t *e)
+static void on_owner_end(void *ctx, const fetch_end_t *e)
 {
-	remote_t *r = ctx;
-	attempt_end_t end = {kind_of(r, e), r->retry_after_ms, str_buf(&r->message)};
+	remote_attempt_t *r = ctx;
+	attempt_end_t end = {outcome_of(r, e), r->retry_after_ms, str_buf(&r->message)};
 
 	if (!r->ended && end.outcome != ATTEMPT_REFUSED)
 		upstream_record_health(r->up, false);
@@ -92,49 +92,49 @@
 		upstream_record_health(r->up, true);
 	if (!r->ended && end.outcome == ATTEMPT_REFUSED)
 		atomic_store(&r->en->view_stale, true);
-	r->sink.end(r->sink.ctx, &end);
+	r->sink.on_end(r->sink.ctx, &end);
 	buf_free(&r->message);
 	free(r);
 }
 
-static void start_remote(entry_ctx_t *en, const upstream_choice_t *c, const attempt_params_t *w,
-			 const attempt_sink_t *sink)
+static void start_remote(entry_ctx_t *en, const upstream_choice_t *c,
+			 const attempt_params_t *params, const attempt_sink_t *sink)
 {
 	char url[URL_BYTES];
 	char trace[TRACE_PARENT_BYTES + sizeof("traceparent: ")];
 	AUTO_BUF key = {0};
 	AUTO_BUF body = {0};
 	const char *headers[] = {"Content-Type: application/json", trace, NULL, NULL};
-	remote_t *r = mem_new(sizeof(*r));
+	remote_attempt_t *r = mem_new(sizeof(*r));
 	fetch_options_t call = {.method = "POST",
 				.url = url,
 				.headers = headers,
 				.silence_timeout_ms = OWNER_SILENCE_MS,
 				.ctx = r,
-				.on_event = on_event,
-				.end = on_end};
+				.on_event = on_owner_event,
+				.on_end = on_owner_end};
 
 	r->en = en;
 	r->up = c->upstream;
 	r->sink = *sink;
 	snprintf(url, sizeof(url), "http://%s/internal/v1/run", c->owner_addr);
-	snprintf(trace, sizeof(trace), "traceparent: %.*s", STR_ARG(w->trace));
+	snprintf(trace, sizeof(trace), "traceparent: %.*s", STR_ARG(params->trace));
 	buf_addf(&key, "Authorization: Bearer %s", en->settings.peer_key);
 	headers[2] = key.p;
-	attempt_write_params(&body, en, c->id, c->fence, w);
+	attempt_write_params(&body, en, c->id, c->fence, params);
 	call.body = str_buf(&body);
 	METRIC_INC("auburn_forwarded_total");
 	fetch_start(en->fetch_client, &call);
 }
 
-static void make_room(entry_ctx_t *en, const upstream_choice_t *c)
+static void preempt_if_full(entry_ctx_t *en, const upstream_choice_t *c)
 {
 	if (en->settings.mode == ENTRY_MODE_ALONE_CANCEL &&
 	    upstream_reported_headroom(c->upstream, 0) == 0)
 		local_replica_preempt_newest(c->replica);
 }
 
-void attempt_start(entry_ctx_t *en, const upstream_choice_t *c, const attempt_params_t *w,
+void attempt_start(entry_ctx_t *en, const upstream_choice_t *c, const attempt_params_t *params,
 		   const attempt_sink_t *sink, attempt_handle_t *out)
 {
 	int64_t retry_after_ms = 0;
@@ -142,14 +142,14 @@
 
 	*out = (attempt_handle_t){0};
 	if (!c->replica) {
-		start_remote(en, c, w, sink);
+		start_remote(en, c, params, sink);
 		return;
 	}
-	make_room(en, c);
-	if (local_replica_offer(c->replica, w, sink, &out->stream_id, &retry_after_ms) ==
+	preempt_if_full(en, c);
+	if (local_replica_offer(c->replica, params, sink, &out->stream_id, &retry_after_ms) ==
 	    OWNER_REFUSED) {
 		end.retry_after_ms = retry_after_ms;
-		sink->end(sink->ctx, &end);
+		sink->on_end(sink->ctx, &end);
 		return;
 	}
 	out->replica = local_replica_ref(c->replica);
--- a/src/entry/attempt_start.h
+++ b/src/entry/attempt_start.h
@@ -13,12 +13,12 @@
 
 /** Begins the attempt; the sink's end is called once in every case, maybe before the return.
  *  The handle is given back with attempt_release. */
-void attempt_start(entry_ctx_t *en, const upstream_choice_t *choice, const attempt_params_t *w,
+void attempt_start(entry_ctx_t *en, const upstream_choice_t *choice, const attempt_params_t *params,
 		   const attempt_sink_t *sink, attempt_handle_t *out);
 void attempt_release(attempt_handle_t *h);
 
 /** The JSON that owners exchange. */
 void attempt_write_params(buf_t *out, const entry_ctx_t *en, const char *upstream, uint64_t fence,
-			  const attempt_params_t *w);
+			  const attempt_params_t *params);
 
 #endif
--- a/src/entry/batch.c
+++ b/src/entry/batch.c
@@ -6,7 +6,7 @@
 #include <utlist.h>
 #include "base/log.h"
 
-static void spawn(void *(*f)(void *), void *arg)
+static void start_thread(void *(*f)(void *), void *arg)
 {
 	pthread_t t;
 
@@ -15,7 +15,7 @@
 	pthread_detach(t);
 }
 
-static void cond_init(pthread_cond_t *c)
+static void init_monotonic_cond(pthread_cond_t *c)
 {
 	pthread_condattr_t attr;
 
@@ -33,33 +33,33 @@
 	assert(groups <= BATCH_GROUPS_MAX);
 	b->en = en;
 	pthread_mutex_init(&b->lock, NULL);
-	cond_init(&b->work_ready);
-	cond_init(&b->results_ready);
-	spawn(batch_feed_thread, b);
+	init_monotonic_cond(&b->work_ready);
+	init_monotonic_cond(&b->results_ready);
+	start_thread(batch_feed_thread, b);
 	for (unsigned g = 1; g <= groups; g++) {
 		batch_group_t *group = mem_new(sizeof(*group));
 
 		*group = (batch_group_t){b, g};
-		spawn(batch_group_thread, group);
+		start_thread(batch_group_thread, group);
 	}
 	return b;
 }
 
-static bool is_of(const batch_item_t *it, str_t caller, str_t job)
+static bool belongs_to(const batch_item_t *it, str_t caller, str_t job)
 {
 	return str_eq(str_c(it->caller), caller) && str_eq(str_c(it->job), job);
 }
 
 typedef struct {
-	local_replica_t *ro;
-	uint64_t stream;
-} stop_t;
+	local_replica_t *replica;
+	uint64_t stream_id;
+} cancel_target_t;
 
-static void stop_all(stop_t *v, size_t n)
+static void cancel_streams(cancel_target_t *v, size_t n)
 {
 	for (size_t i = 0; i < n; i++) {
-		local_replica_cancel(v[i].ro, v[i].stream);
-		local_replica_unref(v[i].ro);
+		local_replica_cancel(v[i].replica, v[i].stream_id);
+		local_replica_unref(v[i].replica);
 	}
 	free(v);
 }
@@ -68,31 +68,32 @@
 {
 	batch_item_t *it;
 	batch_item_t *next;
-	stop_t *stops;
+	cancel_target_t *targets;
 	size_t n = 0;
 
 	pthread_mutex_lock(&b->lock);
-	stops = mem_new(b->held * sizeof(*stops));
+	targets = mem_new(b->held * sizeof(*targets));
 	DL_FOREACH_SAFE(b->waiting, it, next)
 	{
-		if (!is_of(it, caller, job))
+		if (!belongs_to(it, caller, job))
 			continue;
 		DL_DELETE(b->waiting, it);
 		batch_service_get(b, it->service)->waiting--;
 		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("cancelled"));
 	}
 	DL_FOREACH (b->running, it) {
-		if (!is_of(it, caller, job) || it->cancelled)
+		if (!belongs_to(it, caller, job) || it->cancelled)
 			continue;
 		it->cancelled = true;
 		if (it->stream_id)
-			stops[n++] = (stop_t){local_replica_ref(it->replica), it->stream_id};
+			targets[n++] =
+				(cancel_target_t){local_replica_ref(it->replica), it->stream_id};
 	}
 	pthread_mutex_unlock(&b->lock);
 	if (n)
 		log_event(LOG_LEVEL_INFO, "job_items_cancelled", LOG_STR("key", job),
 			  LOG_INT("running", n));
-	stop_all(stops, n);
+	cancel_streams(targets, n);
 }
 
 void batch_drain(batch_runner_t *b)
@@ -114,17 +115,18 @@
 void batch_cancel_running(batch_runner_t *b)
 {
 	batch_item_t *it;
-	stop_t *stops;
+	cancel_target_t *targets;
 	size_t n = 0;
 
 	pthread_mutex_lock(&b->lock);
-	stops = mem_new(b->held * sizeof(*stops));
+	targets = mem_new(b->held * sizeof(*targets));
 	DL_FOREACH (b->running, it) {
 		if (it->stream_id)
-			stops[n++] = (stop_t){local_replica_ref(it->replica), it->stream_id};
+			targets[n++] =
+				(cancel_target_t){local_replica_ref(it->replica), it->stream_id};
 	}
 	pthread_mutex_unlock(&b->lock);
-	stop_all(stops, n);
+	cancel_streams(targets, n);
 }
 
 size_t batch_held(batch_runner_t *b)
--- a/src/entry/batch_commit.c
+++ b/src/entry/batch_commit.c
@@ -7,15 +7,15 @@
 #include "base/metric.h"
 #include "entry/inflight.h"
 
-#define DONE_MAX     64
-#define DONE_WAIT_MS 50
-#define DONE_MS	     3000
-#define PAUSE_MS     50
-#define PROBE_MS     500
-#define NS_PER_MS    1000000
-#define NS_PER_S     1000000000
-
-static void free_items(batch_runner_t *b, batch_item_t *list)
+#define COMMIT_ITEMS_MAX  64
+#define COMMIT_WAIT_MS	  50
+#define COMMIT_TIMEOUT_MS 3000
+#define RETRY_PAUSE_MS	  50
+#define CANCEL_POLL_MS	  500
+#define NS_PER_MS	  1000000
+#define NS_PER_S	  1000000000
+
+static void free_finished_items(batch_runner_t *b, batch_item_t *list)
 {
 	batch_item_t *it;
 	batch_item_t *next;
@@ -31,7 +31,7 @@
 	}
 }
 
-static unsigned count(const batch_item_t *list)
+static unsigned count_items(const batch_item_t *list)
 {
 	const batch_item_t *it;
 	unsigned n = 0;
@@ -41,12 +41,12 @@
 	return n;
 }
 
-static bool is_reached(status_t st)
+static bool ledger_answered(status_t st)
 {
 	return st != STATUS_UNAVAILABLE && st != STATUS_TIMEOUT && st != STATUS_NOT_LEADER;
 }
 
-static void fill(wire_done_t *d, batch_item_t *list, uint64_t session)
+static void fill_results(wire_done_t *d, batch_item_t *list, uint64_t session)
 {
 	batch_item_t *it;
 
@@ -66,7 +66,7 @@
 }
 
 /* Cancelled jobs that still have items leased to this entry. */
-static void take_cancelled(batch_runner_t *b, const wire_ledger_res_t *res)
+static void cancel_reported_jobs(batch_runner_t *b, const wire_ledger_res_t *res)
 {
 	for (u_int i = 0; i < res->cancelled.cancelled_len; i++)
 		batch_cancel_job(b, wire_str(res->cancelled.cancelled_val[i].caller),
@@ -83,17 +83,17 @@
 	status_t st = STATUS_TIMEOUT;
 
 	d->results.results_val = mem_new(n * sizeof(wire_item_result_t));
-	fill(d, list, session);
-	while (!is_reached(st) && session == entry_session(g->b->en->snapshot)) {
+	fill_results(d, list, session);
+	while (!ledger_answered(st) && session == entry_session(g->b->en->snapshot)) {
 		wire_ledger_res_t res = {0};
 
 		st = control_client_ledger_group(g->b->en->control_client, g->group, &cmd, &res,
-						 clock_now_ms() + DONE_MS);
+						 clock_now_ms() + COMMIT_TIMEOUT_MS);
 		if (st == STATUS_OK)
-			take_cancelled(g->b, &res);
+			cancel_reported_jobs(g->b, &res);
 		wire_free(XDR_PROC(wire_ledger_res_t), &res);
-		if (!is_reached(st))
-			clock_sleep_ms(PAUSE_MS);
+		if (!ledger_answered(st))
+			clock_sleep_ms(RETRY_PAUSE_MS);
 	}
 	if (st != STATUS_OK)
 		log_event(LOG_LEVEL_WARN, "results_not_committed", LOG_INT("items", n),
@@ -102,18 +102,18 @@
 }
 
 /* Waits until results are due to be sent, or a while. */
-static batch_item_t *wait_results(batch_group_t *g)
+static batch_item_t *wait_for_results(batch_group_t *g)
 {
 	batch_runner_t *b = g->b;
 	struct timespec until;
 	batch_item_t *list;
 
 	clock_gettime(CLOCK_MONOTONIC, &until);
-	until.tv_nsec += (long)DONE_WAIT_MS * NS_PER_MS;
+	until.tv_nsec += (long)COMMIT_WAIT_MS * NS_PER_MS;
 	until.tv_sec += until.tv_nsec / NS_PER_S;
 	until.tv_nsec %= NS_PER_S;
 	pthread_mutex_lock(&b->lock);
-	while (b->nresults[g->group] < DONE_MAX)
+	while (b->nresults[g->group] < COMMIT_ITEMS_MAX)
 		if (pthread_cond_timedwait(&b->results_ready, &b->lock, &until) != 0)
 			break;
 	list = b->results[g->group];
@@ -126,18 +126,18 @@
 void *batch_group_thread(void *arg)
 {
 	batch_group_t *g = arg;
-	deadline_t probe = 0;
+	deadline_t next_poll = 0;
 
 	for (;;) {
-		batch_item_t *list = wait_results(g);
+		batch_item_t *list = wait_for_results(g);
 
 		if (list) {
-			commit_items(g, list, count(list));
-			free_items(g->b, list);
-		} else if (batch_held(g->b) && clock_now_ms() >= probe &&
+			commit_items(g, list, count_items(list));
+			free_finished_items(g->b, list);
+		} else if (batch_held(g->b) && clock_now_ms() >= next_poll &&
 			   entry_lease_valid(g->b->en->snapshot)) {
 			commit_items(g, NULL, 0); /* asks which jobs were cancelled */
-			probe = clock_now_ms() + PROBE_MS;
+			next_poll = clock_now_ms() + CANCEL_POLL_MS;
 		}
 		if (entry_lease_valid(g->b->en->snapshot))
 			batch_lease_items(g);
--- a/src/entry/batch_feed.c
+++ b/src/entry/batch_feed.c
@@ -5,9 +5,9 @@
 #include <utlist.h>
 #include "base/metric.h"
 
-#define FEED_MS	  5
-#define NS_PER_MS 1000000
-#define NS_PER_S  1000000000
+#define FEED_INTERVAL_MS 5
+#define NS_PER_MS	 1000000
+#define NS_PER_S	 1000000000
 
 batch_service_t *batch_service_get(batch_runner_t *b, const char *name)
 {
@@ -21,17 +21,18 @@
 
 /* May it be offered to the replica? One that runs alone is offered to the same replica again and
  * again, whatever its room: the offer makes its owner empty it. */
-static bool offered_to(const batch_item_t *it, const upstream_t *u, bool batch_room, int64_t now)
+static bool may_offer(const batch_item_t *it, const upstream_t *u, bool has_headroom, int64_t now)
 {
 	if (it->not_before > now)
 		return false;
 	if (it->alone)
 		return !it->reserved || it->reserved == u || it->reserved_until <= now;
-	return batch_room || it->job[0] == 0;
+	return has_headroom || it->job[0] == 0;
 }
 
 /* Takes the waiting item that is due first of those that may be offered to the replica. */
-static batch_item_t *take(batch_runner_t *b, const upstream_info_t *info, bool batch_room)
+static batch_item_t *take_waiting_item(batch_runner_t *b, const upstream_info_t *info,
+				       bool has_headroom)
 {
 	const char *service = info->service;
 	int64_t now = clock_now_ms();
@@ -40,7 +41,7 @@
 	pthread_mutex_lock(&b->lock);
 	DL_FOREACH (b->waiting, it) {
 		if (strcmp(it->service, service) == 0 &&
-		    offered_to(it, info->upstream, batch_room, now))
+		    may_offer(it, info->upstream, has_headroom, now))
 			break;
 	}
 	if (it) {
@@ -51,50 +52,51 @@
 	return it;
 }
 
-static unsigned room_of(batch_runner_t *b, const upstream_info_t *info, const config_service_t *s)
+static unsigned get_headroom(batch_runner_t *b, const upstream_info_t *info,
+			     const config_service_t *s)
 {
-	entry_mode_t way = b->en->settings.mode;
+	entry_mode_t mode = b->en->settings.mode;
 
-	if (way == ENTRY_MODE_ALONE || way == ENTRY_MODE_ALONE_CANCEL)
+	if (mode == ENTRY_MODE_ALONE || mode == ENTRY_MODE_ALONE_CANCEL)
 		return upstream_reported_headroom(info->upstream, (unsigned)s->reserved_slots);
 	return local_replica_batch_headroom(info->replica);
 }
 
 typedef struct {
 	batch_runner_t *b;
-	const config_t *text;
-} feed_t;
+	const config_t *config;
+} feed_pass_t;
 
-static bool feed_one(void *ctx, const upstream_info_t *info)
+static bool feed_replica(void *ctx, const upstream_info_t *info)
 {
-	feed_t *f = ctx;
-	const config_service_t *s = config_find_service(f->text, str_c(info->service));
+	feed_pass_t *f = ctx;
+	const config_service_t *s = config_find_service(f->config, str_c(info->service));
 	batch_service_t *bs;
-	unsigned room;
+	unsigned headroom;
 	batch_item_t *it;
 
 	if (!s || !info->replica || info->state != WIRE_UPSTREAM_LIVE)
 		return true;
-	room = upstream_is_avoided(info->upstream) ? 0 : room_of(f->b, info, s);
-	while ((it = take(f->b, info, room > 0)) != NULL) {
+	headroom = upstream_is_avoided(info->upstream) ? 0 : get_headroom(f->b, info, s);
+	while ((it = take_waiting_item(f->b, info, headroom > 0)) != NULL) {
 		upstream_count_sent(info->upstream);
 		batch_item_run(it, info);
-		room = upstream_is_avoided(info->upstream) ? 0 : room_of(f->b, info, s);
+		headroom = upstream_is_avoided(info->upstream) ? 0 : get_headroom(f->b, info, s);
 	}
 	pthread_mutex_lock(&f->b->lock);
 	bs = batch_service_get(f->b, info->service);
-	bs->headroom += room;
+	bs->headroom += headroom;
 	bs->slots += (unsigned)s->slots;
 	pthread_mutex_unlock(&f->b->lock);
 	return true;
 }
 
-static void reset_rooms(batch_runner_t *b, const config_t *text)
+static void reset_headroom(batch_runner_t *b, const config_t *config)
 {
 	pthread_mutex_lock(&b->lock);
-	for (size_t i = 0; i < text->nservices; i++)
-		batch_service_get(b, text->services[i].name)->plain =
-			text->services[i].kind == CONFIG_PLAIN;
+	for (size_t i = 0; i < config->nservices; i++)
+		batch_service_get(b, config->services[i].name)->plain =
+			config->services[i].kind == CONFIG_PLAIN;
 	for (size_t i = 0; i < b->nservices; i++) {
 		b->services[i].headroom = 0;
 		b->services[i].slots = 0;
@@ -102,12 +104,12 @@
 	pthread_mutex_unlock(&b->lock);
 }
 
-static void wait_fed(batch_runner_t *b)
+static void wait_for_work(batch_runner_t *b)
 {
 	struct timespec until;
 
 	clock_gettime(CLOCK_MONOTONIC, &until);
-	until.tv_nsec += (long)FEED_MS * NS_PER_MS;
+	until.tv_nsec += (long)FEED_INTERVAL_MS * NS_PER_MS;
 	until.tv_sec += until.tv_nsec / NS_PER_S;
 	until.tv_nsec %= NS_PER_S;
 	pthread_mutex_lock(&b->lock);
@@ -123,12 +125,12 @@
 		AUTO_ENTRY_CONFIG *c = entry_config_get(b->en->snapshot);
 
 		if (c && entry_lease_valid(b->en->snapshot)) {
-			feed_t f = {b, c->config};
+			feed_pass_t f = {b, c->config};
 
-			reset_rooms(b, c->config);
-			upstream_each(b->en->upstreams, feed_one, &f);
+			reset_headroom(b, c->config);
+			upstream_each(b->en->upstreams, feed_replica, &f);
 		}
-		wait_fed(b);
+		wait_for_work(b);
 	}
 	return NULL;
 }
--- a/src/entry/batch_internal.h
+++ b/src/entry/batch_internal.h
@@ -56,7 +56,7 @@
 	uint64_t lease_seq[BATCH_GROUPS_MAX + 1]; /* last one answered in this session */
 } batch_service_t;
 
-struct bj {
+struct batch_runner {
 	entry_ctx_t *en;
 	pthread_mutex_t lock; /* guards all below */
 	pthread_cond_t work_ready; /* an item or a slot came */
--- a/src/entry/batch_item.c
+++ b/src/entry/batch_item.c
@@ -8,13 +8,13 @@
 #include "base/metric.h"
 #include "entry/ledger_client.h"
 
-#define RESUMES_MAX    3
-#define PAUSE_MS       50
-#define PAUSE_ALONE_MS 10
-#define PINNED_MS      10000
-#define ORPHAN_WAIT_MS 30000
+#define FAULT_RESUMES_MAX 3
+#define RETRY_PAUSE_MS	  50
+#define RETRY_ALONE_MS	  10
+#define RESERVE_MS	  10000
+#define ORPHAN_TIMEOUT_MS 30000
 
-static void read_body(batch_item_t *it)
+static void parse_body(batch_item_t *it)
 {
 	json_t *j = json_loadb(it->body, it->body_n, 0, NULL);
 	json_t *prompt = json_object_get(j, "prompt");
@@ -46,7 +46,7 @@
 	it->alone = a->alone;
 	it->repeatable = a->repeatable;
 	it->deadline = clock_now_ms() + (a->deadline_wall_ms - clock_wall_ms());
-	read_body(it);
+	parse_body(it);
 	return it;
 }
 
@@ -67,15 +67,15 @@
 
 void batch_item_enqueue(batch_runner_t *b, batch_item_t *it)
 {
-	batch_item_t *at;
+	batch_item_t *target;
 
 	batch_service_get(b, it->service)->waiting++;
-	DL_FOREACH (b->waiting, at) {
-		if (at->deadline > it->deadline)
+	DL_FOREACH (b->waiting, target) {
+		if (target->deadline > it->deadline)
 			break;
 	}
-	if (at)
-		DL_PREPEND_ELEM(b->waiting, at, it);
+	if (target)
+		DL_PREPEND_ELEM(b->waiting, target, it);
 	else
 		DL_APPEND(b->waiting, it);
 	pthread_cond_signal(&b->work_ready);
@@ -92,7 +92,7 @@
 	pthread_cond_broadcast(&b->results_ready);
 }
 
-static void end_done(batch_runner_t *b, batch_item_t *it)
+static void finish_done(batch_runner_t *b, batch_item_t *it)
 {
 	AUTO_BUF r = {0};
 
@@ -120,14 +120,14 @@
 }
 
 /* Without resume a stream that gave way begins anew. */
-static void drop_tokens(batch_item_t *it)
+static void discard_tokens(batch_item_t *it)
 {
 	it->ntokens = 0;
 	buf_drop_front(&it->text, it->text.n);
 }
 
 /* A stream that ended without being done: again from its tokens, or back to the ledger. */
-static void end_undone(batch_runner_t *b, batch_item_t *it, const attempt_end_t *end)
+static void finish_or_requeue(batch_runner_t *b, batch_item_t *it, const attempt_end_t *end)
 {
 	bool fault = end->outcome == ATTEMPT_STALLED || end->outcome == ATTEMPT_CROSSED;
 
@@ -135,24 +135,25 @@
 		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("cancelled"));
 	} else if (end->outcome == ATTEMPT_REJECTED) {
 		batch_item_finish(b, it, false, WIRE_BLAME_ITEM, end->message);
-	} else if (end->outcome == ATTEMPT_LOST || (fault && ++it->resumes > RESUMES_MAX)) {
+	} else if (end->outcome == ATTEMPT_LOST || (fault && ++it->resumes > FAULT_RESUMES_MAX)) {
 		batch_item_finish(b, it, false, WIRE_BLAME_REPLICA, end->message);
 	} else if (b->draining) {
 		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("its entry stops"));
 	} else {
 		if (end->outcome == ATTEMPT_PREEMPTED &&
 		    b->en->settings.preempt == OWNER_PREEMPT_CANCEL)
-			drop_tokens(it);
-		it->not_before = end->outcome == ATTEMPT_PREEMPTED ? 0 : clock_now_ms() + PAUSE_MS;
+			discard_tokens(it);
+		it->not_before =
+			end->outcome == ATTEMPT_PREEMPTED ? 0 : clock_now_ms() + RETRY_PAUSE_MS;
 		batch_item_enqueue(b, it);
 	}
 }
 
-static void on_end(void *ctx, const attempt_end_t *end)
+static void on_attempt_end(void *ctx, const attempt_end_t *end)
 {
 	batch_item_t *it = ctx;
 	batch_runner_t *b = it->b;
-	local_replica_t *ro;
+	local_replica_t *replica;
 
 	if (end->outcome != ATTEMPT_DONE)
 		log_event(LOG_LEVEL_INFO, "item_ended",
@@ -162,30 +163,30 @@
 			  LOG_INT("tokens", it->ntokens), LOG_STR("message", end->message));
 	pthread_mutex_lock(&b->lock);
 	DL_DELETE(b->running, it);
-	ro = it->replica;
+	replica = it->replica;
 	it->replica = NULL;
 	it->stream_id = 0;
 	if (it->reserved)
 		upstream_avoid(it->reserved, 0);
 	it->reserved = NULL;
 	if (end->outcome == ATTEMPT_DONE)
-		end_done(b, it);
+		finish_done(b, it);
 	else
-		end_undone(b, it, end);
+		finish_or_requeue(b, it, end);
 	pthread_cond_signal(&b->work_ready);
 	pthread_mutex_unlock(&b->lock);
-	local_replica_unref(ro);
+	local_replica_unref(replica);
 }
 
-static attempt_params_t work_of(const batch_item_t *it)
+static attempt_params_t make_params(const batch_item_t *it)
 {
 	AUTO_ENTRY_CONFIG *c = entry_config_get(it->b->en->snapshot);
 	const config_service_t *s = c ? config_find_service(c->config, str_c(it->service)) : NULL;
 	bool orphan = it->job[0] == 0;
 
 	return (attempt_params_t){.cls = orphan && !it->alone ? OWNER_ONLINE : OWNER_BATCH,
-				  .deadline =
-					  orphan ? clock_now_ms() + ORPHAN_WAIT_MS : it->deadline,
+				  .deadline = orphan ? clock_now_ms() + ORPHAN_TIMEOUT_MS
+						     : it->deadline,
 				  .alone = it->alone,
 				  .max_tokens = it->max_tokens,
 				  .resume_from = it->ntokens,
@@ -197,46 +198,47 @@
 				  .trace = str_c(it->trace)};
 }
 
-static void pin(batch_item_t *it, upstream_t *u)
+static void reserve_replica(batch_item_t *it, upstream_t *u)
 {
 	if (!it->alone || (it->reserved == u && it->reserved_until > clock_now_ms()))
 		return;
 	it->reserved = u;
-	it->reserved_until = clock_now_ms() + PINNED_MS;
+	it->reserved_until = clock_now_ms() + RESERVE_MS;
 	upstream_avoid(u, it->reserved_until);
 	log_event(LOG_LEVEL_INFO, "replica_emptied",
 		  LOG_CSTR("key", it->job[0] ? it->job : it->key), LOG_INT("index", it->index));
 }
 
-void batch_item_run(batch_item_t *it, const upstream_info_t *at)
+void batch_item_run(batch_item_t *it, const upstream_info_t *target)
 {
 	batch_runner_t *b = it->b;
-	attempt_sink_t sink = {it, on_token, on_end};
-	attempt_params_t w = work_of(it);
+	attempt_sink_t sink = {it, on_token, on_attempt_end};
+	attempt_params_t params = make_params(it);
 	int64_t retry_after_ms;
-	local_replica_t *ro = local_replica_ref(at->replica);
+	local_replica_t *replica = local_replica_ref(target->replica);
 	bool alone = it->alone;
 
 	pthread_mutex_lock(&b->lock);
-	it->replica = local_replica_ref(ro);
+	it->replica = local_replica_ref(replica);
 	DL_APPEND(b->running, it);
 	pthread_mutex_unlock(&b->lock);
-	if (w.resume_from)
-		log_event(LOG_LEVEL_INFO, "resumed", LOG_STR("key", w.key),
-			  LOG_INT("index", it->index), LOG_CSTR("upstream", at->id),
-			  LOG_INT("from", w.resume_from));
-	if (local_replica_offer(ro, &w, &sink, &it->stream_id, &retry_after_ms) == OWNER_REFUSED) {
+	if (params.resume_from)
+		log_event(LOG_LEVEL_INFO, "resumed", LOG_STR("key", params.key),
+			  LOG_INT("index", it->index), LOG_CSTR("upstream", target->id),
+			  LOG_INT("from", params.resume_from));
+	if (local_replica_offer(replica, &params, &sink, &it->stream_id, &retry_after_ms) ==
+	    OWNER_REFUSED) {
 		pthread_mutex_lock(&b->lock);
 		DL_DELETE(b->running, it);
 		it->replica = NULL;
 		it->stream_id = 0;
-		it->not_before = clock_now_ms() + (it->alone ? PAUSE_ALONE_MS : PAUSE_MS);
-		pin(it, at->upstream);
+		it->not_before = clock_now_ms() + (it->alone ? RETRY_ALONE_MS : RETRY_PAUSE_MS);
+		reserve_replica(it, target->upstream);
 		batch_item_enqueue(b, it);
 		pthread_mutex_unlock(&b->lock);
 		if (alone)
-			local_replica_preempt_newest(ro);
-		local_replica_unref(ro);
+			local_replica_preempt_newest(replica);
+		local_replica_unref(replica);
 	}
-	local_replica_unref(ro);
+	local_replica_unref(replica);
 }
--- a/src/entry/batch_lease.c
+++ b/src/entry/batch_lease.c
@@ -10,16 +10,16 @@
 #include "entry/inflight.h"
 #include "state/ledger.h"
 
-#define LEASE_MS	 3000
-#define PAUSE_MIN_MS	 50
-#define PAUSE_MAX_MS	 500
-#define PLAIN_PAUSE_MS	 1000
-#define PLAIN_ITEMS	 4
-#define AHEAD_DIVISOR	 4 /* items held beyond the free room: a quarter of the slots */
-#define CALL_DEADLINE_MS 30000
+#define LEASE_TIMEOUT_MS	3000
+#define BACKOFF_MIN_MS		50
+#define BACKOFF_MAX_MS		500
+#define PLAIN_LEASE_INTERVAL_MS 1000
+#define PLAIN_ITEMS_MAX		4
+#define PREFETCH_DIVISOR	4 /* items held beyond the free room: a quarter of the slots */
+#define PLAIN_TIMEOUT_MS	30000
 
 /* A new session: what an earlier one leased was given to others. */
-static void check_session(batch_runner_t *b)
+static void handle_session_change(batch_runner_t *b)
 {
 	uint64_t session = entry_session(b->en->snapshot);
 	batch_item_t *it;
@@ -42,7 +42,7 @@
 	pthread_mutex_unlock(&b->lock);
 }
 
-static void *plain_thread(void *arg)
+static void *plain_call_thread(void *arg)
 {
 	batch_item_t *it = arg;
 	batch_runner_t *b = it->b;
@@ -53,7 +53,7 @@
 			  .path = str_c(it->path),
 			  .body = {it->body, it->body_n},
 			  .trace = str_c(it->trace),
-			  .deadline = clock_now_ms() + CALL_DEADLINE_MS};
+			  .deadline = clock_now_ms() + PLAIN_TIMEOUT_MS};
 	plain_call_end_t end = {0};
 
 	plain_call_run(b->en, &c, &end);
@@ -66,16 +66,16 @@
 	return NULL;
 }
 
-static void run_plain(batch_item_t *it)
+static void start_plain_call(batch_item_t *it)
 {
 	pthread_t t;
 
-	if (pthread_create(&t, NULL, plain_thread, it) != 0)
+	if (pthread_create(&t, NULL, plain_call_thread, it) != 0)
 		abort();
 	pthread_detach(t);
 }
 
-static void take_item(batch_group_t *g, const char *service, bool plain, const wire_item_t *a)
+static void accept_item(batch_group_t *g, const char *service, bool plain, const wire_item_t *a)
 {
 	batch_runner_t *b = g->b;
 	batch_item_t *it;
@@ -98,14 +98,14 @@
 		run = true;
 	pthread_mutex_unlock(&b->lock);
 	if (run)
-		run_plain(it);
+		start_plain_call(it);
 }
 
-static unsigned take_answer(batch_group_t *g, const char *service, bool plain,
-			    const wire_ledger_res_t *res)
+static unsigned accept_lease(batch_group_t *g, const char *service, bool plain,
+			     const wire_ledger_res_t *res)
 {
 	for (u_int i = 0; i < res->items.items_len; i++)
-		take_item(g, service, plain, &res->items.items_val[i]);
+		accept_item(g, service, plain, &res->items.items_val[i]);
 	for (u_int i = 0; i < res->cancelled.cancelled_len; i++)
 		batch_cancel_job(g->b, wire_str(res->cancelled.cancelled_val[i].caller),
 				 wire_str(res->cancelled.cancelled_val[i].job));
@@ -113,8 +113,8 @@
 }
 
 /* Number of items leased; the same count again after an answer that was lost. */
-static unsigned lease(batch_group_t *g, batch_service_t *s, const char *service, bool plain,
-		      unsigned max)
+static unsigned request_lease(batch_group_t *g, batch_service_t *s, const char *service, bool plain,
+			      unsigned max)
 {
 	batch_runner_t *b = g->b;
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_LEASE};
@@ -128,18 +128,18 @@
 						       .max = max,
 						       .now_wall_ms = clock_wall_ms()};
 	st = control_client_ledger_group(b->en->control_client, g->group, &cmd, &res,
-					 clock_now_ms() + LEASE_MS);
+					 clock_now_ms() + LEASE_TIMEOUT_MS);
 	if (st == STATUS_OK) {
 		s->lease_seq[g->group]++;
 		if (res.status == STATUS_OK && b->session == entry_session(b->en->snapshot))
-			n = take_answer(g, service, plain, &res);
+			n = accept_lease(g, service, plain, &res);
 	}
 	wire_free(XDR_PROC(wire_ledger_res_t), &res);
 	return n;
 }
 
 /* How many items to lease now, and of which service; NULL when none are wanted. */
-static const char *wanted(batch_group_t *g, size_t i, unsigned *max, bool *plain)
+static const char *items_wanted(batch_group_t *g, size_t i, unsigned *max, bool *plain)
 {
 	batch_runner_t *b = g->b;
 	const char *name = NULL;
@@ -150,8 +150,8 @@
 	pthread_mutex_lock(&b->lock);
 	s = &b->services[i];
 	*plain = s->plain;
-	target = s->plain ? PLAIN_ITEMS
-			  : s->headroom + (s->slots + AHEAD_DIVISOR - 1) / AHEAD_DIVISOR;
+	target = s->plain ? PLAIN_ITEMS_MAX
+			  : s->headroom + (s->slots + PREFETCH_DIVISOR - 1) / PREFETCH_DIVISOR;
 	if (!b->draining && target > s->waiting && s->next_lease[g->group] <= clock_now_ms()) {
 		*max = (target - s->waiting + groups - 1) / groups;
 		if (*max > LEDGER_LEASE_ITEMS_MAX)
@@ -162,19 +162,19 @@
 	return name;
 }
 
-static void set_next(batch_group_t *g, size_t i, unsigned got)
+static void schedule_next_lease(batch_group_t *g, size_t i, unsigned leased)
 {
 	batch_service_t *s = &g->b->services[i];
-	int64_t *pause = &s->backoff_ms[g->group];
+	int64_t *backoff = &s->backoff_ms[g->group];
 
 	pthread_mutex_lock(&g->b->lock);
 	if (s->plain)
-		*pause = PLAIN_PAUSE_MS;
-	else if (got)
-		*pause = 0;
-	else if (*pause < PAUSE_MAX_MS)
-		*pause = *pause ? *pause * 2 : PAUSE_MIN_MS;
-	s->next_lease[g->group] = clock_now_ms() + *pause;
+		*backoff = PLAIN_LEASE_INTERVAL_MS;
+	else if (leased)
+		*backoff = 0;
+	else if (*backoff < BACKOFF_MAX_MS)
+		*backoff = *backoff ? *backoff * 2 : BACKOFF_MIN_MS;
+	s->next_lease[g->group] = clock_now_ms() + *backoff;
 	pthread_mutex_unlock(&g->b->lock);
 }
 
@@ -182,16 +182,17 @@
 {
 	size_t n;
 
-	check_session(g->b);
+	handle_session_change(g->b);
 	pthread_mutex_lock(&g->b->lock);
 	n = g->b->nservices;
 	pthread_mutex_unlock(&g->b->lock);
 	for (size_t i = 0; i < n; i++) {
 		unsigned max = 0;
 		bool plain = false;
-		const char *name = wanted(g, i, &max, &plain);
+		const char *name = items_wanted(g, i, &max, &plain);
 
 		if (name)
-			set_next(g, i, lease(g, &g->b->services[i], name, plain, max));
+			schedule_next_lease(g, i,
+					    request_lease(g, &g->b->services[i], name, plain, max));
 	}
 }
--- a/src/entry/bearer_keys.c
+++ b/src/entry/bearer_keys.c
@@ -11,11 +11,11 @@
 	unsigned char hash[crypto_shorthash_BYTES];
 	const entry_identity_t *id;
 	UT_hash_handle hh;
-} entry_t;
+} key_entry_t;
 
-struct ki {
+struct bearer_keys {
 	unsigned char secret[crypto_shorthash_KEYBYTES];
-	entry_t *entries;
+	key_entry_t *entries;
 };
 
 static void hash_key(const bearer_keys_t *k, str_t key, unsigned char out[crypto_shorthash_BYTES])
@@ -29,7 +29,7 @@
 
 	crypto_shorthash_keygen(k->secret);
 	for (size_t i = 0; i < n; i++) {
-		entry_t *e = mem_new(sizeof(*e));
+		key_entry_t *e = mem_new(sizeof(*e));
 
 		hash_key(k, str_c(ids[i].key), e->hash);
 		e->id = &ids[i];
@@ -41,7 +41,7 @@
 bool bearer_keys_find(const bearer_keys_t *k, str_t key, str_t *name)
 {
 	unsigned char hash[crypto_shorthash_BYTES];
-	entry_t *e;
+	key_entry_t *e;
 
 	hash_key(k, key, hash);
 	HASH_FIND(hh, k->entries, hash, sizeof(hash), e);
--- a/src/entry/bearer_keys.h
+++ b/src/entry/bearer_keys.h
@@ -4,7 +4,7 @@
 
 #include "entry/entry_settings.h"
 
-typedef struct ki bearer_keys_t;
+typedef struct bearer_keys bearer_keys_t;
 
 /** The identities must outlive it. */
 bearer_keys_t *bearer_keys_new(const entry_identity_t *ids, size_t n);
--- a/src/entry/completion.c
+++ b/src/entry/completion.c
@@ -11,15 +11,15 @@
 #include "entry/inflight.h"
 #include "policy/retry.h"
 
-#define TRIES_MAX      8
-#define LOST_MAX       3 /* replicas that a request may lose before it is given up */
-#define REFUSED_MAX    3 /* owners that say it can't make its deadline */
-#define NONE_PAUSE_MS  20
-#define RESUME_WAIT_MS 30000 /* for a replica to resume on, once tokens were given */
-#define THREAD_STACK   (256 << 10)
-#define FAIL_RETRY_MS  1000
-
-struct rq {
+#define TRIED_MAX	   8
+#define LOST_REPLICAS_MAX  3 /* replicas that a request may lose before it is given up */
+#define REFUSALS_MAX	   3 /* owners that say it can't make its deadline */
+#define PICK_PAUSE_MS	   20
+#define RESUME_TIMEOUT_MS  30000 /* for a replica to resume on, once tokens were given */
+#define THREAD_STACK_BYTES (256 << 10)
+#define RETRY_AFTER_MS	   1000
+
+struct completion {
 	atomic_int refs;
 	entry_ctx_t *en;
 	uint64_t session; /* that accepted it */
@@ -37,30 +37,30 @@
 	pthread_cond_t cond;
 	unsigned attempt; /* number of the attempt whose tokens count */
 	bool attempt_ended;
-	attempt_outcome_t end_kind;
+	attempt_outcome_t end_outcome;
 	int64_t end_retry_after_ms;
 	buf_t end_message;
 	unsigned ntokens;
 	buf_t text;
-	buf_t out; /* events not yet read */
+	buf_t events; /* events not yet read */
 	bool ended;
 	completion_outcome_t outcome;
 	buf_t message;
 	buf_t result;
 	/* used by the running thread only */
-	upstream_t *tried[TRIES_MAX];
+	upstream_t *tried[TRIED_MAX];
 	size_t ntried;
-	int lost;
-	int refused;
+	int nlost;
+	int nrefused;
 };
 
 /* The sink of one attempt; late callbacks of a dropped attempt find another number and are lost. */
 typedef struct {
 	completion_t *r;
 	unsigned attempt;
-} attempt_t;
+} attempt_ctx_t;
 
-static completion_t *rq_ref(completion_t *r)
+static completion_t *take_ref(completion_t *r)
 {
 	atomic_fetch_add(&r->refs, 1);
 	return r;
@@ -77,7 +77,7 @@
 	free(r->prompt);
 	buf_free(&r->end_message);
 	buf_free(&r->text);
-	buf_free(&r->out);
+	buf_free(&r->events);
 	buf_free(&r->message);
 	buf_free(&r->result);
 	pthread_cond_destroy(&r->cond);
@@ -85,18 +85,18 @@
 	free(r);
 }
 
-static void add_event(completion_t *r, unsigned index, str_t text)
+static void append_token_event(completion_t *r, unsigned index, str_t text)
 {
-	buf_add(&r->out, STR("data: {\"id\":"));
-	buf_add_json(&r->out, str_c(r->key));
-	buf_addf(&r->out, ",\"index\":%u,\"choices\":[{\"index\":0,\"text\":", index);
-	buf_add_json(&r->out, text);
-	buf_add(&r->out, STR("}]}\n\n"));
+	buf_add(&r->events, STR("data: {\"id\":"));
+	buf_add_json(&r->events, str_c(r->key));
+	buf_addf(&r->events, ",\"index\":%u,\"choices\":[{\"index\":0,\"text\":", index);
+	buf_add_json(&r->events, text);
+	buf_add(&r->events, STR("}]}\n\n"));
 }
 
 static void on_token(void *ctx, unsigned index, str_t text)
 {
-	attempt_t *a = ctx;
+	attempt_ctx_t *a = ctx;
 	completion_t *r = a->r;
 
 	pthread_mutex_lock(&r->lock);
@@ -107,21 +107,21 @@
 			metric_record(metric_get(METRIC_HISTOGRAM, "auburn_first_token_us", NULL),
 				      clock_now_us() - r->span.start_us);
 		buf_add(&r->text, text);
-		add_event(r, index, text);
+		append_token_event(r, index, text);
 		pthread_cond_broadcast(&r->cond);
 	}
 	pthread_mutex_unlock(&r->lock);
 }
 
-static void on_end(void *ctx, const attempt_end_t *end)
+static void on_attempt_end(void *ctx, const attempt_end_t *end)
 {
-	attempt_t *a = ctx;
+	attempt_ctx_t *a = ctx;
 	completion_t *r = a->r;
 
 	pthread_mutex_lock(&r->lock);
 	if (a->attempt == r->attempt) {
 		r->attempt_ended = true;
-		r->end_kind = end->outcome;
+		r->end_outcome = end->outcome;
 		r->end_retry_after_ms = end->retry_after_ms;
 		buf_free(&r->end_message);
 		buf_add(&r->end_message, end->message);
@@ -134,33 +134,33 @@
 
 static void run_attempt(completion_t *r, const upstream_choice_t *c)
 {
-	attempt_t *a = mem_new(sizeof(*a));
-	attempt_sink_t sink = {a, on_token, on_end};
-	attempt_params_t w = {.cls = OWNER_ONLINE,
-			      .deadline = r->deadline,
-			      .max_tokens = r->max_tokens,
-			      .caller = str_c(r->caller),
-			      .key = str_c(r->key),
-			      .service = str_c(r->service),
-			      .model = str_c(r->model),
-			      .prompt = {r->prompt, r->prompt_n},
-			      .trace = str_c(r->trace)};
+	attempt_ctx_t *a = mem_new(sizeof(*a));
+	attempt_sink_t sink = {a, on_token, on_attempt_end};
+	attempt_params_t params = {.cls = OWNER_ONLINE,
+				   .deadline = r->deadline,
+				   .max_tokens = r->max_tokens,
+				   .caller = str_c(r->caller),
+				   .key = str_c(r->key),
+				   .service = str_c(r->service),
+				   .model = str_c(r->model),
+				   .prompt = {r->prompt, r->prompt_n},
+				   .trace = str_c(r->trace)};
 	attempt_handle_t h;
 
 	pthread_mutex_lock(&r->lock);
 	r->attempt++;
 	r->attempt_ended = false;
-	w.resume_from = r->ntokens;
+	params.resume_from = r->ntokens;
 	if (r->ntokens)
-		w.deadline = clock_now_ms() + RESUME_WAIT_MS;
+		params.deadline = clock_now_ms() + RESUME_TIMEOUT_MS;
 	pthread_mutex_unlock(&r->lock);
-	*a = (attempt_t){rq_ref(r), r->attempt};
-	if (w.resume_from) {
+	*a = (attempt_ctx_t){take_ref(r), r->attempt};
+	if (params.resume_from) {
 		log_event(LOG_LEVEL_INFO, "resumed", LOG_CSTR("key", r->key),
-			  LOG_CSTR("upstream", c->id), LOG_INT("from", w.resume_from));
+			  LOG_CSTR("upstream", c->id), LOG_INT("from", params.resume_from));
 		METRIC_INC("auburn_resumed_total");
 	}
-	attempt_start(r->en, c, &w, &sink, &h);
+	attempt_start(r->en, c, &params, &sink, &h);
 	pthread_mutex_lock(&r->lock);
 	while (!r->attempt_ended)
 		pthread_cond_wait(&r->cond, &r->lock);
@@ -180,50 +180,50 @@
 					    .retry_after_ms = retry_after_ms};
 }
 
-static void fail_unplaced(completion_t *r, str_t message, int64_t retry_after_ms)
+static void fail_without_replica(completion_t *r, str_t message, int64_t retry_after_ms)
 {
-	verdict_t v = r->ntokens || r->lost ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
+	verdict_t v = r->ntokens || r->nlost ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
 
 	set_outcome(r, 503, v, "no_replica", message,
-		    retry_after_ms > 0 ? retry_after_ms : FAIL_RETRY_MS);
+		    retry_after_ms > 0 ? retry_after_ms : RETRY_AFTER_MS);
 }
 
 /* Time until which a replica is looked for. */
-static deadline_t place_deadline(const completion_t *r, deadline_t lost_at)
+static deadline_t placement_deadline(const completion_t *r, deadline_t lost_at)
 {
-	return r->ntokens ? lost_at + RESUME_WAIT_MS : r->deadline;
+	return r->ntokens ? lost_at + RESUME_TIMEOUT_MS : r->deadline;
 }
 
-static bool pick(completion_t *r, upstream_choice_t *c, deadline_t until)
+static bool pick_replica(completion_t *r, upstream_choice_t *c, deadline_t until)
 {
 	while (!upstream_pick(r->en->upstreams, str_c(r->service), (str_t){r->prompt, r->prompt_n},
 			      r->tried, r->ntried, c)) {
 		if (clock_now_ms() >= until)
 			return false;
 		r->ntried = 0; /* all have been tried: once more, after a pause */
-		clock_sleep_ms(NONE_PAUSE_MS);
+		clock_sleep_ms(PICK_PAUSE_MS);
 	}
 	return true;
 }
 
 /* True if the request goes on with another attempt. */
-static bool judge(completion_t *r, const upstream_choice_t *c)
+static bool retry_after_failure(completion_t *r, const upstream_choice_t *c)
 {
 	log_event(LOG_LEVEL_INFO, "retried", LOG_CSTR("key", r->key), LOG_CSTR("upstream", c->id),
-		  LOG_CSTR("ended", attempt_outcome_name(r->end_kind)),
+		  LOG_CSTR("ended", attempt_outcome_name(r->end_outcome)),
 		  LOG_INT("tokens", r->ntokens), LOG_STR("message", str_buf(&r->end_message)));
-	if (r->ntried == TRIES_MAX)
+	if (r->ntried == TRIED_MAX)
 		r->ntried = 0;
 	r->tried[r->ntried++] = c->upstream;
-	switch (r->end_kind) {
+	switch (r->end_outcome) {
 	case ATTEMPT_REJECTED:
 		set_outcome(r, 422, VERDICT_NOT_RUN, "rejected", str_buf(&r->end_message), 0);
 		return false;
 	case ATTEMPT_REFUSED:
-		r->refused += r->end_retry_after_ms > 0;
-		if (r->refused < REFUSED_MAX || r->ntokens)
+		r->nrefused += r->end_retry_after_ms > 0;
+		if (r->nrefused < REFUSALS_MAX || r->ntokens)
 			return true;
-		fail_unplaced(r, str_buf(&r->end_message), r->end_retry_after_ms);
+		fail_without_replica(r, str_buf(&r->end_message), r->end_retry_after_ms);
 		return false;
 	case ATTEMPT_UNREACHED:
 	case ATTEMPT_PREEMPTED:
@@ -232,7 +232,7 @@
 	default:
 		break;
 	}
-	if (++r->lost < LOST_MAX)
+	if (++r->nlost < LOST_REPLICAS_MAX)
 		return ledger_client_take_retry(r->en, str_c(r->service));
 	set_outcome(r, 502, VERDICT_MAY_HAVE_RUN, "replicas_lost", str_buf(&r->end_message), 0);
 	return false;
@@ -244,32 +244,33 @@
 	upstream_choice_t c;
 
 	for (;;) {
-		deadline_t until = place_deadline(r, lost_at);
+		deadline_t until = placement_deadline(r, lost_at);
 		bool more;
 
-		if (!pick(r, &c, until)) {
-			fail_unplaced(r, STR("no replica can take it before its deadline"),
-				      r->end_retry_after_ms);
+		if (!pick_replica(r, &c, until)) {
+			fail_without_replica(r, STR("no replica can take it before its deadline"),
+					     r->end_retry_after_ms);
 			return;
 		}
 		run_attempt(r, &c);
 		lost_at = clock_now_ms();
-		if (r->end_kind == ATTEMPT_DONE) {
+		if (r->end_outcome == ATTEMPT_DONE) {
 			local_replica_unref(c.replica);
 			assert(r->ntokens == r->max_tokens);
 			set_outcome(r, 200, VERDICT_RAN, NULL, STR(""), 0);
 			return;
 		}
-		more = judge(r, &c);
+		more = retry_after_failure(r, &c);
 		local_replica_unref(c.replica);
 		if (!more) {
 			if (!r->outcome.code)
-				fail_unplaced(r, STR("the retry budget is used up"), FAIL_RETRY_MS);
+				fail_without_replica(r, STR("the retry budget is used up"),
+						     RETRY_AFTER_MS);
 			return;
 		}
-		if (r->end_kind == ATTEMPT_REFUSED &&
-		    clock_now_ms() >= place_deadline(r, lost_at)) {
-			fail_unplaced(r, str_buf(&r->end_message), r->end_retry_after_ms);
+		if (r->end_outcome == ATTEMPT_REFUSED &&
+		    clock_now_ms() >= placement_deadline(r, lost_at)) {
+			fail_without_replica(r, str_buf(&r->end_message), r->end_retry_after_ms);
 			return;
 		}
 	}
@@ -289,34 +290,34 @@
 	buf_addf(&r->result, ",\"tokens\":%u,\"verdict\":\"ran\"}", r->ntokens);
 }
 
-static void add_last_event(completion_t *r)
+static void append_final_event(completion_t *r)
 {
 	if (r->outcome.ok) {
-		buf_add(&r->out, STR("data: [DONE]\n\n"));
+		buf_add(&r->events, STR("data: [DONE]\n\n"));
 		return;
 	}
-	buf_add(&r->out, STR("event: error\ndata: "));
-	buf_add(&r->out, str_buf(&r->result));
-	buf_add(&r->out, STR("\n\n"));
+	buf_add(&r->events, STR("event: error\ndata: "));
+	buf_add(&r->events, str_buf(&r->result));
+	buf_add(&r->events, STR("\n\n"));
 }
 
-static void disown(completion_t *r)
+static void fail_session_lost(completion_t *r)
 {
 	set_outcome(r, 503, VERDICT_MAY_HAVE_RUN, "session_lost",
 		    STR("another entry may have taken it over: ask again under the same key"),
-		    FAIL_RETRY_MS);
+		    RETRY_AFTER_MS);
 	buf_free(&r->result);
 	write_result(r);
 }
 
 /* Another entry's end stands. Its answer can't follow the tokens that were given from here. */
-static void adopt(completion_t *r, const ledger_client_end_t *standing)
+static void adopt_stored_end(completion_t *r, const ledger_client_end_t *standing)
 {
 	buf_free(&r->result);
 	if (standing->done) {
 		set_outcome(r, 409, VERDICT_RAN, "superseded",
 			    STR("another entry's answer stands: ask again under the same key"),
-			    FAIL_RETRY_MS);
+			    RETRY_AFTER_MS);
 		write_result(r);
 		return;
 	}
@@ -325,7 +326,7 @@
 	buf_add(&r->result, str_buf(&standing->result));
 }
 
-static void commit(completion_t *r)
+static void commit_end(completion_t *r)
 {
 	const ledger_client_finish_t f = {.caller = str_c(r->caller),
 					  .key = str_c(r->key),
@@ -338,14 +339,14 @@
 
 	/* In a later session another entry may run it: its end is not for this one to tell. */
 	if (!r->outcome.ok && entry_session(r->en->snapshot) != r->session) {
-		disown(r);
+		fail_session_lost(r);
 		return;
 	}
 	st = ledger_client_finish(r->en, &f, &standing);
 	if (st == STATUS_OK)
 		return;
 	if (st == STATUS_CONFLICT) {
-		adopt(r, &standing);
+		adopt_stored_end(r, &standing);
 		buf_free(&standing.result);
 		return;
 	}
@@ -355,7 +356,7 @@
 		return;
 	set_outcome(r, 503, VERDICT_MAY_HAVE_RUN, "result_not_committed",
 		    STR("the result could not be stored yet: ask again under the same key"),
-		    FAIL_RETRY_MS);
+		    RETRY_AFTER_MS);
 	buf_free(&r->result);
 	write_result(r);
 }
@@ -366,11 +367,11 @@
 
 	run_attempts(r);
 	write_result(r);
-	commit(r);
+	commit_end(r);
 	pthread_mutex_lock(&r->lock);
 	r->outcome.message = str_buf(&r->message);
 	r->outcome.result = str_buf(&r->result);
-	add_last_event(r);
+	append_final_event(r);
 	r->ended = true;
 	pthread_cond_broadcast(&r->cond);
 	pthread_mutex_unlock(&r->lock);
@@ -406,7 +407,7 @@
 	atomic_fetch_add(&r->en->running_requests, 1);
 	pthread_attr_init(&attr);
 	pthread_attr_setdetachstate(&attr, PTHREAD_CREATE_DETACHED);
-	pthread_attr_setstacksize(&attr, THREAD_STACK);
+	pthread_attr_setstacksize(&attr, THREAD_STACK_BYTES);
 	if (pthread_create(&t, &attr, run_thread, r) != 0)
 		abort();
 	pthread_attr_destroy(&attr);
@@ -436,26 +437,26 @@
 	return any;
 }
 
-size_t completion_read(completion_t *r, char *out, size_t max)
+size_t completion_read(completion_t *r, char *events, size_t max)
 {
 	size_t n;
 
 	pthread_mutex_lock(&r->lock);
-	while (!r->ended && r->out.n == 0)
+	while (!r->ended && r->events.n == 0)
 		pthread_cond_wait(&r->cond, &r->lock);
-	n = r->out.n < max ? r->out.n : max;
+	n = r->events.n < max ? r->events.n : max;
 	if (n)
-		memcpy(out, r->out.p, n);
-	buf_drop_front(&r->out, n);
+		memcpy(events, r->events.p, n);
+	buf_drop_front(&r->events, n);
 	pthread_mutex_unlock(&r->lock);
 	return n;
 }
 
-void completion_wait_end(completion_t *r, completion_outcome_t *out)
+void completion_wait_end(completion_t *r, completion_outcome_t *events)
 {
 	pthread_mutex_lock(&r->lock);
 	while (!r->ended)
 		pthread_cond_wait(&r->cond, &r->lock);
-	*out = r->outcome;
+	*events = r->outcome;
 	pthread_mutex_unlock(&r->lock);
 }
--- a/src/entry/completion.h
+++ b/src/entry/completion.h
@@ -8,7 +8,7 @@
 #include "entry/entry.h"
 #include "base/trace.h"
 
-typedef struct rq completion_t;
+typedef struct completion completion_t;
 
 typedef struct {
 	entry_ctx_t *en;
--- a/src/entry/config_api.c
+++ b/src/entry/config_api.c
@@ -4,14 +4,14 @@
 #include "base/log.h"
 #include "base/metric.h"
 
-#define CALL_MS	 5000
-#define RETRY_MS 1000
+#define CALL_TIMEOUT_MS 5000
+#define RETRY_AFTER_MS	1000
 
-static int unreachable(struct _u_response *res, status_t st)
+static int reply_unreachable(struct _u_response *res, status_t st)
 {
 	return httpd_error(res, 503, "control_unreachable", str_c(status_message()),
 			   st == STATUS_UNAVAILABLE ? VERDICT_NOT_RUN : VERDICT_MAY_HAVE_RUN,
-			   RETRY_MS);
+			   RETRY_AFTER_MS);
 }
 
 int config_api_get(const struct _u_request *req, struct _u_response *res, void *ctx)
@@ -26,9 +26,9 @@
 	if (!httpd_auth_operator(en, req, res, &name))
 		return U_CALLBACK_COMPLETE;
 	q.wire_query_t_u.number = (uint64_t)httpd_int(httpd_param(req, "number"), 0);
-	st = control_client_query(en->control_client, 0, &q, &r, clock_now_ms() + CALL_MS);
+	st = control_client_query(en->control_client, 0, &q, &r, clock_now_ms() + CALL_TIMEOUT_MS);
 	if (st != STATUS_OK) {
-		unreachable(res, st);
+		reply_unreachable(res, st);
 	} else if (r.status != STATUS_OK) {
 		httpd_error(res, 404, "no_such_text", wire_str(r.message), VERDICT_NOT_RUN, 0);
 	} else {
@@ -44,19 +44,19 @@
 	return U_CALLBACK_COMPLETE;
 }
 
-static bool valid_text(str_t text, struct _u_response *res)
+static bool check_config(str_t text, struct _u_response *res)
 {
-	config_t *t = NULL;
-	status_t st = config_parse(text, &t);
+	config_t *config = NULL;
+	status_t st = config_parse(text, &config);
 
-	config_free(t);
+	config_free(config);
 	if (st == STATUS_OK)
 		return true;
 	httpd_error(res, 400, "bad_text", str_c(status_message()), VERDICT_NOT_RUN, 0);
 	return false;
 }
 
-static void reply_submitted(struct _u_response *res, uint64_t number, const wire_fleet_res_t *r)
+static void reply_submit_result(struct _u_response *res, uint64_t number, const wire_fleet_res_t *r)
 {
 	AUTO_BUF b = {0};
 
@@ -87,19 +87,19 @@
 	status_t st;
 
 	if (!httpd_auth_operator(en, req, res, &name) || !httpd_check_body_size(en, req, res) ||
-	    !valid_text(httpd_body(req), res))
+	    !check_config(httpd_body(req), res))
 		return U_CALLBACK_COMPLETE;
 	cmd.wire_fleet_cmd_t_u.submit = (wire_config_submit_t){.number = number,
 							       .text = wire_bytes(httpd_body(req)),
 							       .operator_name = wire_bytes(name)};
-	st = control_client_fleet(en->control_client, &cmd, &r, clock_now_ms() + CALL_MS);
+	st = control_client_fleet(en->control_client, &cmd, &r, clock_now_ms() + CALL_TIMEOUT_MS);
 	log_event(LOG_LEVEL_INFO, "text_submitted", LOG_INT("number", number),
 		  LOG_STR("operator", name),
 		  LOG_CSTR("status", status_name(st == STATUS_OK ? (status_t)r.status : st)));
 	if (st == STATUS_OK)
-		reply_submitted(res, number, &r);
+		reply_submit_result(res, number, &r);
 	else
-		unreachable(res, st);
+		reply_unreachable(res, st);
 	wire_free(XDR_PROC(wire_fleet_res_t), &r);
 	return U_CALLBACK_COMPLETE;
 }
@@ -110,7 +110,7 @@
 	str_t name;
 
 	if (httpd_auth_operator(en, req, res, &name) && httpd_check_body_size(en, req, res) &&
-	    valid_text(httpd_body(req), res))
+	    check_config(httpd_body(req), res))
 		httpd_json(res, 200, STR("{\"ok\":true}"));
 	return U_CALLBACK_COMPLETE;
 }
--- a/src/entry/engine_stream.c
+++ b/src/entry/engine_stream.c
@@ -16,21 +16,21 @@
 #define HTTP_TOO_MANY	  429
 #define HTTP_SERVER_ERROR 500
 
-engine_stream_t *engine_stream_new(uint64_t id, const attempt_params_t *w,
+engine_stream_t *engine_stream_new(uint64_t id, const attempt_params_t *params,
 				   const attempt_sink_t *sink)
 {
 	engine_stream_t *s = mem_new(sizeof(*s));
 
 	s->id = id;
-	s->cls = w->cls;
-	s->max_tokens = w->max_tokens;
-	s->next_index = w->resume_from;
-	s->key = str_dup(w->key);
-	s->model = str_dup(w->model);
-	s->prompt = str_dup(w->prompt);
-	s->prompt_n = w->prompt.n;
+	s->cls = params->cls;
+	s->max_tokens = params->max_tokens;
+	s->next_index = params->resume_from;
+	s->key = str_dup(params->key);
+	s->model = str_dup(params->model);
+	s->prompt = str_dup(params->prompt);
+	s->prompt_n = params->prompt.n;
 	s->sink = *sink;
-	trace_begin(&s->span, "replica", w->trace);
+	trace_begin(&s->span, "replica", params->trace);
 	return s;
 }
 
@@ -43,14 +43,14 @@
 	free(s);
 }
 
-static void break_off(engine_stream_t *s, attempt_outcome_t kind, const char *why)
+static void abort_stream(engine_stream_t *s, attempt_outcome_t outcome, const char *why)
 {
 	s->aborted = true;
-	s->abort_outcome = kind;
+	s->abort_outcome = outcome;
 	buf_add(&s->message, str_c(why));
 }
 
-static void take_token(engine_stream_t *s, json_t *j)
+static void handle_token(engine_stream_t *s, json_t *j)
 {
 	const char *id = json_string_value(json_object_get(j, "id"));
 	json_int_t index = json_integer_value(json_object_get(j, "index"));
@@ -61,12 +61,12 @@
 		log_event(LOG_LEVEL_WARN, "crossed_answer", LOG_CSTR("key", s->key),
 			  LOG_CSTR("attempt", s->attempt_id), LOG_CSTR("got", id ? id : ""));
 		METRIC_INC("auburn_crossed_answers_total");
-		break_off(s, ATTEMPT_CROSSED, "the engine sent another attempt's answer");
+		abort_stream(s, ATTEMPT_CROSSED, "the engine sent another attempt's answer");
 		return;
 	}
 	if (!json_is_string(text) || index != (json_int_t)s->next_index ||
 	    s->next_index >= s->max_tokens) {
-		break_off(s, ATTEMPT_LOST, "the engine left a token out");
+		abort_stream(s, ATTEMPT_LOST, "the engine left a token out");
 		return;
 	}
 	s->next_index++;
@@ -74,7 +74,7 @@
 		    (str_t){json_string_value(text), json_string_length(text)});
 }
 
-static bool on_event(void *ctx, str_t name, str_t data)
+static bool on_engine_event(void *ctx, str_t name, str_t data)
 {
 	engine_stream_t *s = ctx;
 	json_t *j;
@@ -85,14 +85,14 @@
 	}
 	j = json_loadb(data.p, data.n, 0, NULL);
 	if (j)
-		take_token(s, j);
+		handle_token(s, j);
 	else
-		break_off(s, ATTEMPT_LOST, "the engine sent no JSON");
+		abort_stream(s, ATTEMPT_LOST, "the engine sent no JSON");
 	json_decref(j);
 	return !s->aborted;
 }
 
-static attempt_outcome_t kind_of_status(int status)
+static attempt_outcome_t outcome_of_status(int status)
 {
 	if (status == HTTP_OK)
 		return ATTEMPT_LOST;
@@ -103,7 +103,7 @@
 	return ATTEMPT_LOST;
 }
 
-static attempt_outcome_t kind_of(const engine_stream_t *s, const fetch_end_t *end)
+static attempt_outcome_t outcome_of(const engine_stream_t *s, const fetch_end_t *end)
 {
 	if (s->complete)
 		return ATTEMPT_DONE;
@@ -115,27 +115,27 @@
 	case FETCH_TIMED_OUT:
 		return ATTEMPT_STALLED;
 	case FETCH_FINISHED:
-		return kind_of_status(end->http_status);
+		return outcome_of_status(end->http_status);
 	case FETCH_BROKEN:
 		break;
 	}
 	return ATTEMPT_LOST;
 }
 
-static void on_end(void *ctx, const fetch_end_t *end)
+static void on_call_end(void *ctx, const fetch_end_t *end)
 {
 	engine_stream_t *s = ctx;
-	attempt_outcome_t kind = kind_of(s, end);
+	attempt_outcome_t outcome = outcome_of(s, end);
 
-	if (kind != ATTEMPT_DONE && s->message.n == 0) {
-		buf_addf(&s->message, "engine: %s, status %d ", attempt_outcome_name(kind),
+	if (outcome != ATTEMPT_DONE && s->message.n == 0) {
+		buf_addf(&s->message, "engine: %s, status %d ", attempt_outcome_name(outcome),
 			 end->http_status);
 		buf_add(&s->message, end->body);
 	}
-	s->on_end(s->ctx, s, kind);
+	s->on_end(s->ctx, s, outcome);
 }
 
-static void write_body(buf_t *b, const engine_stream_t *s, uint64_t fence)
+static void write_request_body(buf_t *b, const engine_stream_t *s, uint64_t fence)
 {
 	buf_add(b, STR("{\"model\":"));
 	buf_add_json(b, str_c(s->model));
@@ -161,8 +161,8 @@
 				.silence_timeout_ms = o->stall_ms,
 				.first_byte_timeout_ms = o->first_token_timeout_ms,
 				.ctx = s,
-				.on_event = on_event,
-				.end = on_end};
+				.on_event = on_engine_event,
+				.on_end = on_call_end};
 
 	s->ctx = o->ctx;
 	s->on_token = o->on_token;
@@ -170,18 +170,18 @@
 	snprintf(url, sizeof(url), "http://%s/v1/completions", o->addr);
 	trace_parent(&s->span, parent);
 	snprintf(trace, sizeof(trace), "traceparent: %s", parent);
-	write_body(&body, s, o->fence);
+	write_request_body(&body, s, o->fence);
 	call.body = str_buf(&body);
 	fetch_start(o->fetch_client, &call);
 }
 
-static void on_cancelled(void *ctx, const fetch_end_t *end)
+static void on_cancel_end(void *ctx, const fetch_end_t *end)
 {
 	if (end->result != FETCH_FINISHED)
 		METRIC_INC("auburn_cancel_failed_total");
 }
 
-void engine_stream_cancel(fetch_client_t *ec, const char *addr, const engine_stream_t *s)
+void engine_stream_cancel(fetch_client_t *client, const char *addr, const engine_stream_t *s)
 {
 	char url[URL_BYTES];
 	AUTO_BUF body = {0};
@@ -190,10 +190,10 @@
 				.url = url,
 				.headers = headers,
 				.deadline = clock_now_ms() + CANCEL_TIMEOUT_MS,
-				.end = on_cancelled};
+				.on_end = on_cancel_end};
 
 	snprintf(url, sizeof(url), "http://%s/v1/cancel", addr);
 	buf_addf(&body, "{\"request_id\":\"%s\"}", s->attempt_id);
 	call.body = str_buf(&body);
-	fetch_start(ec, &call);
+	fetch_start(client, &call);
 }
--- a/src/entry/engine_stream.h
+++ b/src/entry/engine_stream.h
@@ -29,13 +29,13 @@
 	bool aborted; /* broken off: the engine's answer was wrong */
 	attempt_outcome_t abort_outcome;
 	bool complete; /* [DONE] came after the last token */
-	attempt_outcome_t kind; /* how it ended */
+	attempt_outcome_t outcome; /* how it ended */
 	int64_t retry_after_ms;
 	int64_t last_token_us;
 	buf_t message;
 	void *ctx;
 	void (*on_token)(void *ctx, struct engine_stream *s, unsigned index, str_t text);
-	void (*on_end)(void *ctx, struct engine_stream *s, attempt_outcome_t kind);
+	void (*on_end)(void *ctx, struct engine_stream *s, attempt_outcome_t outcome);
 	UT_hash_handle hh;
 	struct engine_stream *next;
 	struct engine_stream *prev;
@@ -51,14 +51,14 @@
 	/** Each token once, in order, on the HTTP client's thread. */
 	void (*on_token)(void *ctx, engine_stream_t *s, unsigned index, str_t text);
 	/** Once, on the same thread. */
-	void (*on_end)(void *ctx, engine_stream_t *s, attempt_outcome_t kind);
+	void (*on_end)(void *ctx, engine_stream_t *s, attempt_outcome_t outcome);
 } engine_stream_options_t;
 
-engine_stream_t *engine_stream_new(uint64_t id, const attempt_params_t *w,
+engine_stream_t *engine_stream_new(uint64_t id, const attempt_params_t *params,
 				   const attempt_sink_t *sink);
 void engine_stream_free(engine_stream_t *s);
 void engine_stream_start(const engine_stream_options_t *o, engine_stream_t *s);
 /** Asks the engine to cancel the stream, which it answers by closing the stream's connection. */
-void engine_stream_cancel(fetch_client_t *ec, const char *addr, const engine_stream_t *s);
+void engine_stream_cancel(fetch_client_t *client, const char *addr, const engine_stream_t *s);
 
 #endif
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -11,11 +11,11 @@
 #include "policy/bucket.h"
 
 typedef struct upstream_table upstream_table_t;
-typedef struct ad admission_t;
-typedef struct ki bearer_keys_t;
-typedef struct bj batch_runner_t;
+typedef struct admission admission_t;
+typedef struct bearer_keys bearer_keys_t;
+typedef struct batch_runner batch_runner_t;
 
-typedef struct en {
+typedef struct entry_ctx {
 	entry_settings_t settings;
 	uint64_t boot; /* random, new at each start */
 	control_client_t *control_client;
--- a/src/entry/entry_settings.c
+++ b/src/entry/entry_settings.c
@@ -21,31 +21,31 @@
 typedef struct {
 	const char *name;
 	int value;
-} choice_t;
+} enum_name_t;
 
-static const choice_t ways[] = {{"owner", ENTRY_MODE_OWNER},
-				{"alone", ENTRY_MODE_ALONE},
-				{"alone_cancel", ENTRY_MODE_ALONE_CANCEL},
-				{"split", ENTRY_MODE_SPLIT},
-				{NULL, 0}};
-static const choice_t preempts[] = {{"none", OWNER_PREEMPT_NONE},
-				    {"cancel", OWNER_PREEMPT_CANCEL},
-				    {"resume", OWNER_PREEMPT_RESUME},
+static const enum_name_t modes[] = {{"owner", ENTRY_MODE_OWNER},
+				    {"alone", ENTRY_MODE_ALONE},
+				    {"alone_cancel", ENTRY_MODE_ALONE_CANCEL},
+				    {"split", ENTRY_MODE_SPLIT},
 				    {NULL, 0}};
-static const choice_t keeps[] = {{"none", OWNER_RESERVE_NONE},
-				 {"fixed", OWNER_RESERVE_FIXED},
-				 {"peak", OWNER_RESERVE_PEAK},
-				 {NULL, 0}};
+static const enum_name_t preempts[] = {{"none", OWNER_PREEMPT_NONE},
+				       {"cancel", OWNER_PREEMPT_CANCEL},
+				       {"resume", OWNER_PREEMPT_RESUME},
+				       {NULL, 0}};
+static const enum_name_t reserves[] = {{"none", OWNER_RESERVE_NONE},
+				       {"fixed", OWNER_RESERVE_FIXED},
+				       {"peak", OWNER_RESERVE_PEAK},
+				       {NULL, 0}};
 
-static status_t choose(const toml_doc_t *c, const toml_table_t *t, const char *key,
-		       const char *value, const choice_t *choices, int *out)
+static status_t parse_enum(const toml_doc_t *c, const toml_table_t *t, const char *key,
+			   const char *value, const enum_name_t *names, int *out)
 {
 	if (!value)
 		return STATUS_OK;
-	for (; choices->name; choices++) {
-		if (strcmp(choices->name, value) != 0)
+	for (; names->name; names++) {
+		if (strcmp(names->name, value) != 0)
 			continue;
-		*out = choices->value;
+		*out = names->value;
 		return STATUS_OK;
 	}
 	return status_fail(STATUS_INVALID, "%s:%d: %s: unknown value \"%s\"", toml_name(c),
@@ -55,12 +55,12 @@
 static status_t read_bench(const toml_doc_t *c, entry_settings_t *s)
 {
 	const toml_table_t *t = toml_table_at(toml_root(c), "bench", 0);
-	AUTO_FREE char *way = NULL;
+	AUTO_FREE char *mode = NULL;
 	AUTO_FREE char *preempt = NULL;
-	AUTO_FREE char *keep = NULL;
-	const toml_key_t keys[] = {{"way", TOML_STR, false, 1, NAME_MAX_BYTES, &way},
+	AUTO_FREE char *reserve = NULL;
+	const toml_key_t keys[] = {{"way", TOML_STR, false, 1, NAME_MAX_BYTES, &mode},
 				   {"preempt", TOML_STR, false, 1, NAME_MAX_BYTES, &preempt},
-				   {"keep", TOML_STR, false, 1, NAME_MAX_BYTES, &keep},
+				   {"keep", TOML_STR, false, 1, NAME_MAX_BYTES, &reserve},
 				   {NULL, TOML_STR, false, 0, 0, NULL}};
 	int value[3] = {ENTRY_MODE_OWNER, OWNER_PREEMPT_RESUME, OWNER_RESERVE_FIXED};
 	status_t st = STATUS_OK;
@@ -68,11 +68,11 @@
 	if (t)
 		st = toml_read(c, t, keys, NULL);
 	if (st == STATUS_OK && t)
-		st = choose(c, t, "way", way, ways, &value[0]);
+		st = parse_enum(c, t, "way", mode, modes, &value[0]);
 	if (st == STATUS_OK && t)
-		st = choose(c, t, "preempt", preempt, preempts, &value[1]);
+		st = parse_enum(c, t, "preempt", preempt, preempts, &value[1]);
 	if (st == STATUS_OK && t)
-		st = choose(c, t, "keep", keep, keeps, &value[2]);
+		st = parse_enum(c, t, "keep", reserve, reserves, &value[2]);
 	s->mode = (entry_mode_t)value[0];
 	s->preempt = (owner_preempt_t)value[1];
 	s->reserve = (owner_reserve_t)value[2];
--- a/src/entry/entry_snapshot.c
+++ b/src/entry/entry_snapshot.c
@@ -6,7 +6,7 @@
 
 struct entry_snapshot {
 	pthread_mutex_t lock;
-	entry_config_t *conf;
+	entry_config_t *config;
 	entry_view_t *view;
 	atomic_ullong session;
 	atomic_llong lease;
@@ -25,7 +25,7 @@
 	entry_config_t *c;
 
 	pthread_mutex_lock(&s->lock);
-	c = s->conf;
+	c = s->config;
 	if (c)
 		atomic_fetch_add(&c->refs, 1);
 	pthread_mutex_unlock(&s->lock);
@@ -71,27 +71,27 @@
 	entry_view_put(*v);
 }
 
-status_t entry_config_publish(entry_snapshot_t *s, wire_config_t *conf)
+status_t entry_config_publish(entry_snapshot_t *s, wire_config_t *msg)
 {
-	config_t *text = NULL;
+	config_t *config = NULL;
 	status_t st;
 	entry_config_t *c;
 	entry_config_t *old;
 
-	if (conf->number <= entry_config_number(s))
+	if (msg->number <= entry_config_number(s))
 		return status_fail(STATUS_CONFLICT, "text %llu is not newer",
-				   (unsigned long long)conf->number);
-	st = config_parse(wire_str(conf->text), &text);
+				   (unsigned long long)msg->number);
+	st = config_parse(wire_str(msg->text), &config);
 	if (st != STATUS_OK)
 		return st;
 	c = mem_new(sizeof(*c));
 	atomic_init(&c->refs, 1);
-	c->msg = *conf;
-	c->config = text;
-	*conf = (wire_config_t){0};
+	c->msg = *msg;
+	c->config = config;
+	*msg = (wire_config_t){0};
 	pthread_mutex_lock(&s->lock);
-	old = s->conf;
-	s->conf = c;
+	old = s->config;
+	s->config = c;
 	pthread_mutex_unlock(&s->lock);
 	entry_config_put(old);
 	return STATUS_OK;
--- a/src/entry/fetch.h
+++ b/src/entry/fetch.h
@@ -10,7 +10,7 @@
 #include "base/status.h"
 #include "base/str.h"
 
-typedef struct ec fetch_client_t;
+typedef struct fetch_client fetch_client_t;
 
 typedef enum {
 	FETCH_FINISHED, /* the answer came whole */
@@ -39,7 +39,7 @@
 	/** One server-sent event; false breaks the call off. May be NULL. */
 	bool (*on_event)(void *ctx, str_t name, str_t data);
 	/** Called once. */
-	void (*end)(void *ctx, const fetch_end_t *end);
+	void (*on_end)(void *ctx, const fetch_end_t *end);
 } fetch_options_t;
 
 fetch_client_t *fetch_client_new(void);
--- a/src/entry/filter_accept.c
+++ b/src/entry/filter_accept.c
@@ -6,10 +6,10 @@
 #include "entry/ledger_client.h"
 #include "entry/inflight.h"
 
-#define ACCEPT_MS	 3000
-#define TIMEOUT_RETRY_MS 1000
+#define ACCEPT_TIMEOUT_MS 3000
+#define RETRY_AFTER_MS	  1000
 
-static status_t accept_call(filter_call_t *c, wire_ledger_res_t *res)
+static status_t commit_acceptance(filter_call_t *c, wire_ledger_res_t *res)
 {
 	char trace[TRACE_PARENT_BYTES];
 	trace_span_t sp;
@@ -27,7 +27,7 @@
 	trace_parent(&c->span, trace);
 	a.trace = str_c(trace);
 	trace_begin(&sp, "accept", a.trace);
-	st = ledger_client_accept(c->en, &a, res, clock_now_ms() + ACCEPT_MS);
+	st = ledger_client_accept(c->en, &a, res, clock_now_ms() + ACCEPT_TIMEOUT_MS);
 	trace_end(&sp, a.key, status_name(st));
 	return st;
 }
@@ -37,11 +37,11 @@
 	uint64_t session;
 	char *caller;
 	char *key;
-} abandon_t;
+} unconfirmed_t;
 
-static void *abandon_thread(void *arg)
+static void *end_unconfirmed_thread(void *arg)
 {
-	abandon_t *a = arg;
+	unconfirmed_t *a = arg;
 	AUTO_BUF result = {0};
 	ledger_client_end_t standing = {0};
 	ledger_client_finish_t f = {.caller = str_c(a->caller),
@@ -51,7 +51,7 @@
 
 	ledger_client_error_json(&result, "accept_timeout",
 				 STR("the acceptance was not confirmed in time"), VERDICT_NOT_RUN,
-				 TIMEOUT_RETRY_MS);
+				 RETRY_AFTER_MS);
 	f.result = str_buf(&result);
 	/* In a later session the record may be another entry's to run. */
 	if (entry_session(a->en->snapshot) == a->session)
@@ -66,9 +66,9 @@
 }
 
 /* The record may be there: it is ended as not run, which is true, so that nobody runs it later. */
-static void abandon(filter_call_t *c)
+static void end_unconfirmed(filter_call_t *c)
 {
-	abandon_t *a = mem_new(sizeof(*a));
+	unconfirmed_t *a = mem_new(sizeof(*a));
 	pthread_t t;
 
 	a->en = c->en;
@@ -77,12 +77,12 @@
 	a->key = str_dup(str_c(c->key));
 	c->key_held = false;
 	atomic_fetch_add(&c->en->running_requests, 1);
-	if (pthread_create(&t, NULL, abandon_thread, a) != 0)
+	if (pthread_create(&t, NULL, end_unconfirmed_thread, a) != 0)
 		abort();
 	pthread_detach(t);
 }
 
-static void judge(filter_call_t *c, const wire_ledger_res_t *res, const filter_step_t *next)
+static void handle_record(filter_call_t *c, const wire_ledger_res_t *res, const filter_step_t *next)
 {
 	const wire_record_t *r = &res->record;
 	bool own = r->session == entry_session(c->en->snapshot);
@@ -90,7 +90,7 @@
 	if (res->status == STATUS_CONFLICT) {
 		filter_refuse(c, 409, "key_conflict", STR("the key stands for another request"), 0);
 	} else if (res->status != STATUS_OK) {
-		filter_refuse(c, 503, "ledger", wire_str(res->message), TIMEOUT_RETRY_MS);
+		filter_refuse(c, 503, "ledger", wire_str(res->message), RETRY_AFTER_MS);
 	} else if (r->state == WIRE_ACCEPTED && c->key_held && (r->fresh || own)) {
 		filter_next(c, next);
 	} else if (r->state == WIRE_ACCEPTED || r->state == WIRE_ATTEMPTED) {
@@ -101,13 +101,13 @@
 }
 
 /* After a timeout the record may be there, and then another entry may run it. */
-static void refuse_unaccepted(filter_call_t *c, status_t st)
+static void refuse_uncommitted(filter_call_t *c, status_t st)
 {
 	AUTO_BUF why = {0};
 
 	if (st == STATUS_UNAVAILABLE) {
 		filter_refuse(c, 503, "ledger_unreachable", str_c(status_message()),
-			      TIMEOUT_RETRY_MS);
+			      RETRY_AFTER_MS);
 		return;
 	}
 	buf_addf(&why, "the acceptance is not known, ask again under the same key: %s",
@@ -115,21 +115,21 @@
 	log_event(LOG_LEVEL_WARN, "acceptance_unknown", LOG_CSTR("key", c->key),
 		  LOG_CSTR("status", status_name(st)));
 	httpd_error(c->res, 503, "acceptance_unknown", str_buf(&why), VERDICT_MAY_HAVE_RUN,
-		    TIMEOUT_RETRY_MS);
+		    RETRY_AFTER_MS);
 	trace_end(&c->span, str_c(c->key), "acceptance_unknown");
 	if (c->key_held)
-		abandon(c);
+		end_unconfirmed(c);
 }
 
 void filter_accept(filter_call_t *c, const filter_step_t *next)
 {
 	wire_ledger_res_t res = {0};
-	status_t st = accept_call(c, &res);
+	status_t st = commit_acceptance(c, &res);
 
 	if (st == STATUS_OK) {
-		judge(c, &res, next);
+		handle_record(c, &res, next);
 	} else {
-		refuse_unaccepted(c, st);
+		refuse_uncommitted(c, st);
 	}
 	wire_free(XDR_PROC(wire_ledger_res_t), &res);
 }
--- a/src/entry/filter_admit.c
+++ b/src/entry/filter_admit.c
@@ -4,9 +4,9 @@
 #include "entry/ledger_client.h"
 #include "entry/upstream.h"
 
-#define BUSY_RETRY_MS 500
+#define RETRY_AFTER_MS 500
 
-static unsigned entries(entry_ctx_t *en)
+static unsigned count_entries(entry_ctx_t *en)
 {
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
 
@@ -24,7 +24,7 @@
 		return;
 	}
 	if (c->deadline <= clock_now_ms()) {
-		filter_refuse(c, 504, "deadline", STR("the deadline has passed"), BUSY_RETRY_MS);
+		filter_refuse(c, 504, "deadline", STR("the deadline has passed"), RETRY_AFTER_MS);
 		return;
 	}
 	wait_ms = upstream_min_wait_ms(c->en->upstreams, service);
@@ -35,9 +35,10 @@
 			      wait_ms - clock_left_ms(c->deadline));
 		return;
 	}
-	if (!admission_enter(c->en->admission, service, c->service->concurrency, entries(c->en))) {
+	if (!admission_enter(c->en->admission, service, c->service->concurrency,
+			     count_entries(c->en))) {
 		filter_refuse(c, 503, "service_busy", STR("the service is at its concurrency"),
-			      BUSY_RETRY_MS);
+			      RETRY_AFTER_MS);
 		return;
 	}
 	c->admitted = true;
--- a/src/entry/filter_complete.c
+++ b/src/entry/filter_complete.c
@@ -4,19 +4,19 @@
 
 #define BLOCK_BYTES 4096
 
-static ssize_t read_stream(void *ctx, uint64_t offset, char *out, size_t max)
+static ssize_t read_events(void *ctx, uint64_t offset, char *out, size_t max)
 {
 	size_t n = completion_read(ctx, out, max);
 
 	return n ? (ssize_t)n : (ssize_t)U_STREAM_END;
 }
 
-static void free_stream(void *ctx)
+static void close_stream(void *ctx)
 {
 	completion_stream_close(ctx);
 }
 
-static void reply_whole(filter_call_t *c, completion_t *r)
+static void reply_result(filter_call_t *c, completion_t *r)
 {
 	completion_outcome_t o;
 
@@ -47,13 +47,13 @@
 	c->admitted = false;
 	c->key_held = false;
 	if (!json_is_true(json_object_get(c->body_json, "stream")) || !completion_wait_first(r)) {
-		reply_whole(c, r);
+		reply_result(c, r);
 		completion_unref(r);
 		return;
 	}
 	completion_stream_open(r);
 	u_map_put(c->res->map_header, "Content-Type", "text/event-stream");
 	u_map_put(c->res->map_header, "Cache-Control", "no-store");
-	ulfius_set_stream_response(c->res, 200, read_stream, free_stream, U_STREAM_SIZE_UNKNOWN,
+	ulfius_set_stream_response(c->res, 200, read_events, close_stream, U_STREAM_SIZE_UNKNOWN,
 				   BLOCK_BYTES, r);
 }
--- a/src/entry/filter_idempotency.c
+++ b/src/entry/filter_idempotency.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include "entry/inflight.h"
 
-static bool take_key(filter_call_t *c)
+static bool read_key(filter_call_t *c)
 {
 	str_t key = httpd_header(c->req, "Idempotency-Key");
 
@@ -27,7 +27,7 @@
 }
 
 /* Digest of all that makes the request what it is. */
-static uint64_t digest(const filter_call_t *c)
+static uint64_t digest_request(const filter_call_t *c)
 {
 	AUTO_BUF b = {0};
 
@@ -41,10 +41,10 @@
 
 void filter_idempotency(filter_call_t *c, const filter_step_t *next)
 {
-	if (!take_key(c))
+	if (!read_key(c))
 		return;
 	u_map_put(c->res->map_header, "Idempotency-Key", c->key);
-	c->digest = digest(c);
+	c->digest = digest_request(c);
 	c->key_held = inflight_add(c->caller, str_c(c->key));
 	filter_next(c, next);
 }
--- a/src/entry/filter_identify.c
+++ b/src/entry/filter_identify.c
@@ -2,7 +2,7 @@
 
 #include "entry/addresses.h"
 
-#define LEASE_RETRY_MS 1000
+#define RETRY_AFTER_MS 1000
 
 void filter_identify(filter_call_t *c, const filter_step_t *next)
 {
@@ -14,7 +14,7 @@
 }
 
 /* An entry whose lease is over may hold an old text: it names others to go to. */
-static void refuse_unleased(filter_call_t *c)
+static void refuse_with_addresses(filter_call_t *c)
 {
 	AUTO_BUF others = {0};
 
@@ -22,23 +22,23 @@
 	if (others.n)
 		u_map_put(c->res->map_header, "X-Auburn-Addresses", others.p);
 	filter_refuse(c, 503, "no_lease", STR("this entry has not heard from the control in time"),
-		      LEASE_RETRY_MS);
+		      RETRY_AFTER_MS);
 }
 
 void filter_check_lease(filter_call_t *c, const filter_step_t *next)
 {
 	if (!entry_lease_valid(c->en->snapshot)) {
-		refuse_unleased(c);
+		refuse_with_addresses(c);
 		return;
 	}
 	if (atomic_load(&c->en->closing)) {
-		refuse_unleased(c);
+		refuse_with_addresses(c);
 		return;
 	}
 	c->config = entry_config_get(c->en->snapshot);
 	if (!c->config) {
 		filter_refuse(c, 503, "no_text", STR("no operators' text is in force"),
-			      LEASE_RETRY_MS);
+			      RETRY_AFTER_MS);
 		return;
 	}
 	filter_next(c, next);
--- a/src/entry/filter_match.c
+++ b/src/entry/filter_match.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-#define TOKENS_MAX     1000000
-#define PATH_MAX_BYTES 384
+#define TOKENS_MAX		1000000
+#define UPSTREAM_PATH_MAX_BYTES 384
 
-static bool valid_work(filter_call_t *c)
+static bool is_valid_completion(filter_call_t *c)
 {
 	json_t *prompt = json_object_get(c->body_json, "prompt");
 	json_t *max = json_object_get(c->body_json, "max_tokens");
@@ -28,7 +28,7 @@
 	str_t body = httpd_body(c->req);
 
 	c->body_json = json_loadb(body.p, body.n, JSON_REJECT_DUPLICATES, NULL);
-	if (!valid_work(c)) {
+	if (!is_valid_completion(c)) {
 		filter_refuse(c, 400, "bad_request",
 			      STR("needs a JSON object with model, prompt and max_tokens"), 0);
 		return;
@@ -57,7 +57,7 @@
 		return;
 	}
 	c->upstream_path = str_c(*rest ? rest : "/");
-	if (c->upstream_path.n > PATH_MAX_BYTES || !httpd_key_valid(c->upstream_path)) {
+	if (c->upstream_path.n > UPSTREAM_PATH_MAX_BYTES || !httpd_key_valid(c->upstream_path)) {
 		filter_refuse(c, 400, "bad_path", STR("the path is too long or holds other bytes"),
 			      0);
 		return;
--- a/src/entry/filter_plain.c
+++ b/src/entry/filter_plain.c
@@ -2,8 +2,8 @@
 
 #include "entry/plain_call.h"
 
-#define IN_PROGRESS_RETRY_MS 1000
-#define REFUSED_RETRY_MS     1000
+#define IN_PROGRESS_RETRY_AFTER_MS 1000
+#define NOT_RUN_RETRY_AFTER_MS	   1000
 
 void filter_plain(filter_call_t *c, const filter_step_t *next)
 {
@@ -26,12 +26,12 @@
 	if (st != STATUS_OK)
 		httpd_error(c->res, 409, "in_progress",
 			    STR("another attempt of this key was or may be begun"),
-			    VERDICT_MAY_HAVE_RUN, IN_PROGRESS_RETRY_MS);
+			    VERDICT_MAY_HAVE_RUN, IN_PROGRESS_RETRY_AFTER_MS);
 	else if (end.done)
 		httpd_json(c->res, end.http_status, str_buf(&end.result));
 	else
 		httpd_error_json(c->res, end.http_status, str_buf(&end.result),
-				 end.verdict == VERDICT_NOT_RUN ? REFUSED_RETRY_MS : 0);
+				 end.verdict == VERDICT_NOT_RUN ? NOT_RUN_RETRY_AFTER_MS : 0);
 	trace_end(&c->span, str_c(c->key), end.done ? "done" : end.code ? end.code : "in_progress");
 	buf_free(&end.result);
 }
--- a/src/entry/filter_replay.c
+++ b/src/entry/filter_replay.c
@@ -4,10 +4,10 @@
 #include "base/metric.h"
 #include "entry/ledger_client.h"
 
-#define RETRY_MS      1000
-#define POLL_MIN_MS   20
-#define POLL_MAX_MS   200
-#define FOLLOW_MAX_MS 30000
+#define RETRY_AFTER_MS 1000
+#define POLL_MIN_MS    20
+#define POLL_MAX_MS    200
+#define FOLLOW_MAX_MS  30000
 
 /* A stored result, in the shape that was asked for. */
 static void replay_done(filter_call_t *c, str_t result)
@@ -36,7 +36,7 @@
 
 	ledger_client_end_of(r, &end);
 	httpd_error_json(c->res, end.http_status, str_buf(&end.result),
-			 end.verdict == VERDICT_NOT_RUN ? RETRY_MS : 0);
+			 end.verdict == VERDICT_NOT_RUN ? RETRY_AFTER_MS : 0);
 	buf_free(&end.result);
 }
 
@@ -59,7 +59,7 @@
 }
 
 /* True if a final record was found and replied with. */
-static bool poll_record(filter_call_t *c)
+static bool reply_if_final(filter_call_t *c)
 {
 	wire_query_res_t res = {0};
 	bool found = ledger_client_query(c->en, c->caller, str_c(c->key), &res) == STATUS_OK &&
@@ -80,12 +80,12 @@
 		until = c->deadline;
 	log_event(LOG_LEVEL_INFO, "followed", LOG_CSTR("key", c->key));
 	while (clock_now_ms() < until && !atomic_load(&c->en->closing)) {
-		if (poll_record(c))
+		if (reply_if_final(c))
 			return;
 		clock_sleep_ms(pause);
 		pause = pause * 2 < POLL_MAX_MS ? pause * 2 : POLL_MAX_MS;
 	}
 	httpd_error(c->res, 409, "in_progress", STR("this key is being worked on"),
-		    VERDICT_MAY_HAVE_RUN, RETRY_MS);
+		    VERDICT_MAY_HAVE_RUN, RETRY_AFTER_MS);
 	trace_end(&c->span, str_c(c->key), "in_progress");
 }
--- a/src/entry/heartbeat.c
+++ b/src/entry/heartbeat.c
@@ -5,22 +5,22 @@
 #include "base/metric.h"
 #include "entry/upstream.h"
 
-#define FIRST_BEAT_MS	100
-#define BEATS_PER_LEASE 4
-#define BEAT_MAX_MS	1000
-#define FETCH_MS	1500
-#define LEASE_MARGIN_MS 100
-#define STEP_MS		10
-#define TICK_MS		20
+#define FIRST_INTERVAL_MS    100
+#define HEARTBEATS_PER_LEASE 4
+#define HEARTBEAT_TIMEOUT_MS 1000
+#define FETCH_TIMEOUT_MS     1500
+#define LEASE_MARGIN_MS	     100
+#define LOOP_INTERVAL_MS     10
+#define TICK_INTERVAL_MS     20
 
 typedef struct {
 	entry_ctx_t *en;
 	uint64_t session;
 	int64_t lease_ms; /* as the control last said */
 	bool was_valid;
-	uint64_t conf_seen;
+	uint64_t config_seen;
 	uint64_t view_seen;
-} state_t;
+} control_state_t;
 
 static void fill_member(const entry_ctx_t *en, uint64_t session, wire_member_t *m)
 {
@@ -33,7 +33,7 @@
 			     .draining = atomic_load(&en->draining)};
 }
 
-static void take_session(state_t *s, uint64_t session)
+static void update_session(control_state_t *s, uint64_t session)
 {
 	if (session == s->session)
 		return;
@@ -44,12 +44,12 @@
 	s->session = session;
 }
 
-static void fetch_conf(entry_ctx_t *en)
+static void fetch_config(entry_ctx_t *en)
 {
 	wire_query_t q = {.kind = WIRE_QUERY_CONFIG};
 	wire_query_res_t res = {0};
-	status_t st =
-		control_client_query(en->control_client, 0, &q, &res, clock_now_ms() + FETCH_MS);
+	status_t st = control_client_query(en->control_client, 0, &q, &res,
+					   clock_now_ms() + FETCH_TIMEOUT_MS);
 
 	if (st == STATUS_OK)
 		st = (status_t)res.status;
@@ -71,7 +71,8 @@
 	status_t st;
 
 	q.wire_query_t_u.known_version = entry_view_version(en->snapshot);
-	st = control_client_query(en->control_client, 0, &q, &res, clock_now_ms() + FETCH_MS);
+	st = control_client_query(en->control_client, 0, &q, &res,
+				  clock_now_ms() + FETCH_TIMEOUT_MS);
 	if (st == STATUS_OK)
 		st = (status_t)res.status;
 	if (st == STATUS_OK)
@@ -81,15 +82,16 @@
 	wire_free(XDR_PROC(wire_query_res_t), &res);
 }
 
-static void take_beat(state_t *s, const wire_heartbeat_res_t *res, int64_t sent_ms)
+static void handle_heartbeat_reply(control_state_t *s, const wire_heartbeat_res_t *res,
+				   int64_t sent_ms)
 {
 	entry_ctx_t *en = s->en;
 	bool apply = false;
 
 	s->lease_ms = res->lease_ms;
-	take_session(s, res->session);
+	update_session(s, res->session);
 	if (res->conf_number > entry_config_number(en->snapshot)) {
-		fetch_conf(en);
+		fetch_config(en);
 		apply = true;
 	}
 	if (res->view_version > entry_view_version(en->snapshot) ||
@@ -106,7 +108,7 @@
 		upstream_apply_view(en->upstreams);
 }
 
-static void beat(state_t *s)
+static void send_heartbeat(control_state_t *s)
 {
 	entry_ctx_t *en = s->en;
 	int64_t sent_ms = clock_now_ms();
@@ -116,15 +118,16 @@
 	status_t st;
 
 	fill_member(en, s->session, &arg.member);
-	st = control_client_heartbeat(en->control_client, &arg, &res, sent_ms + BEAT_MAX_MS);
+	st = control_client_heartbeat(en->control_client, &arg, &res,
+				      sent_ms + HEARTBEAT_TIMEOUT_MS);
 	if (st == STATUS_OK && res.status == STATUS_OK)
-		take_beat(s, &res, sent_ms);
+		handle_heartbeat_reply(s, &res, sent_ms);
 	else
 		METRIC_INC("auburn_beats_failed_total");
 	wire_free(XDR_PROC(wire_heartbeat_res_t), &res);
 }
 
-static void watch_lease(state_t *s)
+static void check_lease(control_state_t *s)
 {
 	bool valid = entry_lease_valid(s->en->snapshot);
 
@@ -138,7 +141,7 @@
 	s->was_valid = valid;
 }
 
-static bool tick_one(void *ctx, const upstream_info_t *info)
+static bool tick_replica(void *ctx, const upstream_info_t *info)
 {
 	if (info->replica)
 		local_replica_tick(info->replica);
@@ -147,16 +150,16 @@
 
 static void *control_thread(void *arg)
 {
-	state_t s = {.en = arg, .lease_ms = BEATS_PER_LEASE * FIRST_BEAT_MS};
+	control_state_t s = {.en = arg, .lease_ms = HEARTBEATS_PER_LEASE * FIRST_INTERVAL_MS};
 	deadline_t next = 0;
 
 	for (;;) {
 		if (clock_now_ms() >= next || atomic_load(&s.en->view_stale)) {
-			next = clock_now_ms() + s.lease_ms / BEATS_PER_LEASE;
-			beat(&s);
+			next = clock_now_ms() + s.lease_ms / HEARTBEATS_PER_LEASE;
+			send_heartbeat(&s);
 		}
-		watch_lease(&s);
-		clock_sleep_ms(STEP_MS);
+		check_lease(&s);
+		clock_sleep_ms(LOOP_INTERVAL_MS);
 	}
 	return NULL;
 }
@@ -166,13 +169,13 @@
 	entry_ctx_t *en = arg;
 
 	for (;;) {
-		upstream_each(en->upstreams, tick_one, NULL);
-		clock_sleep_ms(TICK_MS);
+		upstream_each(en->upstreams, tick_replica, NULL);
+		clock_sleep_ms(TICK_INTERVAL_MS);
 	}
 	return NULL;
 }
 
-static void spawn(void *(*f)(void *), entry_ctx_t *en)
+static void start_thread(void *(*f)(void *), entry_ctx_t *en)
 {
 	pthread_t t;
 
@@ -183,6 +186,6 @@
 
 void heartbeat_start(entry_ctx_t *en)
 {
-	spawn(control_thread, en);
-	spawn(tick_thread, en);
+	start_thread(control_thread, en);
+	start_thread(tick_thread, en);
 }
--- a/src/entry/httpd.c
+++ b/src/entry/httpd.c
@@ -13,18 +13,18 @@
 #define HEADER_MAX_BYTES   (64 << 10)
 #define IDLE_TIMEOUT_S	   60
 #define THREAD_STACK_BYTES (512 << 10)
-#define BEARER		   "Bearer "
+#define BEARER_PREFIX	   "Bearer "
 #define MS_PER_S	   1000
-#define MS_LEFT_MAX	   (365LL * 86400 * MS_PER_S)
+#define TIMEOUT_MAX_MS	   (365LL * 86400 * MS_PER_S)
 
 static struct _u_instance instance;
 
-static int not_found(const struct _u_request *req, struct _u_response *res, void *en)
+static int reply_not_found(const struct _u_request *req, struct _u_response *res, void *en)
 {
 	return httpd_error(res, 404, "no_such_path", str_c(req->url_path), VERDICT_NOT_RUN, 0);
 }
 
-status_t httpd_start(entry_ctx_t *en, const httpd_endpoint_t *routes)
+status_t httpd_start(entry_ctx_t *en, const httpd_endpoint_t *endpoints)
 {
 	struct sockaddr_in addr = {.sin_family = AF_INET};
 	char ip[64];
@@ -53,11 +53,11 @@
 	instance.max_post_body_size = (size_t)en->settings.max_body_bytes + 1;
 	instance.check_utf8 = 0;
 	instance.allowed_post_processor = U_POST_PROCESS_NONE;
-	for (; routes->method; routes++)
+	for (; endpoints->method; endpoints++)
 		/* ulfius reads parameters from the format only, not from the prefix. */
-		ulfius_add_endpoint_by_val(&instance, routes->method, NULL, routes->path, 0,
-					   routes->handler, en);
-	ulfius_set_default_endpoint(&instance, not_found, en);
+		ulfius_add_endpoint_by_val(&instance, endpoints->method, NULL, endpoints->path, 0,
+					   endpoints->handler, en);
+	ulfius_set_default_endpoint(&instance, reply_not_found, en);
 	if (ulfius_start_framework_with_mhd_options(&instance, flags, options) != U_OK)
 		return status_fail(STATUS_IO, "can't listen on %s: %s", en->settings.listen,
 				   strerror(errno));
@@ -80,25 +80,25 @@
 	return str_c(u_map_get(req->map_url, name));
 }
 
-int64_t httpd_int(str_t s, int64_t other)
+int64_t httpd_int(str_t s, int64_t fallback)
 {
 	char *end;
 	long long v;
 
 	if (s.n == 0)
-		return other;
+		return fallback;
 	errno = 0;
 	v = strtoll(s.p, &end, 10);
-	return errno || *end ? other : v;
+	return errno || *end ? fallback : v;
 }
 
-int64_t httpd_timeout_ms(str_t s, int64_t other)
+int64_t httpd_timeout_ms(str_t s, int64_t fallback)
 {
-	int64_t ms = httpd_int(s, other);
+	int64_t ms = httpd_int(s, fallback);
 
 	if (ms < 0)
 		return 0;
-	return ms > MS_LEFT_MAX ? MS_LEFT_MAX : ms;
+	return ms > TIMEOUT_MAX_MS ? TIMEOUT_MAX_MS : ms;
 }
 
 bool httpd_key_valid(str_t key)
@@ -152,17 +152,17 @@
 	return httpd_error_json(res, status, str_buf(&b), retry_after_ms);
 }
 
-static str_t bearer(const struct _u_request *req)
+static str_t get_bearer_key(const struct _u_request *req)
 {
 	str_t h = httpd_header(req, "Authorization");
-	str_t prefix = STR(BEARER);
+	str_t prefix = STR(BEARER_PREFIX);
 
 	if (!str_starts(h, prefix))
 		return STR("");
 	return (str_t){h.p + prefix.n, h.n - prefix.n};
 }
 
-static bool refuse_key(struct _u_response *res)
+static bool reply_unauthorized(struct _u_response *res)
 {
 	u_map_put(res->map_header, "WWW-Authenticate", "Bearer");
 	httpd_error(res, 401, "bad_key", STR("no or unknown bearer key"), VERDICT_NOT_RUN, 0);
@@ -172,18 +172,21 @@
 bool httpd_auth_caller(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res,
 		       str_t *name)
 {
-	return bearer_keys_find(en->caller_keys, bearer(req), name) || refuse_key(res);
+	return bearer_keys_find(en->caller_keys, get_bearer_key(req), name) ||
+	       reply_unauthorized(res);
 }
 
 bool httpd_auth_operator(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res,
 			 str_t *name)
 {
-	return bearer_keys_find(en->operator_keys, bearer(req), name) || refuse_key(res);
+	return bearer_keys_find(en->operator_keys, get_bearer_key(req), name) ||
+	       reply_unauthorized(res);
 }
 
 bool httpd_auth_peer(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res)
 {
-	return str_eq_secret(str_c(en->settings.peer_key), bearer(req)) || refuse_key(res);
+	return str_eq_secret(str_c(en->settings.peer_key), get_bearer_key(req)) ||
+	       reply_unauthorized(res);
 }
 
 bool httpd_check_body_size(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res)
--- a/src/entry/httpd.h
+++ b/src/entry/httpd.h
@@ -14,7 +14,7 @@
 } httpd_endpoint_t;
 
 /** Listens; STATUS_IO if the address can't be had. Routes end with a NULL method. */
-status_t httpd_start(entry_ctx_t *en, const httpd_endpoint_t *routes);
+status_t httpd_start(entry_ctx_t *en, const httpd_endpoint_t *endpoints);
 /** Cuts what still runs. */
 void httpd_stop(void);
 
@@ -22,9 +22,9 @@
 str_t httpd_header(const struct _u_request *req, const char *name);
 str_t httpd_param(const struct _u_request *req, const char *name);
 /** A whole number from a header or parameter, or `other` if it is absent or malformed. */
-int64_t httpd_int(str_t s, int64_t other);
+int64_t httpd_int(str_t s, int64_t fallback);
 /** Milliseconds left, from 0 to a year; `other` if absent or malformed. */
-int64_t httpd_timeout_ms(str_t s, int64_t other);
+int64_t httpd_timeout_ms(str_t s, int64_t fallback);
 /** Tells whether a caller's key or job id may stand in JSON, logs and paths: printable ASCII. */
 bool httpd_key_valid(str_t key);
 str_t httpd_body(const struct _u_request *req);
--- a/src/entry/inflight.c
+++ b/src/entry/inflight.c
@@ -8,12 +8,12 @@
 typedef struct {
 	char *name;
 	UT_hash_handle hh;
-} held_t;
+} inflight_key_t;
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static held_t *held;
+static inflight_key_t *keys;
 
-static void name_of(buf_t *b, str_t caller, str_t key)
+static void write_map_key(buf_t *b, str_t caller, str_t key)
 {
 	buf_add(b, caller);
 	buf_addc(b, 0);
@@ -23,17 +23,17 @@
 bool inflight_add(str_t caller, str_t key)
 {
 	AUTO_BUF name = {0};
-	held_t *h;
+	inflight_key_t *h;
 	bool ok;
 
-	name_of(&name, caller, key);
+	write_map_key(&name, caller, key);
 	pthread_mutex_lock(&lock);
-	HASH_FIND(hh, held, name.p, name.n, h);
+	HASH_FIND(hh, keys, name.p, name.n, h);
 	ok = h == NULL;
 	if (ok) {
 		h = mem_new(sizeof(*h));
 		h->name = str_dup(str_buf(&name));
-		HASH_ADD_KEYPTR(hh, held, h->name, name.n, h);
+		HASH_ADD_KEYPTR(hh, keys, h->name, name.n, h);
 	}
 	pthread_mutex_unlock(&lock);
 	return ok;
@@ -42,13 +42,13 @@
 void inflight_remove(str_t caller, str_t key)
 {
 	AUTO_BUF name = {0};
-	held_t *h;
+	inflight_key_t *h;
 
-	name_of(&name, caller, key);
+	write_map_key(&name, caller, key);
 	pthread_mutex_lock(&lock);
-	HASH_FIND(hh, held, name.p, name.n, h);
+	HASH_FIND(hh, keys, name.p, name.n, h);
 	assert(h);
-	HASH_DEL(held, h);
+	HASH_DEL(keys, h);
 	pthread_mutex_unlock(&lock);
 	free(h->name);
 	free(h);
--- a/src/entry/job_api.c
+++ b/src/entry/job_api.c
@@ -8,13 +8,13 @@
 #include "entry/peer_api.h"
 #include "entry/ledger_client.h"
 
-#define QUERY_MS       5000
-#define RETRY_MS       1000
-#define PAGE_DEFAULT   100
-#define PAGE_MAX       1000
-#define PAGE_ITEMS_MAX 5000
+#define QUERY_TIMEOUT_MS  5000
+#define RETRY_AFTER_MS	  1000
+#define JOBS_PAGE_DEFAULT 100
+#define JOBS_PAGE_MAX	  1000
+#define RESULTS_PAGE_MAX  5000
 
-static void add_job(buf_t *b, const wire_job_t *j)
+static void append_job(buf_t *b, const wire_job_t *j)
 {
 	const char *state = "running";
 
@@ -33,15 +33,15 @@
 }
 
 /* Runs a query of one group; false after an error was set. */
-static bool query(entry_ctx_t *en, struct _u_response *res, unsigned group, const wire_query_t *q,
-		  wire_query_res_t *r)
+static bool run_query(entry_ctx_t *en, struct _u_response *res, unsigned group,
+		      const wire_query_t *q, wire_query_res_t *r)
 {
-	status_t st =
-		control_client_query(en->control_client, group, q, r, clock_now_ms() + QUERY_MS);
+	status_t st = control_client_query(en->control_client, group, q, r,
+					   clock_now_ms() + QUERY_TIMEOUT_MS);
 
 	if (st != STATUS_OK) {
 		httpd_error(res, 503, "ledger_unreachable", str_c(status_message()),
-			    VERDICT_NOT_RUN, RETRY_MS);
+			    VERDICT_NOT_RUN, RETRY_AFTER_MS);
 		return false;
 	}
 	if (r->status == STATUS_OK)
@@ -67,7 +67,8 @@
 }
 
 /* A page of jobs is merged from the pages of all groups. */
-static void list(entry_ctx_t *en, struct _u_response *res, const wire_query_t *q, u_int max)
+static void reply_job_list(entry_ctx_t *en, struct _u_response *res, const wire_query_t *q,
+			   u_int max)
 {
 	wire_query_res_t *r = mem_new((control_client_groups(en->control_client) + 1) * sizeof(*r));
 	wire_job_t *jobs = mem_new(sizeof(*jobs));
@@ -76,7 +77,7 @@
 	AUTO_BUF b = {0};
 
 	for (unsigned g = 1; ok && g <= control_client_groups(en->control_client); g++) {
-		ok = query(en, res, g, q, &r[g]);
+		ok = run_query(en, res, g, q, &r[g]);
 		jobs = mem_grow(jobs, (n + r[g].jobs.jobs_len + 1) * sizeof(*jobs));
 		for (u_int i = 0; i < r[g].jobs.jobs_len; i++)
 			jobs[n++] = r[g].jobs.jobs_val[i];
@@ -87,7 +88,7 @@
 		for (u_int i = 0; i < n && i < max; i++) {
 			if (i)
 				buf_addc(&b, ',');
-			add_job(&b, &jobs[i]);
+			append_job(&b, &jobs[i]);
 		}
 		buf_add(&b, STR("]}"));
 		httpd_json(res, 200, str_buf(&b));
@@ -98,9 +99,9 @@
 	free(jobs);
 }
 
-static u_int page(const struct _u_request *req, u_int other, u_int max)
+static u_int page_size(const struct _u_request *req, u_int fallback, u_int max)
 {
-	int64_t n = httpd_int(httpd_param(req, "max"), other);
+	int64_t n = httpd_int(httpd_param(req, "max"), fallback);
 
 	return n < 1 || n > max ? max : (u_int)n;
 }
@@ -110,13 +111,13 @@
 	entry_ctx_t *en = ctx;
 	wire_query_t q = {.kind = WIRE_QUERY_JOBS};
 	str_t caller;
-	u_int max = page(req, PAGE_DEFAULT, PAGE_MAX);
+	u_int max = page_size(req, JOBS_PAGE_DEFAULT, JOBS_PAGE_MAX);
 
 	if (!httpd_auth_caller(en, req, res, &caller))
 		return U_CALLBACK_COMPLETE;
 	q.wire_query_t_u.jobs =
 		(wire_jobs_ref_t){wire_bytes(caller), wire_bytes(httpd_param(req, "after")), max};
-	list(en, res, &q, max);
+	reply_job_list(en, res, &q, max);
 	return U_CALLBACK_COMPLETE;
 }
 
@@ -133,9 +134,9 @@
 		return U_CALLBACK_COMPLETE;
 	q.wire_query_t_u.job =
 		(wire_job_ref_t){wire_bytes(caller), wire_bytes(id), clock_wall_ms()};
-	if (query(en, res, control_client_group(en->control_client, caller, id), &q, &r)) {
+	if (run_query(en, res, control_client_group(en->control_client, caller, id), &q, &r)) {
 		if (r.jobs.jobs_len == 1) {
-			add_job(&b, &r.jobs.jobs_val[0]);
+			append_job(&b, &r.jobs.jobs_val[0]);
 			httpd_json(res, 200, str_buf(&b));
 		} else {
 			httpd_error(res, 404, "not_found", STR("no such job"), VERDICT_NOT_RUN, 0);
@@ -145,14 +146,14 @@
 	return U_CALLBACK_COMPLETE;
 }
 
-static const char *state_name(wire_state_t s)
+static const char *request_state_name(wire_state_t s)
 {
 	static const char *const names[] = {"accepted", "attempted", "done", "failed", "cancelled"};
 
 	return s >= WIRE_ACCEPTED && s <= WIRE_CANCELLED ? names[s] : "unknown";
 }
 
-static void add_result(buf_t *b, str_t body)
+static void append_result(buf_t *b, str_t body)
 {
 	/* Results are JSON but for a failed item's reason and plain services' bodies. */
 	json_t *j = json_loadb(body.p, body.n, JSON_DECODE_ANY, NULL);
@@ -177,14 +178,14 @@
 		return U_CALLBACK_COMPLETE;
 	q.wire_query_t_u.results = (wire_results_ref_t){
 		wire_bytes(caller), wire_bytes(id), (u_int)httpd_int(httpd_param(req, "first"), 0),
-		page(req, PAGE_MAX, PAGE_ITEMS_MAX)};
-	if (query(en, res, control_client_group(en->control_client, caller, id), &q, &r)) {
+		page_size(req, JOBS_PAGE_MAX, RESULTS_PAGE_MAX)};
+	if (run_query(en, res, control_client_group(en->control_client, caller, id), &q, &r)) {
 		for (u_int i = 0; i < r.items.items_len; i++) {
 			const wire_item_state_t *it = &r.items.items_val[i];
 
 			buf_addf(&b, "{\"index\":%u,\"state\":\"%s\",\"attempts\":%u,\"result\":",
-				 it->index, state_name(it->state), it->attempts);
-			add_result(&b, wire_str(it->body));
+				 it->index, request_state_name(it->state), it->attempts);
+			append_result(&b, wire_str(it->body));
 			buf_add(&b, STR("}\n"));
 		}
 		httpd_reply(res, 200, "application/x-ndjson", str_buf(&b));
@@ -207,10 +208,10 @@
 		return U_CALLBACK_COMPLETE;
 	cmd.wire_ledger_cmd_t_u.cancel =
 		(wire_job_ref_t){wire_bytes(caller), wire_bytes(id), clock_wall_ms()};
-	st = control_client_ledger(en->control_client, &cmd, &r, clock_now_ms() + QUERY_MS);
+	st = control_client_ledger(en->control_client, &cmd, &r, clock_now_ms() + QUERY_TIMEOUT_MS);
 	if (st != STATUS_OK) {
 		httpd_error(res, 503, "ledger_unreachable", str_c(status_message()),
-			    VERDICT_MAY_HAVE_RUN, RETRY_MS);
+			    VERDICT_MAY_HAVE_RUN, RETRY_AFTER_MS);
 	} else if (r.status != STATUS_OK) {
 		httpd_error(res, r.status == STATUS_NOT_FOUND ? 404 : 400, "not_found",
 			    wire_str(r.message), VERDICT_NOT_RUN, 0);
@@ -218,7 +219,7 @@
 		log_event(LOG_LEVEL_INFO, "job_cancelled", LOG_STR("key", id),
 			  LOG_STR("caller", caller));
 		peer_api_broadcast_cancel(en, caller, id);
-		add_job(&b, &r.job);
+		append_job(&b, &r.job);
 		httpd_json(res, 200, str_buf(&b));
 	}
 	wire_free(XDR_PROC(wire_ledger_res_t), &r);
@@ -237,13 +238,13 @@
 	if (!httpd_auth_caller(en, req, res, &caller))
 		return U_CALLBACK_COMPLETE;
 	q.wire_query_t_u.request = (wire_request_ref_t){wire_bytes(caller), wire_bytes(key)};
-	if (query(en, res, control_client_group(en->control_client, caller, key), &q, &r)) {
+	if (run_query(en, res, control_client_group(en->control_client, caller, key), &q, &r)) {
 		buf_add(&b, STR("{\"key\":"));
 		buf_add_json(&b, key);
 		buf_addf(&b, ",\"state\":\"%s\",\"verdict\":\"%s\",\"http_status\":%d,\"result\":",
-			 state_name(r.record.state), verdict_name((verdict_t)r.record.verdict),
-			 r.record.http_status);
-		add_result(&b, wire_str(r.record.result));
+			 request_state_name(r.record.state),
+			 verdict_name((verdict_t)r.record.verdict), r.record.http_status);
+		append_result(&b, wire_str(r.record.result));
 		buf_addc(&b, '}');
 		httpd_json(res, 200, str_buf(&b));
 	}
--- a/src/entry/job_api_submit.c
+++ b/src/entry/job_api_submit.c
@@ -11,9 +11,9 @@
 #include "entry/admission.h"
 #include "state/ledger.h"
 
-#define CALL_MS		    10000
-#define RETRY_MS	    1000
-#define DEFAULT_DEADLINE_MS 3600000
+#define CALL_TIMEOUT_MS	    10000
+#define RETRY_AFTER_MS	    1000
+#define DEADLINE_DEFAULT_MS 3600000
 #define CHUNK_ITEMS	    500
 #define CHUNK_BYTES	    (512 << 10)
 #define ITEM_TOKENS_MAX	    1000000
@@ -35,7 +35,7 @@
 	lines_t lines;
 	char trace[TRACE_PARENT_BYTES];
 	wire_job_t job; /* the last answer, without its strings */
-} post_t;
+} submission_t;
 
 static void split_lines(str_t body, lines_t *out)
 {
@@ -58,7 +58,7 @@
 	}
 }
 
-static bool valid_item(str_t line)
+static bool is_valid_item(str_t line)
 {
 	json_t *j = json_loadb(line.p, line.n, JSON_REJECT_DUPLICATES, NULL);
 	json_t *max = json_object_get(j, "max_tokens");
@@ -69,7 +69,7 @@
 	return ok;
 }
 
-static bool valid_items(post_t *p)
+static bool check_items(submission_t *p)
 {
 	char why[96];
 
@@ -81,7 +81,7 @@
 		return false;
 	}
 	for (size_t i = 0; i < p->lines.n; i++) {
-		if (valid_item(p->lines.v[i]))
+		if (is_valid_item(p->lines.v[i]))
 			continue;
 		snprintf(why, sizeof(why), "item %zu: needs prompt and max_tokens", i);
 		httpd_error(p->res, 400, "bad_item", str_c(why), VERDICT_NOT_RUN, 0);
@@ -90,7 +90,7 @@
 	return true;
 }
 
-static uint64_t digest_of(const post_t *p)
+static uint64_t digest_items(const submission_t *p)
 {
 	uint64_t d = 0;
 
@@ -100,17 +100,17 @@
 }
 
 /* Runs a ledger command of the job; false after an error was set. */
-static bool run(post_t *p, const wire_ledger_cmd_t *cmd)
+static bool run_command(submission_t *p, const wire_ledger_cmd_t *cmd)
 {
 	wire_ledger_res_t r = {0};
-	status_t st =
-		control_client_ledger(p->en->control_client, cmd, &r, clock_now_ms() + CALL_MS);
+	status_t st = control_client_ledger(p->en->control_client, cmd, &r,
+					    clock_now_ms() + CALL_TIMEOUT_MS);
 	bool ok = st == STATUS_OK && r.status == STATUS_OK;
 
 	if (st != STATUS_OK)
 		httpd_error(p->res, 503, "ledger_unreachable", str_c(status_message()),
 			    st == STATUS_UNAVAILABLE ? VERDICT_NOT_RUN : VERDICT_MAY_HAVE_RUN,
-			    RETRY_MS);
+			    RETRY_AFTER_MS);
 	else if (r.status == STATUS_CONFLICT)
 		httpd_error(p->res, 409, "key_conflict", wire_str(r.message), VERDICT_NOT_RUN, 0);
 	else if (!ok)
@@ -120,24 +120,24 @@
 	return ok;
 }
 
-static bool open_job(post_t *p, int64_t deadline_ms)
+static bool open_job(submission_t *p, int64_t deadline_ms)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_JOB_OPEN};
 
 	cmd.wire_ledger_cmd_t_u.open =
 		(wire_job_open_t){.caller = wire_bytes(p->caller),
 				  .job = wire_bytes(str_c(p->id)),
-				  .digest = digest_of(p),
+				  .digest = digest_items(p),
 				  .service = wire_bytes(p->service),
 				  .deadline_wall_ms = clock_wall_ms() + deadline_ms,
 				  .count = (u_int)p->lines.n,
 				  .trace = wire_bytes(str_c(p->trace)),
 				  .now_wall_ms = clock_wall_ms(),
 				  .share = p->share};
-	return run(p, &cmd);
+	return run_command(p, &cmd);
 }
 
-static bool send_chunk(post_t *p, size_t first, size_t n)
+static bool send_chunk(submission_t *p, size_t first, size_t n)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_JOB_ITEMS};
 	wire_job_items_t *items = &cmd.wire_ledger_cmd_t_u.items;
@@ -150,12 +150,12 @@
 	items->bodies.bodies_val = mem_new(n * sizeof(wire_bytes_t));
 	for (size_t i = 0; i < n; i++)
 		items->bodies.bodies_val[i] = wire_bytes(p->lines.v[first + i]);
-	ok = run(p, &cmd);
+	ok = run_command(p, &cmd);
 	free(items->bodies.bodies_val);
 	return ok;
 }
 
-static bool send_items(post_t *p, size_t first)
+static bool send_items(submission_t *p, size_t first)
 {
 	while (first < p->lines.n) {
 		size_t bytes = 0;
@@ -170,16 +170,16 @@
 	return true;
 }
 
-static bool seal(post_t *p)
+static bool seal_job(submission_t *p)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_JOB_SEAL};
 
 	cmd.wire_ledger_cmd_t_u.seal =
 		(wire_job_ref_t){wire_bytes(p->caller), wire_bytes(str_c(p->id)), clock_wall_ms()};
-	return run(p, &cmd);
+	return run_command(p, &cmd);
 }
 
-static void reply_opened(post_t *p)
+static void reply_accepted(submission_t *p)
 {
 	AUTO_BUF b = {0};
 	const char *state = "running";
@@ -194,7 +194,7 @@
 	httpd_json(p->res, 202, str_buf(&b));
 }
 
-static bool service_known(post_t *p)
+static bool check_service(submission_t *p)
 {
 	AUTO_ENTRY_CONFIG *c = entry_config_get(p->en->snapshot);
 	const config_service_t *s = c ? config_find_service(c->config, p->service) : NULL;
@@ -204,7 +204,7 @@
 	if (!c || !entry_lease_valid(p->en->snapshot)) {
 		httpd_error(p->res, 503, "no_lease",
 			    STR("this entry has not heard from the control in time"),
-			    VERDICT_NOT_RUN, RETRY_MS);
+			    VERDICT_NOT_RUN, RETRY_AFTER_MS);
 		return false;
 	}
 	if (!s || s->kind != CONFIG_ENGINE) {
@@ -221,29 +221,29 @@
 	return true;
 }
 
-static void submit(post_t *p, int64_t deadline_ms)
+static void submit_job(submission_t *p, int64_t deadline_ms)
 {
 	trace_span_t sp;
 	bool ok;
 
 	trace_begin(&sp, "job", str_c(p->trace));
 	ok = open_job(p, deadline_ms) &&
-	     (p->job.sealed || p->job.cancelled || (send_items(p, p->job.received) && seal(p)));
+	     (p->job.sealed || p->job.cancelled || (send_items(p, p->job.received) && seal_job(p)));
 	trace_end(&sp, str_c(p->id), ok ? "taken" : "error");
 	if (!ok)
 		return;
 	METRIC_INC("auburn_jobs_taken_total");
 	log_event(LOG_LEVEL_INFO, "job_taken", LOG_CSTR("key", p->id), LOG_STR("caller", p->caller),
 		  LOG_INT("items", p->lines.n));
-	reply_opened(p);
+	reply_accepted(p);
 }
 
 int job_api_submit(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
-	post_t p = {.en = ctx, .res = res, .service = httpd_param(req, "service")};
+	submission_t p = {.en = ctx, .res = res, .service = httpd_param(req, "service")};
 	str_t key = httpd_header(req, "Idempotency-Key");
 	int64_t deadline_ms =
-		httpd_timeout_ms(httpd_param(req, "deadline_ms"), DEFAULT_DEADLINE_MS);
+		httpd_timeout_ms(httpd_param(req, "deadline_ms"), DEADLINE_DEFAULT_MS);
 	trace_span_t sp;
 
 	if (!httpd_auth_caller(p.en, req, res, &p.caller) || !httpd_check_body_size(p.en, req, res))
@@ -257,8 +257,8 @@
 	trace_parent(&sp, p.trace);
 	split_lines(httpd_body(req), &p.lines);
 	atomic_fetch_add(&p.en->running_requests, 1);
-	if (service_known(&p) && valid_items(&p))
-		submit(&p, deadline_ms);
+	if (check_service(&p) && check_items(&p))
+		submit_job(&p, deadline_ms);
 	atomic_fetch_sub(&p.en->running_requests, 1);
 	free(p.lines.v);
 	return U_CALLBACK_COMPLETE;
--- a/src/entry/ledger_client.c
+++ b/src/entry/ledger_client.c
@@ -5,20 +5,20 @@
 #include "base/metric.h"
 #include "policy/retry.h"
 
-#define FINISH_MS     60000
-#define FINISH_TRY_MS 3000
-#define PAUSE_MS      100
-#define NO_STATUS     502 /* told for an end that no entry gave a status */
-#define QUERY_MS      3000
-#define SERVICES_MAX  1024
+#define FINISH_DEADLINE_MS  60000
+#define FINISH_TIMEOUT_MS   3000
+#define RETRY_PAUSE_MS	    100
+#define DEFAULT_HTTP_STATUS 502 /* told for an end that no entry gave a status */
+#define QUERY_TIMEOUT_MS    3000
+#define SERVICES_MAX	    1024
 
 typedef struct {
 	uint64_t service; /* hash */
 	retry_budget_t budget;
-} budget_t;
+} service_budget_t;
 
 static pthread_mutex_t budgets_lock = PTHREAD_MUTEX_INITIALIZER;
-static budget_t budgets[SERVICES_MAX];
+static service_budget_t budgets[SERVICES_MAX];
 static size_t nbudgets;
 
 /* An entry stores its reply; the ledger itself stores a reason in words. */
@@ -28,7 +28,8 @@
 
 	*out = (ledger_client_end_t){.done = r->state == WIRE_DONE,
 				     .verdict = (verdict_t)r->verdict,
-				     .http_status = r->http_status ? r->http_status : NO_STATUS};
+				     .http_status =
+					     r->http_status ? r->http_status : DEFAULT_HTTP_STATUS};
 	if (out->done || str_starts(result, STR("{\"error\"")))
 		buf_add(&out->result, result);
 	else
@@ -38,7 +39,7 @@
 status_t ledger_client_finish(entry_ctx_t *en, const ledger_client_finish_t *f,
 			      ledger_client_end_t *standing)
 {
-	deadline_t until = clock_now_ms() + FINISH_MS;
+	deadline_t until = clock_now_ms() + FINISH_DEADLINE_MS;
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_FINISH};
 	status_t st = STATUS_TIMEOUT;
 
@@ -54,7 +55,7 @@
 		wire_ledger_res_t res = {0};
 
 		st = control_client_ledger(en->control_client, &cmd, &res,
-					   clock_now_ms() + FINISH_TRY_MS);
+					   clock_now_ms() + FINISH_TIMEOUT_MS);
 		if (st == STATUS_OK)
 			st = (status_t)res.status;
 		if (st == STATUS_CONFLICT)
@@ -62,7 +63,7 @@
 		wire_free(XDR_PROC(wire_ledger_res_t), &res);
 		if (st != STATUS_UNAVAILABLE && st != STATUS_TIMEOUT && st != STATUS_NOT_LEADER)
 			return st;
-		clock_sleep_ms(PAUSE_MS);
+		clock_sleep_ms(RETRY_PAUSE_MS);
 	}
 	return st;
 }
@@ -92,7 +93,7 @@
 	q.wire_query_t_u.request = (wire_request_ref_t){wire_bytes(caller), wire_bytes(key)};
 	return control_client_query(en->control_client,
 				    control_client_group(en->control_client, caller, key), &q, res,
-				    clock_now_ms() + QUERY_MS);
+				    clock_now_ms() + QUERY_TIMEOUT_MS);
 }
 
 void ledger_client_error_json(buf_t *out, const char *code, str_t message, verdict_t verdict,
@@ -104,7 +105,7 @@
 		 retry_after_ms);
 }
 
-static retry_budget_t *budget_of(str_t service)
+static retry_budget_t *find_budget(str_t service)
 {
 	uint64_t h = str_hash(service);
 
@@ -119,7 +120,7 @@
 	retry_budget_t *b;
 
 	pthread_mutex_lock(&budgets_lock);
-	b = budget_of(service);
+	b = find_budget(service);
 	if (!b && nbudgets < SERVICES_MAX) {
 		budgets[nbudgets].service = str_hash(service);
 		b = &budgets[nbudgets++].budget;
@@ -138,7 +139,7 @@
 	bool ok;
 
 	pthread_mutex_lock(&budgets_lock);
-	b = budget_of(service);
+	b = find_budget(service);
 	ok = b && retry_budget_withdraw(b);
 	pthread_mutex_unlock(&budgets_lock);
 	if (!ok)
--- a/src/entry/load_exchange.c
+++ b/src/entry/load_exchange.c
@@ -8,12 +8,12 @@
 #include "base/rpc.h"
 #include "entry/upstream.h"
 
-#define SEND_MS	      100
-#define CALL_MS	      500
-#define SCAN_MS	      200
-#define AVOIDED_QUEUE 64 /* makes the others prefer any other replica */
-#define PEERS_MAX     1024
-#define STEP_MS	      10
+#define SEND_INTERVAL_MS 100
+#define CALL_TIMEOUT_MS	 500
+#define SCAN_INTERVAL_MS 200
+#define AVOIDED_QUEUE	 64 /* makes the others prefer any other replica */
+#define PEERS_MAX	 1024
+#define STEP_MS		 10
 
 typedef struct peer {
 	entry_ctx_t *en;
@@ -24,7 +24,7 @@
 static pthread_mutex_t peers_lock = PTHREAD_MUTEX_INITIALIZER;
 static peer_t *peers;
 
-static void on_load(void *ctx, const void *arg, void *res)
+static void on_load_report(void *ctx, const void *arg, void *res)
 {
 	entry_ctx_t *en = ctx;
 	const wire_load_arg_t *a = arg;
@@ -33,12 +33,12 @@
 		upstream_owner_report(en->upstreams, &a->loads.loads_val[i]);
 }
 
-static int clamp(int64_t ms)
+static int clamp_to_int(int64_t ms)
 {
 	return ms < INT_MAX ? (int)ms : INT_MAX;
 }
 
-static bool add_load(void *ctx, const upstream_info_t *info)
+static bool append_load(void *ctx, const upstream_info_t *info)
 {
 	wire_load_arg_t *a = ctx;
 	wire_load_t *l;
@@ -56,7 +56,7 @@
 			   .queued = (int)st.queued,
 			   .running = (int)(st.running_online + st.running_batch),
 			   .step_us = (int)st.step_us,
-			   .drain_ms = clamp(st.drain_ms + st.first_token_ms)};
+			   .drain_ms = clamp_to_int(st.drain_ms + st.first_token_ms)};
 	if (upstream_is_avoided(info->upstream)) {
 		l->free_slots = 0;
 		l->queued += AVOIDED_QUEUE;
@@ -67,7 +67,7 @@
 }
 
 /* Is the peer still a member? */
-static bool listed(entry_ctx_t *en, const char *addr)
+static bool is_member(entry_ctx_t *en, const char *addr)
 {
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
 
@@ -77,22 +77,23 @@
 	return false;
 }
 
-static void send_loads(entry_ctx_t *en, rpc_client_t *c)
+static void send_load_report(entry_ctx_t *en, rpc_client_t *c)
 {
 	wire_load_arg_t a = {.session = entry_session(en->snapshot)};
 	status_t st;
 
-	upstream_each(en->upstreams, add_load, &a);
+	upstream_each(en->upstreams, append_load, &a);
 	if (a.loads.loads_len) {
 		st = rpc_client_call(c, AUBURN_LOAD, XDR_PROC(wire_load_arg_t), &a,
-				     (xdrproc_t)rpc_xdr_void, NULL, clock_now_ms() + CALL_MS);
+				     (xdrproc_t)rpc_xdr_void, NULL,
+				     clock_now_ms() + CALL_TIMEOUT_MS);
 		if (st != STATUS_OK)
 			METRIC_INC("auburn_load_reports_failed_total");
 	}
 	wire_free(XDR_PROC(wire_load_arg_t), &a);
 }
 
-static void forget(peer_t *p)
+static void remove_peer(peer_t *p)
 {
 	peer_t **at;
 
@@ -110,17 +111,17 @@
 	peer_t *p = arg;
 	rpc_client_t *c = rpc_client_new(p->addr, AUBURN_PEER, AUBURN_PEER_V1);
 
-	while (listed(p->en, p->addr)) {
+	while (is_member(p->en, p->addr)) {
 		if (entry_lease_valid(p->en->snapshot))
-			send_loads(p->en, c);
-		clock_sleep_ms(SEND_MS);
+			send_load_report(p->en, c);
+		clock_sleep_ms(SEND_INTERVAL_MS);
 	}
 	rpc_client_free(c);
-	forget(p);
+	remove_peer(p);
 	return NULL;
 }
 
-static bool known(str_t addr)
+static bool has_peer(str_t addr)
 {
 	bool found = false;
 
@@ -157,10 +158,11 @@
 		for (u_int i = 0; v && i < v->view.members.members_len; i++) {
 			const wire_member_t *m = &v->view.members.members_val[i];
 
-			if (m->session != entry_session(en->snapshot) && !known(wire_str(m->peer)))
+			if (m->session != entry_session(en->snapshot) &&
+			    !has_peer(wire_str(m->peer)))
 				add_peer(en, wire_str(m->peer));
 		}
-		clock_sleep_ms(SCAN_MS);
+		clock_sleep_ms(SCAN_INTERVAL_MS);
 	}
 	return NULL;
 }
@@ -169,7 +171,7 @@
 {
 	static const rpc_proc_t procs[] = {{AUBURN_LOAD, XDR_PROC(wire_load_arg_t),
 					    sizeof(wire_load_arg_t), (xdrproc_t)rpc_xdr_void, 0,
-					    on_load},
+					    on_load_report},
 					   {0, NULL, 0, NULL, 0, NULL}};
 	const rpc_server_options_t o = {.addr = en->settings.peer,
 					.prog = AUBURN_PEER,
--- a/src/entry/local_replica.c
+++ b/src/entry/local_replica.c
@@ -15,9 +15,9 @@
 /* A cancel may overtake its stream's request: it is sent again after so many tokens. */
 #define RESEND_CANCEL_TOKENS 3
 /* Without ownership a stream may wait in the engine's own queue. */
-#define FIRST_UNOWNED_MS 30000
+#define UNOWNED_FIRST_TOKEN_MS 30000
 
-struct ro {
+struct local_replica {
 	atomic_int refs;
 	entry_ctx_t *en;
 	char *id;
@@ -27,7 +27,7 @@
 	void (*health)(void *ctx, bool ok);
 	pthread_mutex_t lock; /* guards all below */
 	int64_t stall_ms;
-	owner_t *ow;
+	owner_t *owner;
 	bool closed;
 	metric_t *step_us;
 	engine_stream_t *streams; /* hash by id */
@@ -36,7 +36,7 @@
 
 static atomic_ullong last_stream_id;
 
-static engine_stream_t *find(local_replica_t *r, uint64_t id)
+static engine_stream_t *find_stream(local_replica_t *r, uint64_t id)
 {
 	engine_stream_t *s;
 
@@ -44,21 +44,21 @@
 	return s;
 }
 
-static void take_out(local_replica_t *r, engine_stream_t *s, attempt_outcome_t kind,
-		     int64_t retry_after_ms)
+static void move_to_ended(local_replica_t *r, engine_stream_t *s, attempt_outcome_t outcome,
+			  int64_t retry_after_ms)
 {
 	HASH_DEL(r->streams, s);
-	s->kind = kind;
+	s->outcome = outcome;
 	s->retry_after_ms = retry_after_ms;
 	DL_APPEND(r->ended, s);
 }
 
-static void drop_refs(local_replica_t *r, int n)
+static void release_refs(local_replica_t *r, int n)
 {
 	if (atomic_fetch_sub(&r->refs, n) != n)
 		return;
 	assert(!r->streams && !r->ended);
-	owner_free(r->ow);
+	owner_free(r->owner);
 	pthread_mutex_destroy(&r->lock);
 	free(r->id);
 	free(r->addr);
@@ -66,7 +66,7 @@
 }
 
 /* Tells the sinks of streams that ended under the lock, which it gives back. */
-static void unlock(local_replica_t *r)
+static void unlock_and_notify(local_replica_t *r)
 {
 	int n = 0;
 	engine_stream_t *list = r->ended;
@@ -77,15 +77,15 @@
 	pthread_mutex_unlock(&r->lock);
 	DL_FOREACH_SAFE(list, s, next)
 	{
-		attempt_end_t end = {s->kind, s->retry_after_ms, str_buf(&s->message)};
+		attempt_end_t end = {s->outcome, s->retry_after_ms, str_buf(&s->message)};
 
-		trace_end(&s->span, str_c(s->key), attempt_outcome_name(s->kind));
-		s->sink.end(s->sink.ctx, &end);
+		trace_end(&s->span, str_c(s->key), attempt_outcome_name(s->outcome));
+		s->sink.on_end(s->sink.ctx, &end);
 		engine_stream_free(s);
 		n++;
 	}
 	if (n)
-		drop_refs(r, n);
+		release_refs(r, n);
 }
 
 static void on_token(void *ctx, engine_stream_t *s, unsigned index, str_t text)
@@ -95,19 +95,19 @@
 	int64_t step_us = s->last_token_us ? now_us - s->last_token_us : 0;
 
 	pthread_mutex_lock(&r->lock);
-	owner_record_token(r->ow, s->id, step_us, now_us / 1000);
+	owner_record_token(r->owner, s->id, step_us, now_us / 1000);
 	s->last_token_us = now_us;
 	if (step_us)
 		metric_record(r->step_us, step_us);
 	if (s->cancelling && ++s->tokens_after_cancel % RESEND_CANCEL_TOKENS == 0)
 		engine_stream_cancel(r->en->fetch_client, r->addr, s);
-	unlock(r);
+	unlock_and_notify(r);
 	s->sink.on_token(s->sink.ctx, index, text);
 	if (step_us == 0)
 		r->health(r->ctx, true);
 }
 
-static void on_stream_end(void *ctx, engine_stream_t *s, attempt_outcome_t kind)
+static void on_stream_end(void *ctx, engine_stream_t *s, attempt_outcome_t outcome)
 {
 	local_replica_t *r = ctx;
 
@@ -115,32 +115,32 @@
 
 	local_replica_ref(r); /* the stream's own reference ends with it */
 	pthread_mutex_lock(&r->lock);
-	if (s->cancelling && (kind == ATTEMPT_LOST || kind == ATTEMPT_STALLED))
-		kind = s->cancel_outcome;
-	if (kind == ATTEMPT_REFUSED) /* an old fence, perhaps */
+	if (s->cancelling && (outcome == ATTEMPT_LOST || outcome == ATTEMPT_STALLED))
+		outcome = s->cancel_outcome;
+	if (outcome == ATTEMPT_REFUSED) /* an old fence, perhaps */
 		atomic_store(&r->en->view_stale, true);
-	failed = kind == ATTEMPT_LOST || kind == ATTEMPT_STALLED || kind == ATTEMPT_CROSSED ||
-		 kind == ATTEMPT_UNREACHED;
-	if (kind == ATTEMPT_STALLED || kind == ATTEMPT_CROSSED)
+	failed = outcome == ATTEMPT_LOST || outcome == ATTEMPT_STALLED ||
+		 outcome == ATTEMPT_CROSSED || outcome == ATTEMPT_UNREACHED;
+	if (outcome == ATTEMPT_STALLED || outcome == ATTEMPT_CROSSED)
 		engine_stream_cancel(r->en->fetch_client, r->addr, s);
-	owner_stream_ended(r->ow, s->id, clock_now_ms());
-	take_out(r, s, kind, 0);
-	unlock(r);
+	owner_stream_ended(r->owner, s->id, clock_now_ms());
+	move_to_ended(r, s, outcome, 0);
+	unlock_and_notify(r);
 	if (failed)
 		r->health(r->ctx, false);
 	local_replica_unref(r);
 }
 
-static void start(void *ctx, uint64_t id)
+static void start_stream(void *ctx, uint64_t id)
 {
 	local_replica_t *r = ctx;
-	engine_stream_t *s = find(r, id);
+	engine_stream_t *s = find_stream(r, id);
 	const engine_stream_options_t o = {.fetch_client = r->en->fetch_client,
 					   .addr = r->addr,
 					   .fence = r->fence,
 					   .stall_ms = r->stall_ms,
 					   .first_token_timeout_ms =
-						   r->fence ? 0 : FIRST_UNOWNED_MS,
+						   r->fence ? 0 : UNOWNED_FIRST_TOKEN_MS,
 					   .ctx = r,
 					   .on_token = on_token,
 					   .on_end = on_stream_end};
@@ -157,10 +157,10 @@
 	engine_stream_start(&o, s);
 }
 
-static void cancel(void *ctx, uint64_t id)
+static void preempt_stream(void *ctx, uint64_t id)
 {
 	local_replica_t *r = ctx;
-	engine_stream_t *s = find(r, id);
+	engine_stream_t *s = find_stream(r, id);
 
 	if (!s || s->cancelling)
 		return;
@@ -173,17 +173,17 @@
 	engine_stream_cancel(r->en->fetch_client, r->addr, s);
 }
 
-static void refuse(void *ctx, uint64_t id, int64_t retry_after_ms)
+static void refuse_stream(void *ctx, uint64_t id, int64_t retry_after_ms)
 {
 	local_replica_t *r = ctx;
-	engine_stream_t *s = find(r, id);
+	engine_stream_t *s = find_stream(r, id);
 
 	if (s)
-		take_out(r, s, ATTEMPT_REFUSED, retry_after_ms);
+		move_to_ended(r, s, ATTEMPT_REFUSED, retry_after_ms);
 }
 
 /* Ends streams whose start was not allowed, because the lease is over. */
-static void drop_unstartable(local_replica_t *r)
+static void end_denied_streams(local_replica_t *r)
 {
 	engine_stream_t *s;
 	engine_stream_t *next;
@@ -194,29 +194,29 @@
 		HASH_ITER (hh, r->streams, s, next) {
 			if (!s->start_denied)
 				continue;
-			take_out(r, s, ATTEMPT_REFUSED, 0);
-			owner_stream_ended(r->ow, s->id, clock_now_ms());
+			move_to_ended(r, s, ATTEMPT_REFUSED, 0);
+			owner_stream_ended(r->owner, s->id, clock_now_ms());
 			again = true;
 			break;
 		}
 	}
 }
 
-static owner_options_t with_callbacks(local_replica_t *r, const owner_options_t *policy)
+static owner_options_t set_callbacks(local_replica_t *r, const owner_options_t *policy)
 {
 	owner_options_t o = *policy;
 
 	o.ctx = r;
-	o.start = start;
-	o.cancel = cancel;
-	o.refuse = refuse;
+	o.start = start_stream;
+	o.cancel = preempt_stream;
+	o.refuse = refuse_stream;
 	return o;
 }
 
 local_replica_t *local_replica_new(const local_replica_options_t *o)
 {
 	local_replica_t *r = mem_new(sizeof(*r));
-	owner_options_t policy = with_callbacks(r, &o->policy);
+	owner_options_t policy = set_callbacks(r, &o->policy);
 
 	atomic_init(&r->refs, 1);
 	r->en = o->en;
@@ -228,7 +228,7 @@
 	r->health = o->on_health;
 	pthread_mutex_init(&r->lock, NULL);
 	r->step_us = metric_get(METRIC_HISTOGRAM, "auburn_step_us", NULL);
-	r->ow = owner_new(&policy, clock_now_ms());
+	r->owner = owner_new(&policy, clock_now_ms());
 	return r;
 }
 
@@ -242,17 +242,17 @@
 void local_replica_unref(local_replica_t *r)
 {
 	if (r)
-		drop_refs(r, 1);
+		release_refs(r, 1);
 }
 
 void local_replica_update(local_replica_t *r, const owner_options_t *policy, int64_t stall_ms)
 {
-	owner_options_t o = with_callbacks(r, policy);
+	owner_options_t o = set_callbacks(r, policy);
 
 	pthread_mutex_lock(&r->lock);
 	r->stall_ms = stall_ms;
-	owner_update(r->ow, &o);
-	unlock(r);
+	owner_update(r->owner, &o);
+	unlock_and_notify(r);
 }
 
 uint64_t local_replica_fence(const local_replica_t *r)
@@ -260,26 +260,26 @@
 	return r->fence;
 }
 
-static engine_stream_t *new_stream(local_replica_t *r, const attempt_params_t *w,
-				   const attempt_sink_t *sink)
+static engine_stream_t *make_stream(local_replica_t *r, const attempt_params_t *params,
+				    const attempt_sink_t *sink)
 {
 	uint64_t id = atomic_fetch_add(&last_stream_id, 1) + 1;
-	engine_stream_t *s = engine_stream_new(id, w, sink);
+	engine_stream_t *s = engine_stream_new(id, params, sink);
 
 	snprintf(s->attempt_id, sizeof(s->attempt_id), "%" PRIx64 "-%" PRIu64, r->en->boot, id);
 	return s;
 }
 
-owner_answer_t local_replica_offer(local_replica_t *r, const attempt_params_t *w,
+owner_answer_t local_replica_offer(local_replica_t *r, const attempt_params_t *params,
 				   const attempt_sink_t *sink, uint64_t *id,
 				   int64_t *retry_after_ms)
 {
-	engine_stream_t *s = new_stream(r, w, sink);
-	owner_stream_t os = {.id = s->id,
-			     .cls = w->cls,
-			     .deadline = w->deadline,
-			     .caller = str_hash(w->caller),
-			     .alone = w->alone};
+	engine_stream_t *s = make_stream(r, params, sink);
+	owner_stream_t stream = {.id = s->id,
+				 .cls = params->cls,
+				 .deadline = params->deadline,
+				 .caller = str_hash(params->caller),
+				 .alone = params->alone};
 	owner_answer_t a = OWNER_REFUSED;
 
 	*id = s->id;
@@ -288,14 +288,14 @@
 	if (!r->closed && (!r->fence || entry_lease_valid(r->en->snapshot))) {
 		HASH_ADD(hh, r->streams, id, sizeof(s->id), s);
 		local_replica_ref(r);
-		a = owner_offer(r->ow, &os, clock_now_ms(), retry_after_ms);
-		if (a == OWNER_REFUSED && find(r, *id)) {
+		a = owner_offer(r->owner, &stream, clock_now_ms(), retry_after_ms);
+		if (a == OWNER_REFUSED && find_stream(r, *id)) {
 			HASH_DEL(r->streams, s);
 			atomic_fetch_sub(&r->refs, 1);
 		}
-		drop_unstartable(r);
+		end_denied_streams(r);
 	}
-	unlock(r);
+	unlock_and_notify(r);
 	if (a == OWNER_REFUSED)
 		engine_stream_free(s);
 	return a;
@@ -306,16 +306,16 @@
 	engine_stream_t *s;
 
 	pthread_mutex_lock(&r->lock);
-	s = find(r, id);
+	s = find_stream(r, id);
 	if (s && !s->started) {
-		owner_withdraw(r->ow, id, clock_now_ms());
-		take_out(r, s, ATTEMPT_CANCELLED, 0);
+		owner_withdraw(r->owner, id, clock_now_ms());
+		move_to_ended(r, s, ATTEMPT_CANCELLED, 0);
 	} else if (s && !s->cancelling) {
 		s->cancelling = true;
 		s->cancel_outcome = ATTEMPT_CANCELLED;
 		engine_stream_cancel(r->en->fetch_client, r->addr, s);
 	}
-	unlock(r);
+	unlock_and_notify(r);
 }
 
 bool local_replica_preempt_newest(local_replica_t *r)
@@ -329,17 +329,17 @@
 		if (s->cls == OWNER_BATCH && !s->cancelling && (!newest || s->id > newest->id))
 			newest = s;
 	if (newest)
-		cancel(r, newest->id);
-	unlock(r);
+		preempt_stream(r, newest->id);
+	unlock_and_notify(r);
 	return newest != NULL;
 }
 
 void local_replica_tick(local_replica_t *r)
 {
 	pthread_mutex_lock(&r->lock);
-	owner_tick(r->ow, clock_now_ms());
-	drop_unstartable(r);
-	unlock(r);
+	owner_tick(r->owner, clock_now_ms());
+	end_denied_streams(r);
+	unlock_and_notify(r);
 }
 
 void local_replica_close(local_replica_t *r, bool cancel_batch)
@@ -347,9 +347,9 @@
 	pthread_mutex_lock(&r->lock);
 	if (!r->closed) {
 		r->closed = true;
-		owner_close(r->ow, cancel_batch, clock_now_ms());
+		owner_close(r->owner, cancel_batch, clock_now_ms());
 	}
-	unlock(r);
+	unlock_and_notify(r);
 }
 
 unsigned local_replica_batch_headroom(local_replica_t *r)
@@ -357,14 +357,14 @@
 	unsigned n;
 
 	pthread_mutex_lock(&r->lock);
-	n = r->closed ? 0 : owner_batch_headroom(r->ow, clock_now_ms());
-	unlock(r);
+	n = r->closed ? 0 : owner_batch_headroom(r->owner, clock_now_ms());
+	unlock_and_notify(r);
 	return n;
 }
 
 void local_replica_stats(local_replica_t *r, owner_stats_t *out)
 {
 	pthread_mutex_lock(&r->lock);
-	owner_stats(r->ow, clock_now_ms(), out);
-	unlock(r);
+	owner_stats(r->owner, clock_now_ms(), out);
+	unlock_and_notify(r);
 }
--- a/src/entry/local_replica.h
+++ b/src/entry/local_replica.h
@@ -8,7 +8,7 @@
 #include "entry/entry.h"
 #include "entry/attempt.h"
 
-typedef struct ro local_replica_t;
+typedef struct local_replica local_replica_t;
 
 typedef struct {
 	entry_ctx_t *en;
@@ -29,7 +29,7 @@
 uint64_t local_replica_fence(const local_replica_t *r);
 
 /** Offers work; unless refused the sink's end is called once. Strings are copied. */
-owner_answer_t local_replica_offer(local_replica_t *r, const attempt_params_t *w,
+owner_answer_t local_replica_offer(local_replica_t *r, const attempt_params_t *params,
 				   const attempt_sink_t *sink, uint64_t *id,
 				   int64_t *retry_after_ms);
 /** Withdraws a waiting stream, cancels a running one at the engine. */
--- a/src/entry/main.c
+++ b/src/entry/main.c
@@ -32,7 +32,7 @@
 	return v;
 }
 
-static int on_completion(const struct _u_request *req, struct _u_response *res, void *ctx)
+static int handle_completion(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
 	static const filter_step_t chain[] = {
 		{filter_identify}, {filter_check_lease}, {filter_match_model}, {filter_idempotency},
@@ -41,7 +41,7 @@
 	return filter_run(ctx, req, res, "entry", chain);
 }
 
-static int on_plain(const struct _u_request *req, struct _u_response *res, void *ctx)
+static int handle_plain_call(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
 	static const filter_step_t chain[] = {
 		{filter_identify}, {filter_check_lease}, {filter_match_plain}, {filter_idempotency},
@@ -50,28 +50,28 @@
 	return filter_run(ctx, req, res, "entry", chain);
 }
 
-static const httpd_endpoint_t routes[] = {{"GET", "/v1/addresses", addresses_get},
-					  {"POST", "/v1/completions", on_completion},
-					  {"GET", "/v1/requests/:key", job_api_get_request},
-					  {"POST", "/v1/services/:service/*", on_plain},
-					  {"POST", "/v1/jobs", job_api_submit},
-					  {"GET", "/v1/jobs", job_api_list},
-					  {"GET", "/v1/jobs/:id", job_api_get},
-					  {"GET", "/v1/jobs/:id/results", job_api_results},
-					  {"DELETE", "/v1/jobs/:id", job_api_cancel},
-					  {"GET", "/v1/config", config_api_get},
-					  {"PUT", "/v1/config", config_api_put},
-					  {"POST", "/v1/config/check", config_api_check},
-					  {"GET", "/v1/status", status_api_status},
-					  {"GET", "/v1/events", status_api_events},
-					  {"GET", "/metrics", status_api_metrics},
-					  {"GET", "/healthz", status_api_healthz},
-					  {"GET", "/readyz", status_api_readyz},
-					  {"POST", "/internal/v1/run", peer_api_run},
-					  {"POST", "/internal/v1/cancel", peer_api_cancel},
-					  {NULL, NULL, NULL}};
+static const httpd_endpoint_t endpoints[] = {{"GET", "/v1/addresses", addresses_get},
+					     {"POST", "/v1/completions", handle_completion},
+					     {"GET", "/v1/requests/:key", job_api_get_request},
+					     {"POST", "/v1/services/:service/*", handle_plain_call},
+					     {"POST", "/v1/jobs", job_api_submit},
+					     {"GET", "/v1/jobs", job_api_list},
+					     {"GET", "/v1/jobs/:id", job_api_get},
+					     {"GET", "/v1/jobs/:id/results", job_api_results},
+					     {"DELETE", "/v1/jobs/:id", job_api_cancel},
+					     {"GET", "/v1/config", config_api_get},
+					     {"PUT", "/v1/config", config_api_put},
+					     {"POST", "/v1/config/check", config_api_check},
+					     {"GET", "/v1/status", status_api_status},
+					     {"GET", "/v1/events", status_api_events},
+					     {"GET", "/metrics", status_api_metrics},
+					     {"GET", "/healthz", status_api_healthz},
+					     {"GET", "/readyz", status_api_readyz},
+					     {"POST", "/internal/v1/run", peer_api_run},
+					     {"POST", "/internal/v1/cancel", peer_api_cancel},
+					     {NULL, NULL, NULL}};
 
-static int fail(int code)
+static int report_failure(int code)
 {
 	fprintf(stderr, "auburn-entry: %s\n", status_message());
 	return code;
@@ -98,8 +98,8 @@
 	en.admission = admission_new();
 	en.caller_keys = bearer_keys_new(en.settings.callers, en.settings.ncallers);
 	en.operator_keys = bearer_keys_new(en.settings.operators, en.settings.noperators);
-	if (load_exchange_start(&en) != STATUS_OK || httpd_start(&en, routes) != STATUS_OK)
-		return fail(EXIT_LISTEN);
+	if (load_exchange_start(&en) != STATUS_OK || httpd_start(&en, endpoints) != STATUS_OK)
+		return report_failure(EXIT_LISTEN);
 	en.batch = batch_start(&en);
 	heartbeat_start(&en);
 	probe_start(&en);
@@ -124,7 +124,7 @@
 	if (sodium_init() < 0)
 		return EXIT_FAILED;
 	if (entry_settings_load(args.config, &en.settings) != STATUS_OK)
-		return fail(EXIT_SETTINGS);
+		return report_failure(EXIT_SETTINGS);
 	if (args.check)
 		return EXIT_OK;
 	code = serve();
--- a/src/entry/peer_api.c
+++ b/src/entry/peer_api.c
@@ -18,11 +18,11 @@
 typedef struct {
 	atomic_int refs;
 	entry_ctx_t *en;
-	local_replica_t *ro;
-	uint64_t id;
+	local_replica_t *replica;
+	uint64_t stream_id;
 	pthread_mutex_t lock;
 	pthread_cond_t cond;
-	buf_t out;
+	buf_t events;
 	bool ended;
 } relay_t;
 
@@ -30,8 +30,8 @@
 {
 	if (atomic_fetch_sub(&r->refs, 1) != 1)
 		return;
-	buf_free(&r->out);
-	local_replica_unref(r->ro);
+	buf_free(&r->events);
+	local_replica_unref(r->replica);
 	free(r);
 }
 
@@ -40,14 +40,14 @@
 	relay_t *r = ctx;
 
 	pthread_mutex_lock(&r->lock);
-	buf_addf(&r->out, "data: {\"index\":%u,\"text\":", index);
-	buf_add_json(&r->out, text);
-	buf_add(&r->out, STR("}\n\n"));
+	buf_addf(&r->events, "data: {\"index\":%u,\"text\":", index);
+	buf_add_json(&r->events, text);
+	buf_add(&r->events, STR("}\n\n"));
 	pthread_cond_signal(&r->cond);
 	pthread_mutex_unlock(&r->lock);
 }
 
-static void write_end(buf_t *b, const attempt_end_t *end)
+static void append_end_event(buf_t *b, const attempt_end_t *end)
 {
 	buf_addf(b,
 		 "event: end\ndata: {\"kind\":\"%s\",\"retry_after_ms\":%" PRId64 ",\"message\":",
@@ -61,14 +61,14 @@
 	relay_t *r = ctx;
 
 	pthread_mutex_lock(&r->lock);
-	write_end(&r->out, end);
+	append_end_event(&r->events, end);
 	r->ended = true;
 	pthread_cond_signal(&r->cond);
 	pthread_mutex_unlock(&r->lock);
 	relay_unref(r);
 }
 
-static void wait_bytes(relay_t *r)
+static void wait_for_events(relay_t *r)
 {
 	struct timespec until;
 
@@ -76,30 +76,30 @@
 	until.tv_nsec += (long)(KEEPALIVE_MS % MS_PER_S) * NS_PER_MS;
 	until.tv_sec += KEEPALIVE_MS / MS_PER_S + until.tv_nsec / (MS_PER_S * NS_PER_MS);
 	until.tv_nsec %= (long)MS_PER_S * NS_PER_MS;
-	while (r->out.n == 0 && !r->ended)
+	while (r->events.n == 0 && !r->ended)
 		if (pthread_cond_timedwait(&r->cond, &r->lock, &until) != 0)
 			break;
 	/* A comment shows the other entry that this one lives, and this one that the other does. */
-	if (r->out.n == 0 && !r->ended)
-		buf_add(&r->out, STR(":\n\n"));
+	if (r->events.n == 0 && !r->ended)
+		buf_add(&r->events, STR(":\n\n"));
 }
 
-static ssize_t read_stream(void *ctx, uint64_t offset, char *out, size_t max)
+static ssize_t read_events(void *ctx, uint64_t offset, char *events, size_t max)
 {
 	relay_t *r = ctx;
 	size_t n;
 
 	pthread_mutex_lock(&r->lock);
-	wait_bytes(r);
-	n = r->out.n < max ? r->out.n : max;
+	wait_for_events(r);
+	n = r->events.n < max ? r->events.n : max;
 	if (n)
-		memcpy(out, r->out.p, n);
-	buf_drop_front(&r->out, n);
+		memcpy(events, r->events.p, n);
+	buf_drop_front(&r->events, n);
 	pthread_mutex_unlock(&r->lock);
 	return n ? (ssize_t)n : (ssize_t)U_STREAM_END;
 }
 
-static void free_stream(void *ctx)
+static void close_stream(void *ctx)
 {
 	relay_t *r = ctx;
 	bool gone;
@@ -110,12 +110,12 @@
 	atomic_fetch_sub(&r->en->open_streams, 1);
 	if (gone) {
 		METRIC_INC("auburn_forwards_dropped_total");
-		local_replica_cancel(r->ro, r->id);
+		local_replica_cancel(r->replica, r->stream_id);
 	}
 	relay_unref(r);
 }
 
-static relay_t *relay_new(entry_ctx_t *en, local_replica_t *ro)
+static relay_t *relay_new(entry_ctx_t *en, local_replica_t *replica)
 {
 	relay_t *r = mem_new(sizeof(*r));
 	pthread_condattr_t attr;
@@ -123,7 +123,7 @@
 	atomic_init(&r->refs, 2);
 	r->en = en;
 	atomic_fetch_add(&en->open_streams, 1);
-	r->ro = local_replica_ref(ro);
+	r->replica = local_replica_ref(replica);
 	pthread_mutex_init(&r->lock, NULL);
 	pthread_condattr_init(&attr);
 	pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
@@ -132,29 +132,29 @@
 	return r;
 }
 
-static str_t text_of(json_t *j, const char *key)
+static str_t get_string(json_t *j, const char *key)
 {
 	json_t *v = json_object_get(j, key);
 
 	return (str_t){json_is_string(v) ? json_string_value(v) : "", json_string_length(v)};
 }
 
-static attempt_params_t read_work(json_t *j, str_t trace)
+static attempt_params_t parse_params(json_t *j, str_t trace)
 {
 	return (attempt_params_t){
 		.cls = OWNER_ONLINE,
 		.deadline = clock_now_ms() + json_integer_value(json_object_get(j, "left_ms")),
 		.max_tokens = (unsigned)json_integer_value(json_object_get(j, "max_tokens")),
 		.resume_from = (unsigned)json_integer_value(json_object_get(j, "resume_from")),
-		.caller = text_of(j, "caller"),
-		.key = text_of(j, "key"),
-		.service = text_of(j, "service"),
-		.model = text_of(j, "model"),
-		.prompt = text_of(j, "prompt"),
+		.caller = get_string(j, "caller"),
+		.key = get_string(j, "key"),
+		.service = get_string(j, "service"),
+		.model = get_string(j, "model"),
+		.prompt = get_string(j, "prompt"),
 		.trace = trace};
 }
 
-static bool from_member(entry_ctx_t *en, json_t *j)
+static bool is_from_member(entry_ctx_t *en, json_t *j)
 {
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
 	uint64_t session = (uint64_t)json_integer_value(json_object_get(j, "session"));
@@ -162,31 +162,32 @@
 	return v && session && entry_find_member(&v->view, session);
 }
 
-static local_replica_t *find_owned(entry_ctx_t *en, json_t *j)
+static local_replica_t *find_local_replica(entry_ctx_t *en, json_t *j)
 {
 	uint64_t fence = (uint64_t)json_integer_value(json_object_get(j, "fence"));
 
-	if (!from_member(en, j)) {
+	if (!is_from_member(en, j)) {
 		atomic_store(&en->view_stale, true);
 		return NULL;
 	}
-	return upstream_find_owned(en->upstreams, text_of(j, "upstream"), fence);
+	return upstream_find_owned(en->upstreams, get_string(j, "upstream"), fence);
 }
 
-static void run(entry_ctx_t *en, local_replica_t *ro, const attempt_params_t *w,
-		struct _u_response *res)
+static void relay_attempt(entry_ctx_t *en, local_replica_t *replica, const attempt_params_t *params,
+			  struct _u_response *res)
 {
-	relay_t *r = relay_new(en, ro);
+	relay_t *r = relay_new(en, replica);
 	attempt_sink_t sink = {r, on_token, on_end};
 	attempt_end_t end = {ATTEMPT_REFUSED, 0, STR("the owner takes no more")};
 
-	if (local_replica_offer(ro, w, &sink, &r->id, &end.retry_after_ms) == OWNER_REFUSED) {
-		write_end(&r->out, &end);
+	if (local_replica_offer(replica, params, &sink, &r->stream_id, &end.retry_after_ms) ==
+	    OWNER_REFUSED) {
+		append_end_event(&r->events, &end);
 		r->ended = true;
 		atomic_store(&r->refs, 1); /* the replica holds none */
 	}
 	u_map_put(res->map_header, "Content-Type", "text/event-stream");
-	ulfius_set_stream_response(res, 200, read_stream, free_stream, U_STREAM_SIZE_UNKNOWN,
+	ulfius_set_stream_response(res, 200, read_events, close_stream, U_STREAM_SIZE_UNKNOWN,
 				   BLOCK_BYTES, r);
 }
 
@@ -195,20 +196,20 @@
 	entry_ctx_t *en = ctx;
 	str_t body = httpd_body(req);
 	json_t *j;
-	attempt_params_t w;
-	local_replica_t *ro;
+	attempt_params_t params;
+	local_replica_t *replica;
 
 	if (!httpd_auth_peer(en, req, res))
 		return U_CALLBACK_COMPLETE;
 	j = json_loadb(body.p, body.n, 0, NULL);
-	w = read_work(j, httpd_header(req, "traceparent"));
-	ro = j ? find_owned(en, j) : NULL;
-	if (ro && entry_lease_valid(en->snapshot))
-		run(en, ro, &w, res);
+	params = parse_params(j, httpd_header(req, "traceparent"));
+	replica = j ? find_local_replica(en, j) : NULL;
+	if (replica && entry_lease_valid(en->snapshot))
+		relay_attempt(en, replica, &params, res);
 	else
 		httpd_error(res, 503, "not_owner", STR("not the owner under this fence"),
 			    VERDICT_NOT_RUN, 1);
-	local_replica_unref(ro);
+	local_replica_unref(replica);
 	json_decref(j);
 	return U_CALLBACK_COMPLETE;
 }
--- a/src/entry/peer_api_cancel.c
+++ b/src/entry/peer_api_cancel.c
@@ -6,8 +6,8 @@
 #include "base/metric.h"
 #include "entry/batch.h"
 
-#define URL_BYTES 128
-#define ASK_MS	  1000
+#define URL_BYTES	  128
+#define CANCEL_TIMEOUT_MS 1000
 
 int peer_api_cancel(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
@@ -38,22 +38,22 @@
 typedef struct {
 	pthread_mutex_t lock;
 	pthread_cond_t cond;
-	unsigned left;
-} asked_t;
+	unsigned pending;
+} broadcast_t;
 
-static void on_answer(void *ctx, const fetch_end_t *end)
+static void on_cancel_reply(void *ctx, const fetch_end_t *end)
 {
-	asked_t *a = ctx;
+	broadcast_t *a = ctx;
 
 	if (end->result != FETCH_FINISHED)
 		METRIC_INC("auburn_cancel_broadcasts_failed_total");
 	pthread_mutex_lock(&a->lock);
-	a->left--;
+	a->pending--;
 	pthread_cond_signal(&a->cond);
 	pthread_mutex_unlock(&a->lock);
 }
 
-static void ask(entry_ctx_t *en, const wire_member_t *m, str_t body, asked_t *a)
+static void send_cancel(entry_ctx_t *en, const wire_member_t *m, str_t body, broadcast_t *a)
 {
 	AUTO_BUF key = {0};
 	const char *headers[] = {"Content-Type: application/json", NULL, NULL};
@@ -62,15 +62,15 @@
 				   .url = url,
 				   .headers = headers,
 				   .body = body,
-				   .deadline = clock_now_ms() + ASK_MS,
+				   .deadline = clock_now_ms() + CANCEL_TIMEOUT_MS,
 				   .ctx = a,
-				   .end = on_answer};
+				   .on_end = on_cancel_reply};
 
 	buf_addf(&key, "Authorization: Bearer %s", en->settings.peer_key);
 	headers[1] = key.p;
 	snprintf(url, sizeof(url), "http://%.*s/internal/v1/cancel", STR_ARG(wire_str(m->addr)));
 	pthread_mutex_lock(&a->lock);
-	a->left++;
+	a->pending++;
 	pthread_mutex_unlock(&a->lock);
 	fetch_start(en->fetch_client, &o);
 }
@@ -78,7 +78,7 @@
 void peer_api_broadcast_cancel(entry_ctx_t *en, str_t caller, str_t job)
 {
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
-	asked_t a = {PTHREAD_MUTEX_INITIALIZER, PTHREAD_COND_INITIALIZER, 0};
+	broadcast_t a = {PTHREAD_MUTEX_INITIALIZER, PTHREAD_COND_INITIALIZER, 0};
 	AUTO_BUF body = {0};
 
 	batch_cancel_job(en->batch, caller, job);
@@ -90,9 +90,9 @@
 	buf_addc(&body, '}');
 	for (u_int i = 0; v && i < v->view.members.members_len; i++)
 		if (v->view.members.members_val[i].session != entry_session(en->snapshot))
-			ask(en, &v->view.members.members_val[i], str_buf(&body), &a);
+			send_cancel(en, &v->view.members.members_val[i], str_buf(&body), &a);
 	pthread_mutex_lock(&a.lock);
-	while (a.left)
+	while (a.pending)
 		pthread_cond_wait(&a.cond, &a.lock);
 	pthread_mutex_unlock(&a.lock);
 }
--- a/src/entry/plain_call.c
+++ b/src/entry/plain_call.c
@@ -8,21 +8,21 @@
 #include "entry/upstream.h"
 #include "policy/retry.h"
 
-#define URL_BYTES	  512
-#define HEADER_BYTES	  256
-#define ATTEMPT_LONG_MS	  60000
-#define ATTEMPT_MS	  3000
-#define CONNECT_TRIES	  4
-#define PAUSE_MS	  50
-#define RETRY_MS	  1000
-#define HTTP_SERVER_ERROR 500
-#define HTTP_UNAVAILABLE  503
+#define URL_BYTES	   512
+#define HEADER_BYTES	   256
+#define COMMIT_DEADLINE_MS 60000
+#define COMMIT_TIMEOUT_MS  3000
+#define ATTEMPTS_MAX	   4
+#define RETRY_PAUSE_MS	   50
+#define RETRY_AFTER_MS	   1000
+#define HTTP_SERVER_ERROR  500
+#define HTTP_UNAVAILABLE   503
 
 /* Commits that an attempt begins; after this only this process may send, and only once. Goes on
  * past the call's deadline, because the record must not stay as it is. */
-static status_t open_attempt(entry_ctx_t *en, const plain_call_t *c, uint64_t token)
+static status_t commit_attempt(entry_ctx_t *en, const plain_call_t *c, uint64_t token)
 {
-	deadline_t until = clock_now_ms() + ATTEMPT_LONG_MS;
+	deadline_t until = clock_now_ms() + COMMIT_DEADLINE_MS;
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_ATTEMPT};
 	status_t st = STATUS_TIMEOUT;
 
@@ -35,13 +35,13 @@
 		wire_ledger_res_t res = {0};
 
 		st = control_client_ledger(en->control_client, &cmd, &res,
-					   clock_now_ms() + ATTEMPT_MS);
+					   clock_now_ms() + COMMIT_TIMEOUT_MS);
 		if (st == STATUS_OK)
 			st = (status_t)res.status;
 		wire_free(XDR_PROC(wire_ledger_res_t), &res);
 		if (st != STATUS_UNAVAILABLE && st != STATUS_TIMEOUT && st != STATUS_NOT_LEADER)
 			return st;
-		clock_sleep_ms(PAUSE_MS);
+		clock_sleep_ms(RETRY_PAUSE_MS);
 	}
 	return st;
 }
@@ -61,16 +61,16 @@
 			     .headers = headers,
 			     .deadline = c->deadline,
 			     .new_connection = !c->repeatable};
-	fetch_result_t kind;
+	fetch_result_t result;
 
 	trace_begin(&sp, "upstream", c->trace);
 	trace_parent(&sp, parent);
 	snprintf(url, sizeof(url), "http://%s%.*s", addr, STR_ARG(c->path));
 	snprintf(key, sizeof(key), "Idempotency-Key: %.*s", STR_ARG(c->key));
 	snprintf(trace, sizeof(trace), "traceparent: %s", parent);
-	kind = fetch_sync(en->fetch_client, &o, status, out);
-	trace_end(&sp, c->key, kind == FETCH_FINISHED ? "answered" : "no_answer");
-	return kind;
+	result = fetch_sync(en->fetch_client, &o, status, out);
+	trace_end(&sp, c->key, result == FETCH_FINISHED ? "answered" : "no_answer");
+	return result;
 }
 
 static void set_failed(plain_call_end_t *end, int status, verdict_t v, const char *code,
@@ -82,15 +82,16 @@
 	end->code = code;
 	buf_free(&end->result);
 	ledger_client_error_json(&end->result, code, message, v,
-				 v == VERDICT_NOT_RUN ? RETRY_MS : 0);
+				 v == VERDICT_NOT_RUN ? RETRY_AFTER_MS : 0);
 }
 
 /* The verdict of one sent call. True if it ended; false if it surely did not run. */
-static bool judge(const plain_call_t *c, fetch_result_t kind, int status, plain_call_end_t *end)
+static bool classify_result(const plain_call_t *c, fetch_result_t result, int status,
+			    plain_call_end_t *end)
 {
-	if (kind == FETCH_NOT_SENT)
+	if (result == FETCH_NOT_SENT)
 		return false;
-	if (kind != FETCH_FINISHED) {
+	if (result != FETCH_FINISHED) {
 		set_failed(end, 502, VERDICT_MAY_HAVE_RUN, "answer_lost",
 			   STR("the service's answer was lost: the call may have run"));
 		return true;
@@ -104,47 +105,47 @@
 	return true;
 }
 
-static bool may_go_on(entry_ctx_t *en, const plain_call_t *c, const plain_call_end_t *end,
-		      int *tries)
+static bool may_retry(entry_ctx_t *en, const plain_call_t *c, const plain_call_end_t *end,
+		      int *nattempts)
 {
-	if (end->done || ++*tries >= CONNECT_TRIES || clock_now_ms() >= c->deadline)
+	if (end->done || ++*nattempts >= ATTEMPTS_MAX || clock_now_ms() >= c->deadline)
 		return false;
 	if (!retry_allowed(end->verdict, c->repeatable))
 		return false;
 	return ledger_client_take_retry(en, str_c(c->service));
 }
 
-static void run_tries(entry_ctx_t *en, const plain_call_t *c, plain_call_end_t *end)
+static void run_attempts(entry_ctx_t *en, const plain_call_t *c, plain_call_end_t *end)
 {
-	int tries = 0;
+	int nattempts = 0;
 
 	do {
 		upstream_choice_t choice;
 		char addr[64];
 		int status = 0;
-		fetch_result_t kind;
+		fetch_result_t result;
 
 		buf_free(&end->result);
 		set_failed(end, 503, VERDICT_NOT_RUN, "no_upstream",
 			   STR("no upstream of the service took the call"));
 		if (!upstream_pick_plain(en->upstreams, str_c(c->service), &choice, addr)) {
-			clock_sleep_ms(PAUSE_MS);
+			clock_sleep_ms(RETRY_PAUSE_MS);
 			continue;
 		}
 		buf_free(&end->result);
-		kind = send_call(en, c, addr, &status, &end->result);
-		upstream_record_health(choice.upstream, kind == FETCH_FINISHED);
-		if (!judge(c, kind, status, end))
+		result = send_call(en, c, addr, &status, &end->result);
+		upstream_record_health(choice.upstream, result == FETCH_FINISHED);
+		if (!classify_result(c, result, status, end))
 			set_failed(end, 503, VERDICT_NOT_RUN, "refused_by_service",
 				   STR("the service did not run the call"));
 		log_event(LOG_LEVEL_INFO, "service_call", LOG_STR("key", c->key),
 			  LOG_CSTR("upstream", choice.id), LOG_INT("status", status),
 			  LOG_CSTR("verdict", verdict_name(end->verdict)));
-	} while (may_go_on(en, c, end, &tries));
+	} while (may_retry(en, c, end, &nattempts));
 }
 
 /* What stands in the ledger is what every resend is told, so it is told now too. */
-static void adopt(plain_call_end_t *end, ledger_client_end_t *standing)
+static void adopt_stored_end(plain_call_end_t *end, ledger_client_end_t *standing)
 {
 	end->done = standing->done;
 	end->http_status = standing->http_status;
@@ -161,11 +162,11 @@
 	status_t st = STATUS_OK;
 
 	if (!c->repeatable)
-		st = open_attempt(en, c, entry_random() | 1);
+		st = commit_attempt(en, c, entry_random() | 1);
 	if (st != STATUS_OK)
 		return st;
 	if (clock_now_ms() < c->deadline)
-		run_tries(en, c, end);
+		run_attempts(en, c, end);
 	else
 		set_failed(end, 504, VERDICT_NOT_RUN, "deadline", STR("the deadline has passed"));
 	f.done = end->done;
@@ -176,7 +177,7 @@
 	if (st == STATUS_OK)
 		return STATUS_OK;
 	if (st == STATUS_CONFLICT) {
-		adopt(end, &standing);
+		adopt_stored_end(end, &standing);
 		return STATUS_OK;
 	}
 	log_event(LOG_LEVEL_ERROR, "result_not_committed", LOG_STR("key", c->key),
--- a/src/entry/probe.c
+++ b/src/entry/probe.c
@@ -3,12 +3,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define ROUND_MS  200
-#define GET_MS	  500
-#define URL_BYTES 256
-#define STATE_MS  500
-#define SETTLE_MS 1500 /* an order of the last owner may still be on its way */
-#define HTTP_OK	  200
+#define ROUND_INTERVAL_MS 200
+#define GET_TIMEOUT_MS	  500
+#define URL_BYTES	  256
+#define STATE_INTERVAL_MS 500
+#define ORDER_SETTLE_MS	  1500 /* an order of the last owner may still be on its way */
+#define HTTP_OK		  200
 
 typedef struct {
 	entry_ctx_t *en;
@@ -21,7 +21,8 @@
 	char url[URL_BYTES];
 	AUTO_BUF body = {0};
 	int status = 0;
-	fetch_options_t o = {.method = "GET", .url = url, .deadline = clock_now_ms() + GET_MS};
+	fetch_options_t o = {
+		.method = "GET", .url = url, .deadline = clock_now_ms() + GET_TIMEOUT_MS};
 
 	snprintf(url, sizeof(url), "http://%s%s", addr, path);
 	if (fetch_sync(en->fetch_client, &o, &status, &body) != FETCH_FINISHED || status != HTTP_OK)
@@ -29,7 +30,8 @@
 	return json_loadb(body.p ? body.p : "", body.n, 0, NULL);
 }
 
-static probe_replica_t *replica(probe_t *p, const upstream_info_t *info, const config_service_t *s)
+static probe_replica_t *get_replica(probe_t *p, const upstream_info_t *info,
+				    const config_service_t *s)
 {
 	probe_replica_t *r = p->replicas;
 
@@ -44,13 +46,13 @@
 	if (r->fence != info->fence) {
 		r->fence = info->fence;
 		r->prefixes_known = false;
-		r->orders_from = clock_now_ms() + (s->checks_fencing ? 0 : SETTLE_MS);
+		r->orders_from = clock_now_ms() + (s->checks_fencing ? 0 : ORDER_SETTLE_MS);
 		r->next_state_read = 0;
 	}
 	return r;
 }
 
-static void load_report(entry_ctx_t *en, const upstream_info_t *info)
+static void read_load(entry_ctx_t *en, const upstream_info_t *info)
 {
 	json_t *j = probe_get_json(en, info->addr, "/v1/load");
 
@@ -63,7 +65,7 @@
 	json_decref(j);
 }
 
-static bool visit(void *ctx, const upstream_info_t *info)
+static bool probe_upstream(void *ctx, const upstream_info_t *info)
 {
 	probe_t *p = ctx;
 	entry_ctx_t *en = p->en;
@@ -72,13 +74,13 @@
 
 	if (!info->replica || !s || info->state != WIRE_UPSTREAM_LIVE)
 		return true;
-	r = replica(p, info, s);
+	r = get_replica(p, info, s);
 	if (en->settings.mode == ENTRY_MODE_ALONE || en->settings.mode == ENTRY_MODE_ALONE_CANCEL)
-		load_report(en, info);
+		read_load(en, info);
 	probe_cache_events(en, info, r);
 	if (en->settings.mode == ENTRY_MODE_OWNER && s->model &&
 	    clock_now_ms() >= r->next_state_read && clock_now_ms() >= r->orders_from) {
-		r->next_state_read = clock_now_ms() + STATE_MS;
+		r->next_state_read = clock_now_ms() + STATE_INTERVAL_MS;
 		probe_send_orders(en, info, p->conf, s, r);
 	}
 	return true;
@@ -91,9 +93,9 @@
 	for (;;) {
 		p.conf = entry_config_get(p.en->snapshot);
 		if (p.conf && entry_lease_valid(p.en->snapshot))
-			upstream_each(p.en->upstreams, visit, &p);
+			upstream_each(p.en->upstreams, probe_upstream, &p);
 		entry_config_put(p.conf);
-		clock_sleep_ms(ROUND_MS);
+		clock_sleep_ms(ROUND_INTERVAL_MS);
 	}
 	return NULL;
 }
--- a/src/entry/probe_cache.c
+++ b/src/entry/probe_cache.c
@@ -8,14 +8,14 @@
 
 #define PATH_BYTES 96
 
-static uint64_t hash_of(json_t *j)
+static uint64_t parse_hash(json_t *j)
 {
 	const char *hex = json_string_value(j);
 
 	return hex ? strtoull(hex, NULL, 16) : 0;
 }
 
-static void repair(entry_ctx_t *en, const upstream_info_t *info, probe_replica_t *r)
+static void reload_prefixes(entry_ctx_t *en, const upstream_info_t *info, probe_replica_t *r)
 {
 	json_t *j = probe_get_json(en, info->addr, "/v1/cache");
 	json_t *list = json_object_get(j, "prefixes");
@@ -26,7 +26,7 @@
 		return;
 	hashes = mem_new(n * sizeof(*hashes));
 	for (size_t i = 0; i < n; i++)
-		hashes[i] = hash_of(json_array_get(list, i));
+		hashes[i] = parse_hash(json_array_get(list, i));
 	upstream_set_prefixes(info->upstream, hashes, n);
 	r->last_seq = json_integer_value(json_object_get(j, "last"));
 	r->prefixes_known = true;
@@ -35,7 +35,7 @@
 }
 
 /* False at a gap. */
-static bool take_events(const upstream_info_t *info, probe_replica_t *r, json_t *j)
+static bool apply_events(const upstream_info_t *info, probe_replica_t *r, json_t *j)
 {
 	json_t *list = json_object_get(j, "events");
 	size_t n = json_array_size(list);
@@ -47,7 +47,7 @@
 		if (json_integer_value(json_object_get(e, "seq")) != r->last_seq + 1)
 			return false;
 		r->last_seq++;
-		upstream_update_prefix(info->upstream, hash_of(json_object_get(e, "prefix")),
+		upstream_update_prefix(info->upstream, parse_hash(json_object_get(e, "prefix")),
 				       op && strcmp(op, "add") == 0);
 	}
 	return json_integer_value(json_object_get(j, "last")) == r->last_seq;
@@ -59,12 +59,12 @@
 	json_t *j;
 
 	if (!r->prefixes_known) {
-		repair(en, info, r);
+		reload_prefixes(en, info, r);
 		return;
 	}
 	snprintf(path, sizeof(path), "/v1/cache_events?after=%lld", (long long)r->last_seq);
 	j = probe_get_json(en, info->addr, path);
-	if (j && !take_events(info, r, j)) {
+	if (j && !apply_events(info, r, j)) {
 		log_event(LOG_LEVEL_DEBUG, "cache_events_gap", LOG_CSTR("upstream", info->id),
 			  LOG_INT("after", r->last_seq));
 		METRIC_INC("auburn_cache_event_gaps_total");
--- a/src/entry/probe_orders.c
+++ b/src/entry/probe_orders.c
@@ -6,33 +6,33 @@
 #include "base/log.h"
 #include "base/metric.h"
 
-#define URL_BYTES     256
-#define ORDER_MS      1000
-#define MS_PER_MIN    60000
-#define HTTP_CONFLICT 409
+#define URL_BYTES	 256
+#define ORDER_TIMEOUT_MS 1000
+#define MS_PER_MIN	 60000
+#define HTTP_CONFLICT	 409
 
-static bool same(json_t *v, const char *want)
+static bool json_equals(json_t *v, const char *want)
 {
 	const char *have = json_is_string(v) ? json_string_value(v) : "";
 
 	return strcmp(have, want ? want : "") == 0;
 }
 
-static bool listed(json_t *list, const config_service_t *s)
+static bool lists_model(json_t *list, const config_service_t *s)
 {
 	for (size_t i = 0; i < json_array_size(list); i++) {
 		json_t *m = json_array_get(list, i);
 
-		if (same(json_object_get(m, "model"), s->model) &&
-		    same(json_object_get(m, "version"), s->version) &&
-		    same(json_object_get(m, "adapter"), s->adapter))
+		if (json_equals(json_object_get(m, "model"), s->model) &&
+		    json_equals(json_object_get(m, "version"), s->version) &&
+		    json_equals(json_object_get(m, "adapter"), s->adapter))
 			return true;
 	}
 	return false;
 }
 
 /* This entry's part of the weight store's rate. */
-static bool load_allowed(entry_ctx_t *en, const entry_config_t *c)
+static bool take_load_permit(entry_ctx_t *en, const entry_config_t *c)
 {
 	static deadline_t next; /* used by the probe thread only */
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
@@ -58,7 +58,7 @@
 	buf_addc(b, '}');
 }
 
-static void order(entry_ctx_t *en, const upstream_info_t *info, const config_service_t *s)
+static void send_order(entry_ctx_t *en, const upstream_info_t *info, const config_service_t *s)
 {
 	static const char *const headers[] = {"Content-Type: application/json", NULL};
 	char url[URL_BYTES];
@@ -68,7 +68,7 @@
 			     .url = url,
 			     .headers = headers,
 			     .new_connection = true,
-			     .deadline = clock_now_ms() + ORDER_MS};
+			     .deadline = clock_now_ms() + ORDER_TIMEOUT_MS};
 
 	snprintf(url, sizeof(url), "http://%s/v1/orders", info->addr);
 	write_order(&body, info, s);
@@ -86,10 +86,10 @@
 		       const config_service_t *s, probe_replica_t *r)
 {
 	json_t *j = probe_get_json(en, info->addr, "/v1/state");
-	bool wanted = j && !listed(json_object_get(j, "loaded"), s) &&
-		      !listed(json_object_get(j, "loading"), s);
+	bool wanted = j && !lists_model(json_object_get(j, "loaded"), s) &&
+		      !lists_model(json_object_get(j, "loading"), s);
 
 	json_decref(j);
-	if (wanted && entry_lease_valid(en->snapshot) && load_allowed(en, c))
-		order(en, info, s);
+	if (wanted && entry_lease_valid(en->snapshot) && take_load_permit(en, c))
+		send_order(en, info, s);
 }
--- a/src/entry/status_api.c
+++ b/src/entry/status_api.c
@@ -9,7 +9,7 @@
 #define EVENTS_MAX     4096
 #define EVENTS_DEFAULT 200
 
-static const char *state_name(wire_upstream_state_t s)
+static const char *upstream_state_name(wire_upstream_state_t s)
 {
 	switch (s) {
 	case WIRE_UPSTREAM_LIVE:
@@ -22,7 +22,7 @@
 	return "gone";
 }
 
-static void add_member(buf_t *b, const wire_member_t *m)
+static void append_member(buf_t *b, const wire_member_t *m)
 {
 	buf_add(b, STR("{\"name\":"));
 	buf_add_json(b, wire_str(m->name));
@@ -34,25 +34,25 @@
 		 m->draining ? "true" : "false");
 }
 
-static void add_members(entry_ctx_t *en, buf_t *b)
+static void append_members(entry_ctx_t *en, buf_t *b)
 {
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
 
 	for (u_int i = 0; v && i < v->view.members.members_len; i++) {
 		if (i)
 			buf_addc(b, ',');
-		add_member(b, &v->view.members.members_val[i]);
+		append_member(b, &v->view.members.members_val[i]);
 	}
 }
 
 typedef struct {
 	buf_t *b;
 	bool any;
-} list_t;
+} json_list_t;
 
-static bool add_upstream(void *ctx, const upstream_info_t *info)
+static bool append_upstream(void *ctx, const upstream_info_t *info)
 {
-	list_t *l = ctx;
+	json_list_t *l = ctx;
 	owner_stats_t st = {0};
 
 	if (info->state == WIRE_UPSTREAM_GONE)
@@ -71,7 +71,7 @@
 	buf_addf(l->b,
 		 ",\"state\":\"%s\",\"owner\":%" PRIu64 ",\"fence\":%" PRIu64
 		 ",\"owned_here\":%s,\"running_online\":%u,\"running_batch\":%u,\"queued\":%u}",
-		 state_name(info->state), info->owner, info->fence,
+		 upstream_state_name(info->state), info->owner, info->fence,
 		 info->replica ? "true" : "false", st.running_online, st.running_batch, st.queued);
 	return true;
 }
@@ -80,7 +80,7 @@
 {
 	entry_ctx_t *en = ctx;
 	AUTO_BUF b = {0};
-	list_t l = {&b, false};
+	json_list_t l = {&b, false};
 	str_t name;
 
 	if (!httpd_auth_operator(en, req, res, &name))
@@ -96,9 +96,9 @@
 		 entry_view_version(en->snapshot),
 		 clock_left_ms(entry_lease_deadline(en->snapshot)),
 		 atomic_load(&en->draining) ? "true" : "false", atomic_load(&en->running_requests));
-	add_members(en, &b);
+	append_members(en, &b);
 	buf_add(&b, STR("],\"upstreams\":["));
-	upstream_each(en->upstreams, add_upstream, &l);
+	upstream_each(en->upstreams, append_upstream, &l);
 	buf_add(&b, STR("]}"));
 	return httpd_json(res, 200, str_buf(&b));
 }
@@ -118,7 +118,7 @@
 	return httpd_reply(res, 200, "text/plain", str_buf(&b));
 }
 
-static void gauge(const char *name, int64_t v)
+static void set_gauge(const char *name, int64_t v)
 {
 	metric_set(metric_get(METRIC_GAUGE, name, NULL), v);
 }
@@ -130,7 +130,7 @@
 	int64_t queued;
 } sums_t;
 
-static bool add_sums(void *ctx, const upstream_info_t *info)
+static bool sum_replica(void *ctx, const upstream_info_t *info)
 {
 	sums_t *s = ctx;
 	owner_stats_t st;
@@ -145,29 +145,29 @@
 	return true;
 }
 
-static void set_gauges(entry_ctx_t *en)
+static void update_gauges(entry_ctx_t *en)
 {
 	sums_t s = {0};
 
-	upstream_each(en->upstreams, add_sums, &s);
-	gauge("auburn_conf_number", (int64_t)entry_config_number(en->snapshot));
-	gauge("auburn_view_version", (int64_t)entry_view_version(en->snapshot));
-	gauge("auburn_lease_left_ms", clock_left_ms(entry_lease_deadline(en->snapshot)));
-	gauge("auburn_draining", atomic_load(&en->draining));
-	gauge("auburn_requests_running", atomic_load(&en->running_requests));
-	gauge("auburn_streams_open", atomic_load(&en->open_streams));
-	gauge("auburn_items_held", (int64_t)batch_held(en->batch));
-	gauge("auburn_replicas_owned", s.owned);
-	gauge("auburn_replica_streams_online", s.online);
-	gauge("auburn_replica_streams_batch", s.batch);
-	gauge("auburn_replica_queue", s.queued);
+	upstream_each(en->upstreams, sum_replica, &s);
+	set_gauge("auburn_conf_number", (int64_t)entry_config_number(en->snapshot));
+	set_gauge("auburn_view_version", (int64_t)entry_view_version(en->snapshot));
+	set_gauge("auburn_lease_left_ms", clock_left_ms(entry_lease_deadline(en->snapshot)));
+	set_gauge("auburn_draining", atomic_load(&en->draining));
+	set_gauge("auburn_requests_running", atomic_load(&en->running_requests));
+	set_gauge("auburn_streams_open", atomic_load(&en->open_streams));
+	set_gauge("auburn_items_held", (int64_t)batch_held(en->batch));
+	set_gauge("auburn_replicas_owned", s.owned);
+	set_gauge("auburn_replica_streams_online", s.online);
+	set_gauge("auburn_replica_streams_batch", s.batch);
+	set_gauge("auburn_replica_queue", s.queued);
 }
 
 int status_api_metrics(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
 	AUTO_BUF b = {0};
 
-	set_gauges(ctx);
+	update_gauges(ctx);
 	metric_render_all(&b);
 	return httpd_reply(res, 200, "text/plain; version=0.0.4", str_buf(&b));
 }
--- a/src/entry/upstream.c
+++ b/src/entry/upstream.c
@@ -33,7 +33,7 @@
 	return found;
 }
 
-static upstream_t *add(upstream_table_t *t, const wire_upstream_t *a)
+static upstream_t *add_upstream(upstream_table_t *t, const wire_upstream_t *a)
 {
 	upstream_t *u = mem_new(sizeof(*u));
 
@@ -52,7 +52,8 @@
 	return u;
 }
 
-static owner_options_t policy_of(const entry_ctx_t *en, const config_service_t *s, unsigned entries)
+static owner_options_t make_policy(const entry_ctx_t *en, const config_service_t *s,
+				   unsigned entries)
 {
 	owner_options_t o = {.slots = (unsigned)s->slots,
 			     .reserved_slots = (unsigned)s->reserved_slots,
@@ -76,7 +77,7 @@
 	return o;
 }
 
-static bool dispatched_here(const entry_ctx_t *en, const wire_upstream_t *a)
+static bool is_dispatched_here(const entry_ctx_t *en, const wire_upstream_t *a)
 {
 	if (a->state != WIRE_UPSTREAM_LIVE)
 		return false;
@@ -85,8 +86,8 @@
 	return a->owner != 0 && a->owner == entry_session(en->snapshot);
 }
 
-static void open_owner(upstream_t *u, const wire_upstream_t *a, const config_service_t *s,
-		       const owner_options_t *policy)
+static void open_replica(upstream_t *u, const wire_upstream_t *a, const config_service_t *s,
+			 const owner_options_t *policy)
 {
 	local_replica_options_t o = {.en = u->en,
 				     .id = u->id,
@@ -104,17 +105,17 @@
 }
 
 /* Returns the owner to be closed, if there is one. */
-static local_replica_t *apply_one(upstream_t *u, const wire_upstream_t *a,
-				  const config_service_t *s, const wire_view_t *v)
+static local_replica_t *apply_upstream(upstream_t *u, const wire_upstream_t *a,
+				       const config_service_t *s, const wire_view_t *v)
 {
 	const wire_member_t *owner = entry_find_member(v, a->owner);
-	bool here = s && s->kind == CONFIG_ENGINE && dispatched_here(u->en, a);
+	bool here = s && s->kind == CONFIG_ENGINE && is_dispatched_here(u->en, a);
 	uint64_t fence = u->en->settings.mode == ENTRY_MODE_OWNER ? a->fence : 0;
 	owner_options_t policy = {0};
 	local_replica_t *old = NULL;
 
 	if (s && s->kind == CONFIG_ENGINE)
-		policy = policy_of(u->en, s, v->members.members_len);
+		policy = make_policy(u->en, s, v->members.members_len);
 	pthread_mutex_lock(&u->lock);
 	if (a->fence != u->fence)
 		u->report.reported_at = 0;
@@ -131,24 +132,24 @@
 		u->replica = NULL;
 	}
 	if (here && !u->replica)
-		open_owner(u, a, s, &policy);
+		open_replica(u, a, s, &policy);
 	else if (u->replica)
 		local_replica_update(u->replica, &policy, s->stall_ms);
 	pthread_mutex_unlock(&u->lock);
 	return old;
 }
 
-static void close_owner(upstream_t *u, local_replica_t *ro, bool cancel_batch)
+static void close_replica(upstream_t *u, local_replica_t *replica, bool cancel_batch)
 {
-	if (!ro)
+	if (!replica)
 		return;
 	log_event(LOG_LEVEL_INFO, "owner_closed", LOG_CSTR("upstream", u->id),
-		  LOG_INT("fence", local_replica_fence(ro)));
-	local_replica_close(ro, cancel_batch);
-	local_replica_unref(ro);
+		  LOG_INT("fence", local_replica_fence(replica)));
+	local_replica_close(replica, cancel_batch);
+	local_replica_unref(replica);
 }
 
-static bool in_view(const wire_view_t *v, const upstream_t *u)
+static bool is_in_view(const wire_view_t *v, const upstream_t *u)
 {
 	for (u_int i = 0; i < v->upstreams.upstreams_len; i++)
 		if (str_eq(wire_str(v->upstreams.upstreams_val[i].id), str_c(u->id)))
@@ -156,20 +157,20 @@
 	return false;
 }
 
-static void drop_gone(upstream_table_t *t, const wire_view_t *v)
+static void close_gone(upstream_table_t *t, const wire_view_t *v)
 {
 	for (size_t i = 0; i < t->n; i++) {
 		upstream_t *u = t->upstreams[i];
-		local_replica_t *ro;
+		local_replica_t *replica;
 
-		if (in_view(v, u))
+		if (is_in_view(v, u))
 			continue;
 		pthread_mutex_lock(&u->lock);
 		u->state = WIRE_UPSTREAM_GONE;
-		ro = u->replica;
+		replica = u->replica;
 		u->replica = NULL;
 		pthread_mutex_unlock(&u->lock);
-		close_owner(u, ro, true);
+		close_replica(u, replica, true);
 	}
 }
 
@@ -186,25 +187,25 @@
 		local_replica_t *old;
 
 		if (!u)
-			u = add(t, a);
-		old = apply_one(u, a, config_find_service(c->config, wire_str(a->service)),
-				&v->view);
-		close_owner(u, old, a->state != WIRE_UPSTREAM_LIVE);
+			u = add_upstream(t, a);
+		old = apply_upstream(u, a, config_find_service(c->config, wire_str(a->service)),
+				     &v->view);
+		close_replica(u, old, a->state != WIRE_UPSTREAM_LIVE);
 	}
-	drop_gone(t, &v->view);
+	close_gone(t, &v->view);
 }
 
 void upstream_close_owned(upstream_table_t *t, bool cancel_batch)
 {
 	for (size_t i = 0; i < t->n; i++) {
 		upstream_t *u = t->upstreams[i];
-		local_replica_t *ro;
+		local_replica_t *replica;
 
 		pthread_mutex_lock(&u->lock);
-		ro = u->replica;
+		replica = u->replica;
 		u->replica = NULL;
 		pthread_mutex_unlock(&u->lock);
-		close_owner(u, ro, cancel_batch);
+		close_replica(u, replica, cancel_batch);
 	}
 }
 
@@ -236,15 +237,15 @@
 local_replica_t *upstream_find_owned(upstream_table_t *t, str_t id, uint64_t fence)
 {
 	upstream_t *u = upstream_find(t, id);
-	local_replica_t *ro = NULL;
+	local_replica_t *replica = NULL;
 
 	if (!u)
 		return NULL;
 	pthread_mutex_lock(&u->lock);
 	if (u->replica && u->fence == fence)
-		ro = local_replica_ref(u->replica);
+		replica = local_replica_ref(u->replica);
 	pthread_mutex_unlock(&u->lock);
-	return ro;
+	return replica;
 }
 
 void upstream_record_health(void *up, bool ok)
--- a/src/entry/upstream.h
+++ b/src/entry/upstream.h
@@ -8,7 +8,7 @@
 #include "policy/balance.h"
 #include "policy/retry.h"
 
-typedef struct up upstream_t; /* lives as long as the process */
+typedef struct upstream upstream_t; /* lives as long as the process */
 
 upstream_table_t *upstream_table_new(entry_ctx_t *en);
 /** Brings the table to the newest view and text: opens and closes owners. Control thread. */
--- a/src/entry/upstream_internal.h
+++ b/src/entry/upstream_internal.h
@@ -4,7 +4,7 @@
 
 #include "entry/upstream.h"
 
-struct up {
+struct upstream {
 	entry_ctx_t *en;
 	char *id;
 	char *service;
--- a/src/entry/upstream_pick.c
+++ b/src/entry/upstream_pick.c
@@ -14,7 +14,7 @@
 	return false;
 }
 
-static bool knows_prefix(const upstream_t *u, uint64_t hash)
+static bool has_prefix(const upstream_t *u, uint64_t hash)
 {
 	size_t lo = 0;
 	size_t hi = u->nprefixes;
@@ -30,12 +30,12 @@
 	return lo < u->nprefixes && u->prefixes[lo] == hash;
 }
 
-static bool breaker_lets(const upstream_t *u, int64_t now_ms)
+static bool breaker_may_allow(const upstream_t *u, int64_t now_ms)
 {
 	return u->breaker.state == RETRY_BREAKER_CLOSED || u->breaker.probe_at_ms <= now_ms;
 }
 
-static void own_report(upstream_t *u, balance_candidate_t *c, int64_t now_ms)
+static void fill_from_local(upstream_t *u, balance_candidate_t *c, int64_t now_ms)
 {
 	owner_stats_t st;
 
@@ -54,7 +54,7 @@
 	}
 }
 
-static balance_candidate_t candidate(upstream_t *u, uint64_t prefix, int64_t now_ms)
+static balance_candidate_t make_candidate(upstream_t *u, uint64_t prefix, int64_t now_ms)
 {
 	balance_candidate_t c = u->report;
 	bool reachable =
@@ -63,10 +63,10 @@
 	c.slots = u->slots;
 	c.same_zone = strcmp(u->zone, u->en->settings.zone) == 0;
 	c.owned_here = u->replica != NULL;
-	c.prefix_known = knows_prefix(u, prefix);
-	c.usable = u->state == WIRE_UPSTREAM_LIVE && reachable && breaker_lets(u, now_ms);
+	c.prefix_known = has_prefix(u, prefix);
+	c.usable = u->state == WIRE_UPSTREAM_LIVE && reachable && breaker_may_allow(u, now_ms);
 	if (u->replica)
-		own_report(u, &c, now_ms);
+		fill_from_local(u, &c, now_ms);
 	return c;
 }
 
@@ -79,9 +79,9 @@
 	upstream_t **ups;
 	balance_candidate_t *c;
 	size_t n;
-} gather_t;
+} candidates_t;
 
-static void gather(upstream_table_t *t, gather_t *g)
+static void gather_candidates(upstream_table_t *t, candidates_t *g)
 {
 	pthread_rwlock_rdlock(&t->lock);
 	g->ups = mem_new(t->n * sizeof(upstream_t *));
@@ -93,13 +93,13 @@
 			continue;
 		pthread_mutex_lock(&u->lock);
 		g->ups[g->n] = u;
-		g->c[g->n++] = candidate(u, g->prefix, g->now_ms);
+		g->c[g->n++] = make_candidate(u, g->prefix, g->now_ms);
 		pthread_mutex_unlock(&u->lock);
 	}
 	pthread_rwlock_unlock(&t->lock);
 }
 
-static bool choose(upstream_t *u, int64_t now_ms, upstream_choice_t *out)
+static bool claim_choice(upstream_t *u, int64_t now_ms, upstream_choice_t *out)
 {
 	bool ok;
 
@@ -120,20 +120,20 @@
 bool upstream_pick(upstream_table_t *t, str_t service, str_t prompt, upstream_t *const *tried,
 		   size_t ntried, upstream_choice_t *out)
 {
-	gather_t g = {.service = service,
-		      .prefix = upstream_prefix_hash(prompt),
-		      .tried = tried,
-		      .ntried = ntried,
-		      .now_ms = clock_now_ms()};
+	candidates_t g = {.service = service,
+			  .prefix = upstream_prefix_hash(prompt),
+			  .tried = tried,
+			  .ntried = ntried,
+			  .now_ms = clock_now_ms()};
 	bool found = false;
 
-	gather(t, &g);
+	gather_candidates(t, &g);
 	while (!found) {
 		int i = balance_pick(g.c, g.n, BALANCE_TWO_CHOICES, entry_random(), g.now_ms);
 
 		if (i < 0)
 			break;
-		found = choose(g.ups[i], g.now_ms, out);
+		found = claim_choice(g.ups[i], g.now_ms, out);
 		g.c[i].usable = false;
 	}
 	free(g.ups);
@@ -142,9 +142,9 @@
 }
 
 /* Time until a stream offered to the replica would give its first token. */
-static int64_t wait_of(upstream_t *u, int64_t now_ms)
+static int64_t estimate_wait_ms(upstream_t *u, int64_t now_ms)
 {
-	balance_candidate_t c = candidate(u, 0, now_ms);
+	balance_candidate_t c = make_candidate(u, 0, now_ms);
 	owner_stats_t st;
 
 	if (!c.usable)
@@ -170,7 +170,7 @@
 		if (!str_eq(str_c(u->service), service))
 			continue;
 		pthread_mutex_lock(&u->lock);
-		wait = wait_of(u, now_ms);
+		wait = estimate_wait_ms(u, now_ms);
 		pthread_mutex_unlock(&u->lock);
 		if (wait < best)
 			best = wait;
--- a/src/entry/upstream_prefix.c
+++ b/src/entry/upstream_prefix.c
@@ -2,7 +2,7 @@
 #include <string.h>
 #include "entry/upstream_internal.h"
 
-static int compare(const void *a, const void *b)
+static int compare_hashes(const void *a, const void *b)
 {
 	uint64_t x = *(const uint64_t *)a;
 	uint64_t y = *(const uint64_t *)b;
@@ -16,7 +16,7 @@
 
 	if (n)
 		memcpy(copy, hashes, n * sizeof(*copy));
-	qsort(copy, n, sizeof(*copy), compare);
+	qsort(copy, n, sizeof(*copy), compare_hashes);
 	pthread_mutex_lock(&u->lock);
 	free(u->prefixes);
 	u->prefixes = copy;
@@ -24,7 +24,7 @@
 	pthread_mutex_unlock(&u->lock);
 }
 
-static size_t position(const upstream_t *u, uint64_t hash)
+static size_t find_position(const upstream_t *u, uint64_t hash)
 {
 	size_t i = 0;
 
@@ -39,7 +39,7 @@
 	bool known;
 
 	pthread_mutex_lock(&u->lock);
-	i = position(u, hash);
+	i = find_position(u, hash);
 	known = i < u->nprefixes && u->prefixes[i] == hash;
 	if (added && !known) {
 		u->prefixes = mem_grow(u->prefixes, (u->nprefixes + 1) * sizeof(hash));
