--- a/src/entry/addresses.h
+++ b/src/entry/addresses.h
@@ -1,14 +1,14 @@
-/** The addresses that callers may use. */
+/** Addresses of entries for callers: the look-up, and the list that a refusing entry sends. */
 #ifndef AUBURN_ADDRESSES_H
 #define AUBURN_ADDRESSES_H
 
 #include "entry/httpd.h"
 
-/** GET /v1/addresses */
+/** Handles GET /v1/addresses: entries that are not draining, those of the asked zone first. */
 int addresses_get(const struct _u_request *req, struct _u_response *res, void *en);
-/** Appends the other entries' addresses, comma-separated, nearest zone first. */
+/** Appends "addr, addr, ..." of the other entries that are not draining, own zone first. */
 void addresses_list_others(entry_ctx_t *en, buf_t *out);
-/** How long an address answer may be kept. */
+/** Time for which a caller may cache addresses: from the config, else from the settings. */
 int64_t addresses_ttl_ms(entry_ctx_t *en);
 
 #endif
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -1,4 +1,4 @@
-/** One attempt to run a completion on a replica, here or through its owner. */
+/** One attempt to run a completion on a replica: parameters, outcome, callbacks. */
 #ifndef AUBURN_ATTEMPT_H
 #define AUBURN_ATTEMPT_H
 
@@ -9,29 +9,31 @@
 
 typedef struct {
 	owner_class_t cls;
-	deadline_t deadline; /* first token (online), whole item (batch) */
-	bool alone;
+	deadline_t deadline; /* of the first token (online) or the whole item (batch) */
+	bool alone; /* must be the only stream on the replica */
+
 	unsigned max_tokens;
-	unsigned resume_from;
+	unsigned resume_from; /* tokens received in earlier attempts */
+
 	str_t caller;
 	str_t key;
 	str_t service;
 	str_t model;
 	str_t prompt;
-	str_t trace; /* traceparent */
+	str_t trace; /* W3C traceparent */
 } attempt_params_t;
 
 typedef enum {
 	ATTEMPT_DONE,
-	ATTEMPT_REFUSED, /* surely not run */
-	ATTEMPT_UNREACHED, /* no connection to the replica or its owner; surely not run */
-	ATTEMPT_REJECTED, /* the engine says that it can't be run */
-	ATTEMPT_LOST, /* the stream broke: what came so far can be resumed from */
-	ATTEMPT_STALLED,
-	ATTEMPT_CROSSED, /* the engine sent another attempt's answer */
-	ATTEMPT_PREEMPTED,
+	ATTEMPT_REFUSED, /* by the owner or the engine; not run */
+	ATTEMPT_UNREACHED, /* no connection to the engine or the owner; not run */
+	ATTEMPT_REJECTED, /* the engine answered that the request is invalid */
+	ATTEMPT_LOST, /* the stream broke; the next attempt resumes after the tokens received */
+	ATTEMPT_STALLED, /* no token within the stall timeout */
+	ATTEMPT_CROSSED, /* the engine sent tokens of another attempt */
+	ATTEMPT_PREEMPTED, /* cancelled to free a slot for another stream */
 	ATTEMPT_CANCELLED,
-	ATTEMPT_OUTCOMES
+	ATTEMPT_OUTCOMES /* number of outcomes */
 } attempt_outcome_t;
 
 typedef struct {
@@ -40,16 +42,16 @@
 	str_t message;
 } attempt_end_t;
 
-/** Callbacks of an attempt. They come on the HTTP client's thread or the caller's, one at a time,
- *  and must not block. */
+/** Callbacks of an attempt. They run one at a time, on the HTTP client's thread or on the thread
+ *  that starts or cancels the attempt, and must not block. */
 typedef struct {
 	void *ctx;
 	void (*on_token)(void *ctx, unsigned index, str_t text);
-	void (*on_end)(void *ctx, const attempt_end_t *end); /* once, the last */
+	void (*on_end)(void *ctx, const attempt_end_t *end); /* called once, after the last token */
 } attempt_sink_t;
 
 const char *attempt_outcome_name(attempt_outcome_t k);
-/** ATTEMPT_OUTCOMES when there is none of that name. */
+/** Returns ATTEMPT_OUTCOMES if no outcome has this name. */
 attempt_outcome_t attempt_outcome_parse(str_t name);
 
 #endif
--- a/src/entry/attempt_start.h
+++ b/src/entry/attempt_start.h
@@ -1,4 +1,5 @@
-/** Dispatch of one attempt to a chosen replica: into its queue here, or to its owner by HTTP. */
+/** Starts an attempt on a chosen replica: in this entry if it dispatches to the replica, else by
+ *  HTTP at the replica's owner. */
 #ifndef AUBURN_ATTEMPT_START_H
 #define AUBURN_ATTEMPT_START_H
 
@@ -7,17 +8,17 @@
 #include "entry/upstream.h"
 
 typedef struct {
-	local_replica_t *replica; /* a reference, when it runs here */
+	local_replica_t *replica; /* a reference; NULL if the attempt runs at the owner */
 	uint64_t stream_id;
 } attempt_handle_t;
 
-/** Begins the attempt; the sink's end is called once in every case, maybe before the return.
- *  The handle is given back with attempt_release. */
+/** Starts the attempt. sink->on_end is called exactly once, possibly before attempt_start returns.
+ *  The caller releases *out with attempt_release. */
 void attempt_start(entry_ctx_t *en, const upstream_choice_t *choice, const attempt_params_t *params,
 		   const attempt_sink_t *sink, attempt_handle_t *out);
 void attempt_release(attempt_handle_t *h);
 
-/** The JSON that owners exchange. */
+/** Writes the body of POST /internal/v1/run. */
 void attempt_write_params(buf_t *out, const entry_ctx_t *en, const char *upstream, uint64_t fence,
 			  const attempt_params_t *params);
 
--- a/src/entry/batch.h
+++ b/src/entry/batch.h
@@ -1,6 +1,7 @@
 /**
- * Batch: leases items from the ledger for the room that replicas dispatched to from here have,
- * runs them, commits their results in batches. Also finishes requests whose entry was lost.
+ * Batch: leases items from the ledger to fill the free batch slots of the replicas that this entry
+ * dispatches to, runs the items and commits their results. Also finishes accepted requests whose
+ * entry was lost.
  */
 #ifndef AUBURN_BATCH_H
 #define AUBURN_BATCH_H
@@ -8,13 +9,13 @@
 #include "entry/entry.h"
 
 batch_runner_t *batch_start(entry_ctx_t *en);
-/** Drops a cancelled job's waiting items and cancels its running ones. */
+/** Cancels the items of a job that this entry holds, waiting or running. */
 void batch_cancel_job(batch_runner_t *b, str_t caller, str_t job);
-/** No new leases; waiting items are given back. */
+/** Stops leasing and returns the waiting items to the ledger. */
 void batch_drain(batch_runner_t *b);
-/** Cancels what still runs; it is given back when it has ended. */
+/** Cancels the running items; while draining, they return to the ledger when they have ended. */
 void batch_cancel_running(batch_runner_t *b);
-/** Items held, waiting, running or to be committed. */
+/** Number of items held: waiting, running, or finished and not yet committed. */
 size_t batch_held(batch_runner_t *b);
 
 #endif
--- a/src/entry/batch_internal.h
+++ b/src/entry/batch_internal.h
@@ -1,4 +1,4 @@
-/** Inside of batch; for the bj_ files only. */
+/** Internals of batch, shared by the batch_*.c files. */
 #ifndef AUBURN_BATCH_INTERNAL_H
 #define AUBURN_BATCH_INTERNAL_H
 
@@ -11,9 +11,9 @@
 typedef struct batch_item {
 	batch_runner_t *b;
 	unsigned group;
-	uint64_t session; /* that leased it */
+	uint64_t session; /* session under which the item was leased */
 	char *caller;
-	char *job; /* empty: a request */
+	char *job; /* empty for a request whose entry was lost */
 	char *key;
 	char *service;
 	char *path;
@@ -23,20 +23,20 @@
 	size_t prompt_n;
 	char *trace;
 	unsigned max_tokens;
-	unsigned index;
-	unsigned attempt;
-	bool alone;
-	upstream_t *reserved; /* replica that is being emptied for an item that runs alone */
+	unsigned index; /* in the job */
+	unsigned attempt; /* number of the lease, assigned by the ledger */
+	bool alone; /* suspected of crashing replicas: must be the only stream there */
+	upstream_t *reserved; /* replica being emptied for this item, if `alone` */
 	deadline_t reserved_until;
 	bool repeatable;
 	deadline_t deadline;
-	deadline_t not_before;
-	buf_t text; /* tokens so far, kept when it gives way */
+	deadline_t not_before; /* not offered to a replica earlier */
+	buf_t text; /* tokens received; the next attempt resumes after them */
 	unsigned ntokens;
-	int resumes; /* after a fault of the stream */
+	int resumes; /* attempts that followed a stalled or crossed stream */
 	bool cancelled;
-	bool key_held; /* in rk_, for a request */
-	local_replica_t *replica; /* while it runs */
+	bool key_held; /* the key is in the inflight table; requests only */
+	local_replica_t *replica; /* a reference, while the item runs */
 	uint64_t stream_id;
 	bool done;
 	wire_blame_t blame;
@@ -47,28 +47,28 @@
 
 typedef struct {
 	char *name;
-	unsigned headroom; /* batch streams that could start now, as the feeder saw it */
-	unsigned slots;
-	bool plain;
-	unsigned waiting;
+	unsigned headroom; /* free batch slots, as of the last feed pass */
+	unsigned slots; /* of all local replicas, as of the last feed pass */
+	bool plain; /* a plain service: its calls need no slot */
+	unsigned waiting; /* items in the waiting list */
 	deadline_t next_lease[BATCH_GROUPS_MAX + 1];
 	int64_t backoff_ms[BATCH_GROUPS_MAX + 1];
-	uint64_t lease_seq[BATCH_GROUPS_MAX + 1]; /* last one answered in this session */
+	uint64_t lease_seq[BATCH_GROUPS_MAX + 1]; /* last lease answered in this session */
 } batch_service_t;
 
 struct batch_runner {
 	entry_ctx_t *en;
 	pthread_mutex_t lock; /* guards all below */
-	pthread_cond_t work_ready; /* an item or a slot came */
-	pthread_cond_t results_ready; /* a result came */
+	pthread_cond_t work_ready; /* an item was queued or a stream ended */
+	pthread_cond_t results_ready; /* an item finished */
 	batch_service_t services[BATCH_SERVICES_MAX];
 	size_t nservices;
-	batch_item_t *waiting; /* by deadline */
+	batch_item_t *waiting; /* earliest deadline first */
 	batch_item_t *running;
-	batch_item_t *results[BATCH_GROUPS_MAX + 1];
+	batch_item_t *results[BATCH_GROUPS_MAX + 1]; /* finished items to commit, by group */
 	unsigned nresults[BATCH_GROUPS_MAX + 1];
 	size_t held;
-	uint64_t session;
+	uint64_t session; /* session of the current leases */
 	bool draining;
 };
 
@@ -82,18 +82,22 @@
 			     const wire_item_t *a);
 void batch_item_free(batch_item_t *it);
 void batch_item_run(batch_item_t *it, const upstream_info_t *at);
-/** Puts it among the waiting ones; lock held. */
+/** Adds the item to the waiting list. The caller holds the lock. */
 void batch_item_enqueue(batch_runner_t *b, batch_item_t *it);
-/** Hands it to its group's thread; lock held. */
+/** Passes the item with its result to its group's thread, to be committed. The caller holds the
+ * lock.
+ */
 void batch_item_finish(batch_runner_t *b, batch_item_t *it, bool done, wire_blame_t blame,
 		       str_t result);
 
-/* bj_feed.c */
+/* batch_feed.c */
+/** Thread that offers waiting items to replicas. */
 void *batch_feed_thread(void *b);
-/** The service's entry, made when new; lock held. */
+/** Returns the state of a service, created on first use. The caller holds the lock. */
 batch_service_t *batch_service_get(batch_runner_t *b, const char *name);
 
-/* bj_commit.c, batch_lease_items.c */
+/* batch_commit.c, batch_lease.c */
+/** Thread of one ledger group: commits results and leases items. */
 void *batch_group_thread(void *group);
 void batch_lease_items(batch_group_t *g);
 
--- a/src/entry/bearer_keys.h
+++ b/src/entry/bearer_keys.h
@@ -1,4 +1,5 @@
-/** Bearer keys: whose they are, found without telling by its time how much of a key was right. */
+/** Look-up of a caller or operator by bearer key, in a time that does not depend on how much of the
+ *  key is right. */
 #ifndef AUBURN_BEARER_KEYS_H
 #define AUBURN_BEARER_KEYS_H
 
@@ -6,8 +7,9 @@
 
 typedef struct bearer_keys bearer_keys_t;
 
-/** The identities must outlive it. */
+/** `ids` must outlive the table. */
 bearer_keys_t *bearer_keys_new(const entry_identity_t *ids, size_t n);
+/** Sets *name to the holder of the key; returns false if the key is unknown. */
 bool bearer_keys_find(const bearer_keys_t *k, str_t key, str_t *name);
 
 #endif
--- a/src/entry/completion.h
+++ b/src/entry/completion.h
@@ -1,6 +1,7 @@
 /**
- * An accepted online completion: runs attempts until it is done or has failed, commits the result,
- * and keeps what the caller's connection reads. Goes on when the caller has gone away.
+ * An accepted online completion. Its thread runs attempts until one succeeds or the request fails,
+ * commits the result to the ledger and buffers events for the caller's connection. It runs to the
+ * end even if the caller disconnects.
  */
 #ifndef AUBURN_COMPLETION_H
 #define AUBURN_COMPLETION_H
@@ -27,23 +28,23 @@
 	int http_status;
 	verdict_t verdict;
 	const char *code;
-	str_t message; /* lives as long as the request */
+	str_t message; /* valid while the completion is referenced */
 	int64_t retry_after_ms;
-	str_t result; /* JSON, as it was committed */
+	str_t result; /* JSON, as committed */
 } completion_outcome_t;
 
-/** Starts running; the caller's reference. */
+/** Starts the completion's thread. The caller owns one reference. */
 completion_t *completion_start(const completion_options_t *o);
 void completion_unref(completion_t *r);
-/** Counts the caller's stream, which holds up a planned stop until completion_stream_close. */
+/** Counts the caller's event stream, which entry_drain waits for, until completion_stream_close. */
 void completion_stream_open(completion_t *r);
-/** The stream ended or its caller went away; gives the reference back. */
+/** Ends the caller's event stream, complete or not, and drops the caller's reference. */
 void completion_stream_close(completion_t *r);
-/** Waits for the first token or the end. True if there are tokens to read. */
+/** Waits for the first token or the end. Returns true if there are tokens to read. */
 bool completion_wait_first(completion_t *r);
-/** Copies event-stream bytes that have come since; waits for some. 0 at the end. */
+/** Waits for events and copies up to `max` bytes of them. Returns 0 at the end. */
 size_t completion_read(completion_t *r, char *out, size_t max);
-/** Waits for the end. */
+/** Waits for the end and copies the outcome. */
 void completion_wait_end(completion_t *r, completion_outcome_t *out);
 
 #endif
--- a/src/entry/config_api.h
+++ b/src/entry/config_api.h
@@ -1,4 +1,4 @@
-/** Operators' calls: the text and its numbers. */
+/** Operators' HTTP API of the config: read a version, submit a new one, check one. */
 #ifndef AUBURN_CONFIG_API_H
 #define AUBURN_CONFIG_API_H
 
--- a/src/entry/engine_stream.h
+++ b/src/entry/engine_stream.h
@@ -1,4 +1,5 @@
-/** A stream on an engine: its request, its events checked against the attempt, its cancel. */
+/** A stream on an engine: sends the request, checks the events against the attempt, sends cancels.
+ */
 #ifndef AUBURN_ENGINE_STREAM_H
 #define AUBURN_ENGINE_STREAM_H
 
@@ -11,10 +12,10 @@
 
 typedef struct engine_stream {
 	uint64_t id;
-	char attempt_id[ENGINE_STREAM_ID_BYTES]; /* request_id at the engine */
+	char attempt_id[ENGINE_STREAM_ID_BYTES]; /* the engine's request_id */
 	owner_class_t cls;
 	unsigned max_tokens;
-	unsigned next_index;
+	unsigned next_index; /* index of the next token */
 	char *key;
 	char *model;
 	char *prompt;
@@ -22,14 +23,14 @@
 	attempt_sink_t sink;
 	trace_span_t span;
 	bool started;
-	bool start_denied;
+	bool start_denied; /* the entry's lease ended before the start */
 	bool cancelling; /* a cancel was sent to the engine; guarded by the replica's lock */
-	attempt_outcome_t cancel_outcome;
-	int tokens_after_cancel; /* tokens that came after that */
-	bool aborted; /* broken off: the engine's answer was wrong */
+	attempt_outcome_t cancel_outcome; /* outcome if the cancel ends the stream */
+	int tokens_after_cancel; /* tokens received after the cancel */
+	bool aborted; /* the engine sent a wrong event; the call is closed */
 	attempt_outcome_t abort_outcome;
 	bool complete; /* [DONE] came after the last token */
-	attempt_outcome_t outcome; /* how it ended */
+	attempt_outcome_t outcome;
 	int64_t retry_after_ms;
 	int64_t last_token_us;
 	buf_t message;
@@ -46,11 +47,11 @@
 	const char *addr;
 	uint64_t fence;
 	int64_t stall_ms;
-	int64_t first_token_timeout_ms; /* bound on the wait for the first token; 0 = stall_ms */
+	int64_t first_token_timeout_ms; /* 0 = stall_ms */
 	void *ctx;
-	/** Each token once, in order, on the HTTP client's thread. */
+	/** Called for each token in order, on the HTTP client's thread. */
 	void (*on_token)(void *ctx, engine_stream_t *s, unsigned index, str_t text);
-	/** Once, on the same thread. */
+	/** Called once, on the same thread. */
 	void (*on_end)(void *ctx, engine_stream_t *s, attempt_outcome_t outcome);
 } engine_stream_options_t;
 
@@ -58,7 +59,8 @@
 				   const attempt_sink_t *sink);
 void engine_stream_free(engine_stream_t *s);
 void engine_stream_start(const engine_stream_options_t *o, engine_stream_t *s);
-/** Asks the engine to cancel the stream, which it answers by closing the stream's connection. */
+/** Asks the engine to cancel the stream. The engine then closes the stream's connection, which ends
+ *  the stream. */
 void engine_stream_cancel(fetch_client_t *client, const char *addr, const engine_stream_t *s);
 
 #endif
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,4 +1,4 @@
-/** The entry process: its modules, made once by main and shared by all threads. */
+/** The entry process: its modules, created by main and shared by all threads. */
 #ifndef AUBURN_ENTRY_H
 #define AUBURN_ENTRY_H
 
@@ -17,7 +17,7 @@
 
 typedef struct entry_ctx {
 	entry_settings_t settings;
-	uint64_t boot; /* random, new at each start */
+	uint64_t boot; /* random id of this run of the process */
 	control_client_t *control_client;
 	entry_snapshot_t *snapshot;
 	fetch_client_t *fetch_client;
@@ -27,13 +27,14 @@
 	bearer_keys_t *operator_keys;
 	batch_runner_t *batch;
 	atomic_bool draining;
-	atomic_bool view_stale; /* an upstream saw a newer fence than ours */
-	atomic_int running_requests; /* accepted requests that run here */
-	atomic_int open_streams; /* answers being streamed to callers and other entries */
-	atomic_bool closing; /* the addresses given out have expired: nothing new is taken */
+	atomic_bool view_stale; /* an engine or entry has seen a newer fence: fetch the view now */
+	atomic_int running_requests; /* accepted requests running in this entry */
+	atomic_int open_streams; /* responses being streamed to callers and entries */
+	atomic_bool closing; /* late in a drain, cached addresses have expired: new requests are
+				refused */
 } entry_ctx_t;
 
-/** A random number for ids and choices. */
+/** Returns a cryptographically secure random number. */
 uint64_t entry_random(void);
 
 #endif
--- a/src/entry/entry_settings.h
+++ b/src/entry/entry_settings.h
@@ -6,12 +6,14 @@
 #include "base/status.h"
 #include "policy/owner.h"
 
-/** How the entry chooses replicas; all but ENTRY_MODE_OWNER are there to be measured against it. */
+/** How the entry dispatches to replicas. All but ENTRY_MODE_OWNER exist for comparison in
+ * benchmarks.
+ */
 typedef enum {
-	ENTRY_MODE_OWNER,
-	ENTRY_MODE_ALONE,
-	ENTRY_MODE_ALONE_CANCEL,
-	ENTRY_MODE_SPLIT
+	ENTRY_MODE_OWNER, /* each replica has one owner; the other entries forward to the owner */
+	ENTRY_MODE_ALONE, /* each entry dispatches to every replica, by the engines' load reports */
+	ENTRY_MODE_ALONE_CANCEL, /* the same, and online streams cancel batch streams */
+	ENTRY_MODE_SPLIT /* each entry dispatches to every replica within its share of the slots */
 } entry_mode_t;
 
 /** A caller or an operator and its bearer key. */
@@ -23,9 +25,9 @@
 typedef struct {
 	char *name;
 	char *zone;
-	char *listen; /* ip:port of the HTTP side */
-	char *peer; /* ip:port of the RPC side */
-	char *peer_key; /* bearer key of calls between entries, the same in the whole fleet */
+	char *listen; /* ip:port of the HTTP server */
+	char *peer; /* ip:port of the RPC server for other entries */
+	char *peer_key; /* bearer key of HTTP calls between entries, the same in all entries */
 	toml_strs_t controls;
 	int64_t ledger_groups;
 	int64_t address_ttl_ms;
--- a/src/entry/entry_snapshot.h
+++ b/src/entry/entry_snapshot.h
@@ -1,6 +1,6 @@
 /**
- * What the control thread publishes for traffic threads: immutable, reference-counted snapshots of
- * the operators' text and of the fleet's view, and the entry's lease.
+ * State that the control thread publishes for the request threads: immutable, reference-counted
+ * snapshots of the operators' config and of the view, and the entry's lease.
  */
 #ifndef AUBURN_ENTRY_SNAPSHOT_H
 #define AUBURN_ENTRY_SNAPSHOT_H
@@ -12,8 +12,8 @@
 
 typedef struct {
 	atomic_int refs;
-	wire_config_t msg;
-	config_t *config;
+	wire_config_t msg; /* as received */
+	config_t *config; /* parsed from msg */
 } entry_config_t;
 
 typedef struct {
@@ -24,7 +24,8 @@
 typedef struct entry_snapshot entry_snapshot_t;
 
 entry_snapshot_t *entry_snapshot_new(void);
-/** The current ones; NULL until the first was published. Given back with _put. */
+/** Return a reference to the current config or view, to be dropped with _put; NULL until the first
+ * is published. */
 entry_config_t *entry_config_get(entry_snapshot_t *s);
 void entry_config_put(entry_config_t *c);
 void entry_config_cleanup(entry_config_t **c);
@@ -34,19 +35,20 @@
 #define AUTO_ENTRY_CONFIG __attribute__((cleanup(entry_config_cleanup))) entry_config_t
 #define AUTO_ENTRY_VIEW	  __attribute__((cleanup(entry_view_cleanup))) entry_view_t
 
-/** Publish a newer one; a lower number is refused. Both take over what is in the message. */
+/** Publish a newer config or view. STATUS_CONFLICT if its number is not higher than the current
+ * one's. On success both take over the contents of the message. */
 status_t entry_config_publish(entry_snapshot_t *s, wire_config_t *conf);
 status_t entry_view_publish(entry_snapshot_t *s, wire_view_t *view);
 uint64_t entry_config_number(entry_snapshot_t *s);
 uint64_t entry_view_version(entry_snapshot_t *s);
 
-/** The lease: without a valid one the entry takes no new work and dispatches nothing. */
+/** The lease: without a valid one the entry accepts no new request and dispatches nothing. */
 void entry_lease_set(entry_snapshot_t *s, uint64_t session, deadline_t deadline);
 bool entry_lease_valid(const entry_snapshot_t *s);
 deadline_t entry_lease_deadline(const entry_snapshot_t *s);
 uint64_t entry_session(const entry_snapshot_t *s);
 
-/** The member with this session in a view, or NULL. */
+/** Returns the member with this session, or NULL. */
 const wire_member_t *entry_find_member(const wire_view_t *v, uint64_t session);
 
 #endif
--- a/src/entry/filter.h
+++ b/src/entry/filter.h
@@ -1,6 +1,5 @@
 /**
- * Filters that a caller's request passes, in order. A filter either replies or hands the call on
- * to the next one.
+ * Filters that a caller's request passes in order. A filter either replies or calls the next one.
  */
 #ifndef AUBURN_FILTER_H
 #define AUBURN_FILTER_H
@@ -17,37 +16,38 @@
 	str_t caller;
 	entry_config_t *config;
 	const config_service_t *service;
-	json_t *body_json; /* body of a completion */
-	str_t upstream_path; /* at the upstream, of a plain service */
+	json_t *body_json; /* parsed body of a completion */
+	str_t upstream_path; /* path to call at the upstream */
 	char key[136];
 	uint64_t digest;
 	deadline_t deadline;
 	trace_span_t span;
-	bool admitted; /* counted in the service's concurrency */
-	bool key_held; /* holds its key; else another call here does, and this one only follows */
+	bool admitted; /* counted by admission_enter */
+	bool key_held; /* this call registered the idempotency key; else another call here runs the
+			  request */
 } filter_call_t;
 
-/** A chain: each step gets the rest of it, to call with filter_next. Ends with a step that replies.
- */
+/** A step of a chain, which ends with a filter that always replies. Each filter gets the steps
+ * after it and continues with filter_next. */
 typedef struct filter_step {
 	void (*filter)(filter_call_t *c, const struct filter_step *next);
 } filter_step_t;
 
 void filter_next(filter_call_t *c, const filter_step_t *next);
-/** Runs a chain over a request; frees what the call still holds after it. */
+/** Runs a request through a chain, then releases what the call still holds. */
 int filter_run(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res,
 	       const char *span, const filter_step_t *chain);
-/** Replies with a refusal: not run. */
+/** Refuses the request with verdict "not run". */
 void filter_refuse(filter_call_t *c, int status, const char *code, str_t message,
 		   int64_t retry_after_ms);
 
-/** Replies with a final record. */
+/** Replies with the stored end of a request. */
 void filter_replay(filter_call_t *c, const wire_record_t *r);
-/** Waits, until the call's deadline, for the end of a request that runs elsewhere, and replies with
- *  it. */
-void filter_follow(filter_call_t *c);
+/** Waits for the end of a request that runs elsewhere, at most until the call's deadline, and
+ * replies with it. */
+void filter_await_end(filter_call_t *c);
 
-/* The filters, one file each. */
+/* The filters, in filter_*.c */
 void filter_identify(filter_call_t *c, const filter_step_t *next);
 void filter_check_lease(filter_call_t *c, const filter_step_t *next);
 void filter_match_model(filter_call_t *c, const filter_step_t *next);
--- a/src/entry/filter_accept.c
+++ b/src/entry/filter_accept.c
@@ -94,7 +94,7 @@
 	} else if (r->state == WIRE_ACCEPTED && c->key_held && (r->fresh || own)) {
 		filter_next(c, next);
 	} else if (r->state == WIRE_ACCEPTED || r->state == WIRE_ATTEMPTED) {
-		filter_follow(c);
+		filter_await_end(c);
 	} else {
 		filter_replay(c, r);
 	}
--- a/src/entry/filter_replay.c
+++ b/src/entry/filter_replay.c
@@ -71,7 +71,7 @@
 	return found;
 }
 
-void filter_follow(filter_call_t *c)
+void filter_await_end(filter_call_t *c)
 {
 	deadline_t until = clock_now_ms() + FOLLOW_MAX_MS;
 	int64_t pause = POLL_MIN_MS;
--- a/src/entry/heartbeat.h
+++ b/src/entry/heartbeat.h
@@ -1,6 +1,6 @@
 /**
- * The control thread: beats to the control leader, keeps the session and the lease, fetches newer
- * texts and views and publishes them. It alone changes the entry's control state.
+ * The control thread: sends heartbeats to the leading control process, renews the session and the
+ * lease, fetches newer configs and views and publishes them. Only this thread changes them.
  */
 #ifndef AUBURN_HEARTBEAT_H
 #define AUBURN_HEARTBEAT_H
--- a/src/entry/inflight.h
+++ b/src/entry/inflight.h
@@ -1,12 +1,13 @@
-/** Idempotency keys that are being worked on in this process. */
+/** Table of the idempotency keys of requests that run in this process. */
 #ifndef AUBURN_INFLIGHT_H
 #define AUBURN_INFLIGHT_H
 
 #include <stdbool.h>
 #include "base/str.h"
 
-/** False if the key is held already. */
+/** Adds a key; false if it is already there. */
 bool inflight_add(str_t caller, str_t key);
+/** Removes a key, which must be there. */
 void inflight_remove(str_t caller, str_t key);
 
 #endif
--- a/src/entry/job_api.h
+++ b/src/entry/job_api.h
@@ -1,4 +1,4 @@
-/** Callers' calls on batch jobs and stored requests. */
+/** Callers' HTTP API of batch jobs and of stored requests. */
 #ifndef AUBURN_JOB_API_H
 #define AUBURN_JOB_API_H
 
@@ -9,7 +9,7 @@
 int job_api_get(const struct _u_request *req, struct _u_response *res, void *en);
 int job_api_results(const struct _u_request *req, struct _u_response *res, void *en);
 int job_api_cancel(const struct _u_request *req, struct _u_response *res, void *en);
-/** GET /v1/requests/{key} */
+/** Handles GET /v1/requests/{key}. */
 int job_api_get_request(const struct _u_request *req, struct _u_response *res, void *en);
 
 #endif
--- a/src/entry/load_exchange.h
+++ b/src/entry/load_exchange.h
@@ -1,10 +1,12 @@
-/** Exchange of load between entries: each tells the others about the replicas that it owns. */
+/** Load reports between entries: each entry sends the load of the replicas that it owns to all
+ * others.
+ */
 #ifndef AUBURN_LOAD_EXCHANGE_H
 #define AUBURN_LOAD_EXCHANGE_H
 
 #include "entry/entry.h"
 
-/** Listens for the others' reports and starts to send own ones. */
+/** Starts the RPC server for load reports and the threads that send them. */
 status_t load_exchange_start(entry_ctx_t *en);
 
 #endif
--- a/src/entry/local_replica.h
+++ b/src/entry/local_replica.h
@@ -1,6 +1,7 @@
 /**
- * A replica that this entry dispatches to: the ow_ decisions under a lock, and the streams that
- * run on its engine. With a fence the entry must hold its lease to start a stream.
+ * A replica that this entry dispatches to: the owner's scheduling decisions (policy/owner.h) under
+ * a lock, and the streams on the replica's engine. With a fence, a stream starts only while the
+ * entry holds its lease.
  */
 #ifndef AUBURN_LOCAL_REPLICA_H
 #define AUBURN_LOCAL_REPLICA_H
@@ -14,31 +15,36 @@
 	entry_ctx_t *en;
 	const char *id;
 	const char *addr;
-	uint64_t fence; /* 0: dispatch without ownership */
+	uint64_t fence; /* fencing token of the ownership; 0 in modes without owners */
 	int64_t stall_ms;
-	owner_options_t policy; /* callbacks are filled in here */
+	owner_options_t policy; /* local_replica_new sets the callbacks */
 	void *ctx;
-	/** The replica answered (ok) or failed. */
+	/** Called when the engine has answered (ok) or failed. */
 	void (*on_health)(void *ctx, bool ok);
 } local_replica_options_t;
 
 local_replica_t *local_replica_new(const local_replica_options_t *o);
 local_replica_t *local_replica_ref(local_replica_t *r);
 void local_replica_unref(local_replica_t *r);
+/** Applies a new scheduling policy and stall timeout. */
 void local_replica_update(local_replica_t *r, const owner_options_t *policy, int64_t stall_ms);
 uint64_t local_replica_fence(const local_replica_t *r);
 
-/** Offers work; unless refused the sink's end is called once. Strings are copied. */
+/** Offers an attempt to the replica: started, queued or refused. Unless refused, sink->on_end is
+ *  called once. Strings are copied. */
 owner_answer_t local_replica_offer(local_replica_t *r, const attempt_params_t *params,
 				   const attempt_sink_t *sink, uint64_t *id,
 				   int64_t *retry_after_ms);
-/** Withdraws a waiting stream, cancels a running one at the engine. */
+/** Cancels a stream: removes it from the queue, or cancels it at the engine if it runs. */
 void local_replica_cancel(local_replica_t *r, uint64_t id);
-/** Cancels the newest batch stream to make room; false if there is none. */
+/** Preempts the newest batch stream; false if there is none. */
 bool local_replica_preempt_newest(local_replica_t *r);
+/** Refuses queued streams that can no longer meet their deadline. To be called periodically. */
 void local_replica_tick(local_replica_t *r);
-/** No new streams; ends what waits, lets what runs end. */
+/** Starts no more streams and ends the queued ones. Running streams go on, batch streams only
+ * unless cancel_batch. */
 void local_replica_close(local_replica_t *r, bool cancel_batch);
+/** Number of batch streams that could start now. */
 unsigned local_replica_batch_headroom(local_replica_t *r);
 void local_replica_stats(local_replica_t *r, owner_stats_t *out);
 
--- a/src/entry/peer_api.h
+++ b/src/entry/peer_api.h
@@ -1,13 +1,15 @@
-/** POST /internal/v1/run: another entry's attempt on a replica that this entry owns.
- *  POST /internal/v1/cancel: a job was cancelled; its items are stopped here. */
+/** HTTP API between entries. */
 #ifndef AUBURN_PEER_API_H
 #define AUBURN_PEER_API_H
 
 #include "entry/httpd.h"
 
+/** Handles POST /internal/v1/cancel: cancels the items of a cancelled job in this entry. */
 int peer_api_cancel(const struct _u_request *req, struct _u_response *res, void *en);
-/** Tells all other entries that a job was cancelled and waits for their answers, for a while. */
+/** Sends a job's cancel to all entries and waits for their answers, with a time limit. */
 void peer_api_broadcast_cancel(entry_ctx_t *en, str_t caller, str_t job);
+/** Handles POST /internal/v1/run: runs another entry's attempt on a replica that this entry owns.
+ */
 int peer_api_run(const struct _u_request *req, struct _u_response *res, void *en);
 
 #endif
--- a/src/entry/plain_call.h
+++ b/src/entry/plain_call.h
@@ -1,4 +1,4 @@
-/** Runs a plain service's call, at most once if it may not be repeated. */
+/** A call of a plain service, sent at most once unless it is repeatable. */
 #ifndef AUBURN_PLAIN_CALL_H
 #define AUBURN_PLAIN_CALL_H
 
@@ -9,7 +9,7 @@
 	str_t key;
 	const char *service;
 	bool repeatable;
-	str_t path; /* with its leading slash */
+	str_t path; /* with leading slash */
 	str_t body;
 	str_t trace;
 	deadline_t deadline;
@@ -19,12 +19,12 @@
 	bool done;
 	int http_status;
 	verdict_t verdict;
-	const char *code; /* of a failure */
-	buf_t result; /* body, or the error JSON */
+	const char *code; /* of a failure; else NULL */
+	buf_t result; /* body, or the error as JSON */
 } plain_call_end_t;
 
-/** Runs an accepted call and commits its end. Unless STATUS_OK, nothing was sent from here, but
- * another attempt is or may be open. */
+/** Runs an accepted call and commits its end. Any status but STATUS_OK means that this call sent
+ *  nothing and that another attempt was or may have been started. */
 status_t plain_call_run(entry_ctx_t *en, const plain_call_t *c, plain_call_end_t *end);
 
 #endif
--- a/src/entry/probe.h
+++ b/src/entry/probe.h
@@ -1,4 +1,4 @@
-/** Asks engines: load reports, cache events, and the models that they hold. */
+/** Polls engines: load, prefix cache events, loaded models. */
 #ifndef AUBURN_PROBE_H
 #define AUBURN_PROBE_H
 
@@ -7,23 +7,23 @@
 
 void probe_start(entry_ctx_t *en);
 
-/** GETs JSON from an engine; NULL unless it answered 200. */
+/** Gets JSON from an engine; NULL unless the status is 200. */
 json_t *probe_get_json(entry_ctx_t *en, const char *addr, const char *path);
 
-/** What is remembered of one replica between rounds. */
+/** State of one replica between rounds. */
 typedef struct probe_replica {
 	upstream_t *up;
-	uint64_t fence; /* of the ownership that the rest belongs to */
-	deadline_t orders_from; /* no order before this */
+	uint64_t fence; /* ownership to which the other fields belong */
+	deadline_t orders_from; /* no order is sent earlier */
 	deadline_t next_state_read;
 	bool prefixes_known;
-	json_int_t last_seq; /* last cache event taken */
+	json_int_t last_seq; /* last cache event applied */
 	struct probe_replica *next;
 } probe_replica_t;
 
-/** Takes new cache events; a gap makes the prefixes unknown until the whole list is read. */
+/** Applies new events of the prefix cache. After a gap the next round reloads all prefixes. */
 void probe_cache_events(entry_ctx_t *en, const upstream_info_t *info, probe_replica_t *r);
-/** Brings the replica to the model, version and adapter that the text wants. */
+/** Orders the engine to load the model, version and adapter of the config if it lacks them. */
 void probe_send_orders(entry_ctx_t *en, const upstream_info_t *info, const entry_config_t *c,
 		       const config_service_t *s, probe_replica_t *r);
 
--- a/src/entry/status_api.h
+++ b/src/entry/status_api.h
@@ -1,4 +1,4 @@
-/** What a process says about itself: status, events, metrics, health. */
+/** HTTP endpoints for operation: status, events, metrics, health. */
 #ifndef AUBURN_STATUS_API_H
 #define AUBURN_STATUS_API_H
 
--- a/src/entry/upstream_internal.h
+++ b/src/entry/upstream_internal.h
@@ -1,4 +1,4 @@
-/** Inside of the upstream table; for the up_ files only. */
+/** Internals of the upstream table, shared by the upstream*.c files. */
 #ifndef AUBURN_UPSTREAM_INTERNAL_H
 #define AUBURN_UPSTREAM_INTERNAL_H
 
@@ -17,9 +17,9 @@
 	char owner_addr[64];
 	int slots;
 	local_replica_t *replica;
-	balance_candidate_t report;
+	balance_candidate_t report; /* last load report */
 	deadline_t avoid_until;
-	int64_t drain_ms; /* as its owner last said */
+	int64_t drain_ms; /* time to the first token of a new stream, by the owner's last report */
 	retry_breaker_t breaker;
 	uint64_t *prefixes; /* sorted */
 	size_t nprefixes;
@@ -27,10 +27,10 @@
 
 struct upstream_table {
 	entry_ctx_t *en;
-	pthread_rwlock_t lock; /* guards the array, not what it points to */
-	upstream_t **upstreams;
+	pthread_rwlock_t lock; /* guards the array, not the upstreams in it */
+	upstream_t **upstreams; /* only grows */
 	size_t n;
-	atomic_uint next_plain;
+	atomic_uint next_plain; /* round-robin position of upstream_pick_plain */
 };
 
 upstream_t *upstream_find(upstream_table_t *t, str_t id);
