--- a/src/entry/addresses.c
+++ b/src/entry/addresses.c
@@ -16,7 +16,8 @@
 
 typedef void (*member_visit_t)(void *ctx, const wire_member_t *m);
 
-/* Members that take callers: those of the zone first, each group turned by a random start. */
+/* Visits the members that are not draining, those of the zone first, each group from a random start
+ * so that callers spread evenly over the entries. */
 static void for_each_serving_member(const wire_view_t *v, str_t zone, member_visit_t visit,
 				    void *ctx)
 {
@@ -35,7 +36,7 @@
 
 typedef struct {
 	buf_t *out;
-	uint64_t skip; /* session */
+	uint64_t skip; /* session of the member to leave out; 0 = none */
 	const entry_ctx_t *en;
 } address_list_t;
 
@@ -85,9 +86,10 @@
 	address_list_t l = {&b, atomic_load(&en->draining) ? entry_session(en->snapshot) : 0, en};
 
 	if (!v || !entry_lease_valid(en->snapshot))
-		return httpd_error(res, 503, "no_lease",
-				   STR("this entry has not heard from the control in time"),
-				   VERDICT_NOT_RUN, MS_PER_S);
+		return httpd_error(
+			res, 503, "no_lease",
+			STR("no valid lease: the control has not answered this entry in time"),
+			VERDICT_NOT_RUN, MS_PER_S);
 	buf_add(&b, STR("{\"addresses\":["));
 	for_each_serving_member(&v->view, zone.n ? zone : str_c(en->settings.zone),
 				append_json_address, &l);
--- a/src/entry/admission.c
+++ b/src/entry/admission.c
@@ -7,7 +7,7 @@
 #define CALLERS_MAX 20000
 
 typedef struct {
-	uint64_t service;
+	uint64_t service; /* hash of the name */
 	int64_t running;
 	UT_hash_handle hh;
 } service_count_t;
--- a/src/entry/attempt_start.c
+++ b/src/entry/attempt_start.c
@@ -8,10 +8,10 @@
 #include "base/trace.h"
 
 #define URL_BYTES	 128
-#define OWNER_SILENCE_MS 2000 /* owners send a comment at least every 500 ms */
+#define OWNER_SILENCE_MS 2000 /* owners send a keep-alive comment every 500 ms */
 #define HTTP_UNAVAILABLE 503
 
-/* An attempt that runs at another entry. */
+/* An attempt that another entry, the owner, runs for this one. */
 typedef struct {
 	entry_ctx_t *en;
 	upstream_t *up;
@@ -43,6 +43,7 @@
 	buf_addc(out, '}');
 }
 
+/* Reads the event "end", the last one that an owner sends. */
 static void parse_end_event(remote_attempt_t *r, json_t *j)
 {
 	const char *outcome = json_string_value(json_object_get(j, "kind"));
@@ -127,6 +128,8 @@
 	fetch_start(en->fetch_client, &call);
 }
 
+/* In mode alone_cancel an online stream takes a batch stream's slot if the engine reports none
+ * free. */
 static void preempt_if_full(entry_ctx_t *en, const upstream_choice_t *c)
 {
 	if (en->settings.mode == ENTRY_MODE_ALONE_CANCEL &&
@@ -138,7 +141,7 @@
 		   const attempt_sink_t *sink, attempt_handle_t *out)
 {
 	int64_t retry_after_ms = 0;
-	attempt_end_t end = {ATTEMPT_REFUSED, 0, STR("the replica takes no more")};
+	attempt_end_t end = {ATTEMPT_REFUSED, 0, STR("the replica refused the attempt")};
 
 	*out = (attempt_handle_t){0};
 	if (!c->replica) {
--- a/src/entry/batch.c
+++ b/src/entry/batch.c
@@ -107,7 +107,7 @@
 	{
 		DL_DELETE(b->waiting, it);
 		batch_service_get(b, it->service)->waiting--;
-		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("its entry stops"));
+		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("the entry is draining"));
 	}
 	pthread_mutex_unlock(&b->lock);
 }
--- a/src/entry/batch_commit.c
+++ b/src/entry/batch_commit.c
@@ -65,7 +65,7 @@
 	}
 }
 
-/* Cancelled jobs that still have items leased to this entry. */
+/* Cancels the jobs that the ledger reports as cancelled with items leased to this entry. */
 static void cancel_reported_jobs(batch_runner_t *b, const wire_ledger_res_t *res)
 {
 	for (u_int i = 0; i < res->cancelled.cancelled_len; i++)
@@ -73,8 +73,8 @@
 				 wire_str(res->cancelled.cancelled_val[i].job));
 }
 
-/* Commits the results of items; goes on until the ledger has answered, unless the session
- * that leased them is over. */
+/* Commits the results of items, in one command. Retries until the ledger has answered, or until the
+ * session that leased the items has ended, when their results no longer count. */
 static void commit_items(batch_group_t *g, batch_item_t *list, unsigned n)
 {
 	uint64_t session = list ? list->session : entry_session(g->b->en->snapshot);
@@ -101,7 +101,8 @@
 	free(d->results.results_val);
 }
 
-/* Waits until results are due to be sent, or a while. */
+/* Returns the finished items of the group once there are COMMIT_ITEMS_MAX of them or COMMIT_WAIT_MS
+ * have passed; NULL if there are none. */
 static batch_item_t *wait_for_results(batch_group_t *g)
 {
 	batch_runner_t *b = g->b;
@@ -136,7 +137,8 @@
 			free_finished_items(g->b, list);
 		} else if (batch_held(g->b) && clock_now_ms() >= next_poll &&
 			   entry_lease_valid(g->b->en->snapshot)) {
-			commit_items(g, NULL, 0); /* asks which jobs were cancelled */
+			/* The answer to an empty commit lists the cancelled jobs. */
+			commit_items(g, NULL, 0);
 			next_poll = clock_now_ms() + CANCEL_POLL_MS;
 		}
 		if (entry_lease_valid(g->b->en->snapshot))
--- a/src/entry/batch_feed.c
+++ b/src/entry/batch_feed.c
@@ -19,8 +19,9 @@
 	return &b->services[b->nservices++];
 }
 
-/* May it be offered to the replica? One that runs alone is offered to the same replica again and
- * again, whatever its room: the offer makes its owner empty it. */
+/* True if the item may be offered to the replica now. An item that must run alone is offered to one
+ * replica repeatedly whatever its headroom: each offer makes the owner empty the replica further. A
+ * request whose entry was lost needs no batch headroom, because it is queued like an online one. */
 static bool may_offer(const batch_item_t *it, const upstream_t *u, bool has_headroom, int64_t now)
 {
 	if (it->not_before > now)
@@ -30,7 +31,7 @@
 	return has_headroom || it->job[0] == 0;
 }
 
-/* Takes the waiting item that is due first of those that may be offered to the replica. */
+/* Removes the waiting item with the earliest deadline among those that may be offered. */
 static batch_item_t *take_waiting_item(batch_runner_t *b, const upstream_info_t *info,
 				       bool has_headroom)
 {
@@ -67,6 +68,7 @@
 	const config_t *config;
 } feed_pass_t;
 
+/* Offers items to one replica and adds its remaining headroom to that of the service. */
 static bool feed_replica(void *ctx, const upstream_info_t *info)
 {
 	feed_pass_t *f = ctx;
@@ -91,6 +93,7 @@
 	return true;
 }
 
+/* Starts a feed pass: clears the sums that feed_replica adds to. */
 static void reset_headroom(batch_runner_t *b, const config_t *config)
 {
 	pthread_mutex_lock(&b->lock);
--- a/src/entry/batch_item.c
+++ b/src/entry/batch_item.c
@@ -8,11 +8,11 @@
 #include "base/metric.h"
 #include "entry/ledger_client.h"
 
-#define FAULT_RESUMES_MAX 3
+#define FAULT_RESUMES_MAX 3 /* then the replica is blamed */
 #define RETRY_PAUSE_MS	  50
 #define RETRY_ALONE_MS	  10
 #define RESERVE_MS	  10000
-#define ORPHAN_TIMEOUT_MS 30000
+#define ORPHAN_TIMEOUT_MS 30000 /* to the first token of a request whose entry was lost */
 
 static void parse_body(batch_item_t *it)
 {
@@ -119,14 +119,15 @@
 	buf_add(&it->text, text);
 }
 
-/* Without resume a stream that gave way begins anew. */
+/* Without resume a preempted item starts over. */
 static void discard_tokens(batch_item_t *it)
 {
 	it->ntokens = 0;
 	buf_drop_front(&it->text, it->text.n);
 }
 
-/* A stream that ended without being done: again from its tokens, or back to the ledger. */
+/* Ends an attempt that did not complete: the item goes back to the ledger, or is queued again to
+ * resume after its tokens. */
 static void finish_or_requeue(batch_runner_t *b, batch_item_t *it, const attempt_end_t *end)
 {
 	bool fault = end->outcome == ATTEMPT_STALLED || end->outcome == ATTEMPT_CROSSED;
@@ -138,7 +139,7 @@
 	} else if (end->outcome == ATTEMPT_LOST || (fault && ++it->resumes > FAULT_RESUMES_MAX)) {
 		batch_item_finish(b, it, false, WIRE_BLAME_REPLICA, end->message);
 	} else if (b->draining) {
-		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("its entry stops"));
+		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("the entry is draining"));
 	} else {
 		if (end->outcome == ATTEMPT_PREEMPTED &&
 		    b->en->settings.preempt == OWNER_PREEMPT_CANCEL)
@@ -178,6 +179,8 @@
 	local_replica_unref(replica);
 }
 
+/* A request whose entry was lost has a caller waiting, so it runs in the online class with a
+ * deadline of its own, unless it must run alone. */
 static attempt_params_t make_params(const batch_item_t *it)
 {
 	AUTO_ENTRY_CONFIG *c = entry_config_get(it->b->en->snapshot);
@@ -198,6 +201,8 @@
 				  .trace = str_c(it->trace)};
 }
 
+/* Reserves the replica for an item that must run alone: other work avoids the replica until the
+ * item has run or RESERVE_MS have passed. */
 static void reserve_replica(batch_item_t *it, upstream_t *u)
 {
 	if (!it->alone || (it->reserved == u && it->reserved_until > clock_now_ms()))
@@ -205,7 +210,7 @@
 	it->reserved = u;
 	it->reserved_until = clock_now_ms() + RESERVE_MS;
 	upstream_avoid(u, it->reserved_until);
-	log_event(LOG_LEVEL_INFO, "replica_emptied",
+	log_event(LOG_LEVEL_INFO, "replica_reserved",
 		  LOG_CSTR("key", it->job[0] ? it->job : it->key), LOG_INT("index", it->index));
 }
 
--- a/src/entry/batch_lease.c
+++ b/src/entry/batch_lease.c
@@ -15,10 +15,11 @@
 #define BACKOFF_MAX_MS		500
 #define PLAIN_LEASE_INTERVAL_MS 1000
 #define PLAIN_ITEMS_MAX		4
-#define PREFETCH_DIVISOR	4 /* items held beyond the free room: a quarter of the slots */
+#define PREFETCH_DIVISOR	4 /* prefetches items for a quarter of the slots beyond the headroom */
 #define PLAIN_TIMEOUT_MS	30000
 
-/* A new session: what an earlier one leased was given to others. */
+/* After a change of session the ledger has given the items of the old session to other entries:
+ * drops the waiting ones and marks the running ones cancelled. */
 static void handle_session_change(batch_runner_t *b)
 {
 	uint64_t session = entry_session(b->en->snapshot);
@@ -34,7 +35,7 @@
 		{
 			DL_DELETE(b->waiting, it);
 			batch_service_get(b, it->service)->waiting--;
-			batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("its session ended"));
+			batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("the session ended"));
 		}
 		DL_FOREACH (b->running, it)
 			it->cancelled = true;
@@ -75,6 +76,7 @@
 	pthread_detach(t);
 }
 
+/* Queues a leased item, or starts it at once if it is a plain call. */
 static void accept_item(batch_group_t *g, const char *service, bool plain, const wire_item_t *a)
 {
 	batch_runner_t *b = g->b;
@@ -85,13 +87,15 @@
 	if (it->job[0] == 0)
 		it->key_held = inflight_add(str_c(it->caller), str_c(it->key));
 	if (it->key_held)
-		log_event(LOG_LEVEL_INFO, "orphan_taken", LOG_CSTR("key", it->key),
+		log_event(LOG_LEVEL_INFO, "request_taken_over", LOG_CSTR("key", it->key),
 			  LOG_CSTR("service", service));
 	pthread_mutex_lock(&b->lock);
 	b->held++;
-	/* What a call of its caller runs here already is given back, in case that call fails. */
+	/* If the caller's own call runs here already, the lease goes back to the ledger, which
+	 * offers the request again in case that call fails. */
 	if (it->job[0] == 0 && !it->key_held)
-		batch_item_finish(b, it, false, WIRE_BLAME_NONE, STR("runs here already"));
+		batch_item_finish(b, it, false, WIRE_BLAME_NONE,
+				  STR("already running in this entry"));
 	else if (!plain)
 		batch_item_enqueue(b, it);
 	else
@@ -112,7 +116,8 @@
 	return res->items.items_len;
 }
 
-/* Number of items leased; the same count again after an answer that was lost. */
+/* Returns the number of items leased. The sequence number advances only with an answer, so that the
+ * ledger repeats a lease whose answer was lost. */
 static unsigned request_lease(batch_group_t *g, batch_service_t *s, const char *service, bool plain,
 			      unsigned max)
 {
@@ -138,7 +143,8 @@
 	return n;
 }
 
-/* How many items to lease now, and of which service; NULL when none are wanted. */
+/* Sets how many items of service i the group should lease now. Returns the service's name, or NULL
+ * if none are wanted. */
 static const char *items_wanted(batch_group_t *g, size_t i, unsigned *max, bool *plain)
 {
 	batch_runner_t *b = g->b;
@@ -162,6 +168,8 @@
 	return name;
 }
 
+/* Backs off while a service has no items to lease. Plain services are polled at a fixed interval.
+ */
 static void schedule_next_lease(batch_group_t *g, size_t i, unsigned leased)
 {
 	batch_service_t *s = &g->b->services[i];
--- a/src/entry/bearer_keys.c
+++ b/src/entry/bearer_keys.c
@@ -6,7 +6,8 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Found by a hash under a secret of the process, then compared in constant time. */
+/* Keys are hashed under a secret of the process, then compared in constant time, so that timing
+ * tells nothing about them. */
 typedef struct {
 	unsigned char hash[crypto_shorthash_BYTES];
 	const entry_identity_t *id;
--- a/src/entry/completion.c
+++ b/src/entry/completion.c
@@ -12,17 +12,17 @@
 #include "policy/retry.h"
 
 #define TRIED_MAX	   8
-#define LOST_REPLICAS_MAX  3 /* replicas that a request may lose before it is given up */
-#define REFUSALS_MAX	   3 /* owners that say it can't make its deadline */
+#define LOST_REPLICAS_MAX  3 /* replicas a request may lose before it fails */
+#define REFUSALS_MAX	   3 /* refusals for lack of time before the request fails */
 #define PICK_PAUSE_MS	   20
-#define RESUME_TIMEOUT_MS  30000 /* for a replica to resume on, once tokens were given */
+#define RESUME_TIMEOUT_MS  30000 /* to place the next attempt once the caller has tokens */
 #define THREAD_STACK_BYTES (256 << 10)
 #define RETRY_AFTER_MS	   1000
 
 struct completion {
 	atomic_int refs;
 	entry_ctx_t *en;
-	uint64_t session; /* that accepted it */
+	uint64_t session; /* session under which the request was accepted */
 	char *caller;
 	char *key;
 	char *service;
@@ -35,26 +35,27 @@
 	char trace[TRACE_PARENT_BYTES];
 	pthread_mutex_t lock; /* guards all below */
 	pthread_cond_t cond;
-	unsigned attempt; /* number of the attempt whose tokens count */
+	unsigned attempt; /* number of the current attempt; tokens of earlier ones are dropped */
 	bool attempt_ended;
 	attempt_outcome_t end_outcome;
 	int64_t end_retry_after_ms;
 	buf_t end_message;
 	unsigned ntokens;
 	buf_t text;
-	buf_t events; /* events not yet read */
+	buf_t events; /* events that the caller's connection has not read */
 	bool ended;
 	completion_outcome_t outcome;
 	buf_t message;
 	buf_t result;
-	/* used by the running thread only */
+	/* the fields below are used by run_thread only */
 	upstream_t *tried[TRIED_MAX];
 	size_t ntried;
 	int nlost;
 	int nrefused;
 };
 
-/* The sink of one attempt; late callbacks of a dropped attempt find another number and are lost. */
+/* Context of an attempt's callbacks. A late callback of an earlier attempt does nothing, because
+ * its number differs from completion.attempt. */
 typedef struct {
 	completion_t *r;
 	unsigned attempt;
@@ -180,6 +181,8 @@
 					    .retry_after_ms = retry_after_ms};
 }
 
+/* Fails the request because no replica took it. It may have run if an earlier attempt got tokens or
+ * lost its replica. */
 static void fail_without_replica(completion_t *r, str_t message, int64_t retry_after_ms)
 {
 	verdict_t v = r->ntokens || r->nlost ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
@@ -188,7 +191,7 @@
 		    retry_after_ms > 0 ? retry_after_ms : RETRY_AFTER_MS);
 }
 
-/* Time until which a replica is looked for. */
+/* Time until which run_attempts looks for a replica. */
 static deadline_t placement_deadline(const completion_t *r, deadline_t lost_at)
 {
 	return r->ntokens ? lost_at + RESUME_TIMEOUT_MS : r->deadline;
@@ -200,14 +203,15 @@
 			      r->tried, r->ntried, c)) {
 		if (clock_now_ms() >= until)
 			return false;
-		r->ntried = 0; /* all have been tried: once more, after a pause */
+		r->ntried = 0; /* every replica was tried: start over after a pause */
 		clock_sleep_ms(PICK_PAUSE_MS);
 	}
 	return true;
 }
 
-/* True if the request goes on with another attempt. */
-static bool retry_after_failure(completion_t *r, const upstream_choice_t *c)
+/* Returns true if the request goes on with another attempt. Else sets the outcome, except when the
+ * retry budget is used up. */
+static bool handle_failed_attempt(completion_t *r, const upstream_choice_t *c)
 {
 	log_event(LOG_LEVEL_INFO, "retried", LOG_CSTR("key", r->key), LOG_CSTR("upstream", c->id),
 		  LOG_CSTR("ended", attempt_outcome_name(r->end_outcome)),
@@ -248,8 +252,9 @@
 		bool more;
 
 		if (!pick_replica(r, &c, until)) {
-			fail_without_replica(r, STR("no replica can take it before its deadline"),
-					     r->end_retry_after_ms);
+			fail_without_replica(
+				r, STR("no replica can start the request before its deadline"),
+				r->end_retry_after_ms);
 			return;
 		}
 		run_attempt(r, &c);
@@ -260,7 +265,7 @@
 			set_outcome(r, 200, VERDICT_RAN, NULL, STR(""), 0);
 			return;
 		}
-		more = retry_after_failure(r, &c);
+		more = handle_failed_attempt(r, &c);
 		local_replica_unref(c.replica);
 		if (!more) {
 			if (!r->outcome.code)
@@ -301,29 +306,31 @@
 	buf_add(&r->events, STR("\n\n"));
 }
 
+/* Reports a failed request as undecided: under a new session another entry may be running it. */
 static void fail_session_lost(completion_t *r)
 {
 	set_outcome(r, 503, VERDICT_MAY_HAVE_RUN, "session_lost",
-		    STR("another entry may have taken it over: ask again under the same key"),
+		    STR("another entry may have taken the request over: retry with the same key"),
 		    RETRY_AFTER_MS);
 	buf_free(&r->result);
 	write_result(r);
 }
 
-/* Another entry's end stands. Its answer can't follow the tokens that were given from here. */
-static void adopt_stored_end(completion_t *r, const ledger_client_end_t *standing)
+/* Replaces the outcome by the end that another entry committed. A stored result is not sent to the
+ * caller, because it need not continue the tokens already sent. */
+static void adopt_stored_end(completion_t *r, const ledger_client_end_t *stored)
 {
 	buf_free(&r->result);
-	if (standing->done) {
+	if (stored->done) {
 		set_outcome(r, 409, VERDICT_RAN, "superseded",
-			    STR("another entry's answer stands: ask again under the same key"),
+			    STR("the ledger holds another entry's result: retry with the same key"),
 			    RETRY_AFTER_MS);
 		write_result(r);
 		return;
 	}
-	set_outcome(r, standing->http_status, standing->verdict, "ended_elsewhere",
-		    STR("another entry ended it"), 0);
-	buf_add(&r->result, str_buf(&standing->result));
+	set_outcome(r, stored->http_status, stored->verdict, "ended_elsewhere",
+		    STR("another entry ended the request"), 0);
+	buf_add(&r->result, str_buf(&stored->result));
 }
 
 static void commit_end(completion_t *r)
@@ -334,20 +341,21 @@
 					  .verdict = r->outcome.verdict,
 					  .http_status = r->outcome.http_status,
 					  .result = str_buf(&r->result)};
-	ledger_client_end_t standing = {0};
+	ledger_client_end_t stored = {0};
 	status_t st;
 
-	/* In a later session another entry may run it: its end is not for this one to tell. */
+	/* Under a new session another entry may run the request, so a failure here is not its end.
+	 */
 	if (!r->outcome.ok && entry_session(r->en->snapshot) != r->session) {
 		fail_session_lost(r);
 		return;
 	}
-	st = ledger_client_finish(r->en, &f, &standing);
+	st = ledger_client_finish(r->en, &f, &stored);
 	if (st == STATUS_OK)
 		return;
 	if (st == STATUS_CONFLICT) {
-		adopt_stored_end(r, &standing);
-		buf_free(&standing.result);
+		adopt_stored_end(r, &stored);
+		buf_free(&stored.result);
 		return;
 	}
 	log_event(LOG_LEVEL_ERROR, "result_not_committed", LOG_CSTR("key", r->key),
@@ -355,7 +363,7 @@
 	if (!r->outcome.ok)
 		return;
 	set_outcome(r, 503, VERDICT_MAY_HAVE_RUN, "result_not_committed",
-		    STR("the result could not be stored yet: ask again under the same key"),
+		    STR("the result is not committed yet: retry with the same key"),
 		    RETRY_AFTER_MS);
 	buf_free(&r->result);
 	write_result(r);
@@ -437,7 +445,7 @@
 	return any;
 }
 
-size_t completion_read(completion_t *r, char *events, size_t max)
+size_t completion_read(completion_t *r, char *out, size_t max)
 {
 	size_t n;
 
@@ -446,17 +454,17 @@
 		pthread_cond_wait(&r->cond, &r->lock);
 	n = r->events.n < max ? r->events.n : max;
 	if (n)
-		memcpy(events, r->events.p, n);
+		memcpy(out, r->events.p, n);
 	buf_drop_front(&r->events, n);
 	pthread_mutex_unlock(&r->lock);
 	return n;
 }
 
-void completion_wait_end(completion_t *r, completion_outcome_t *events)
+void completion_wait_end(completion_t *r, completion_outcome_t *out)
 {
 	pthread_mutex_lock(&r->lock);
 	while (!r->ended)
 		pthread_cond_wait(&r->cond, &r->lock);
-	*events = r->outcome;
+	*out = r->outcome;
 	pthread_mutex_unlock(&r->lock);
 }
--- a/src/entry/engine_stream.c
+++ b/src/entry/engine_stream.c
@@ -43,6 +43,7 @@
 	free(s);
 }
 
+/* Makes on_engine_event close the call after a wrong event. */
 static void abort_stream(engine_stream_t *s, attempt_outcome_t outcome, const char *why)
 {
 	s->aborted = true;
@@ -50,6 +51,7 @@
 	buf_add(&s->message, str_c(why));
 }
 
+/* Checks that the event belongs to this attempt and carries the next token, then passes it on. */
 static void handle_token(engine_stream_t *s, json_t *j)
 {
 	const char *id = json_string_value(json_object_get(j, "id"));
@@ -61,12 +63,12 @@
 		log_event(LOG_LEVEL_WARN, "crossed_answer", LOG_CSTR("key", s->key),
 			  LOG_CSTR("attempt", s->attempt_id), LOG_CSTR("got", id ? id : ""));
 		METRIC_INC("auburn_crossed_answers_total");
-		abort_stream(s, ATTEMPT_CROSSED, "the engine sent another attempt's answer");
+		abort_stream(s, ATTEMPT_CROSSED, "the engine sent a token of another attempt");
 		return;
 	}
 	if (!json_is_string(text) || index != (json_int_t)s->next_index ||
 	    s->next_index >= s->max_tokens) {
-		abort_stream(s, ATTEMPT_LOST, "the engine left a token out");
+		abort_stream(s, ATTEMPT_LOST, "the engine sent an unexpected token");
 		return;
 	}
 	s->next_index++;
@@ -87,11 +89,13 @@
 	if (j)
 		handle_token(s, j);
 	else
-		abort_stream(s, ATTEMPT_LOST, "the engine sent no JSON");
+		abort_stream(s, ATTEMPT_LOST, "the engine sent an event that is not JSON");
 	json_decref(j);
 	return !s->aborted;
 }
 
+/* Outcome of a response without a complete stream. An engine refuses an outdated
+ * fence with 409. */
 static attempt_outcome_t outcome_of_status(int status)
 {
 	if (status == HTTP_OK)
--- a/src/entry/entry_drain.c
+++ b/src/entry/entry_drain.c
@@ -6,10 +6,11 @@
 #include "entry/upstream.h"
 
 #define POLL_INTERVAL_MS 20
-#define VIEW_UPDATE_MS	 2000 /* until the others' views leave this entry out */
+#define VIEW_UPDATE_MS	 2000 /* until the views of the other entries show this one as draining */
 #define HANDOVER_MAX_MS	 10000
 #define FINISH_MAX_MS	 120000
 
+/* Sets *ctx if this entry still dispatches to the replica. */
 static bool note_local_replica(void *ctx, const upstream_info_t *info)
 {
 	if (info->replica)
--- a/src/entry/entry_settings.c
+++ b/src/entry/entry_settings.c
@@ -4,19 +4,19 @@
 #include <string.h>
 #include "base/rpc.h"
 
-#define ADDRESS_TTL_MS	  5000
-#define ADDRESS_TTL_MAX	  600000
-#define MAX_BODY_BYTES	  (8 << 20)
-#define MAX_BODY_LIMIT	  (1LL << 30)
-#define MAX_ITEMS	  60000
-#define MAX_ITEMS_LIMIT	  540000
-#define MAX_CONNECTIONS	  2000
-#define CONNECTIONS_LIMIT 60000
-#define CONTROLS_MAX	  16
-#define GROUPS_MAX	  64
-#define CONTROLS_MAX	  16
-#define NAME_MAX_BYTES	  128
-#define KEY_MIN_BYTES	  8
+#define ADDRESS_TTL_DEFAULT_MS	5000
+#define ADDRESS_TTL_LIMIT_MS	600000
+#define MAX_BODY_DEFAULT_BYTES	(8 << 20)
+#define MAX_BODY_LIMIT_BYTES	(1LL << 30)
+#define MAX_ITEMS_DEFAULT	60000
+#define MAX_ITEMS_LIMIT		540000
+#define MAX_CONNECTIONS_DEFAULT 2000
+#define MAX_CONNECTIONS_LIMIT	60000
+#define CONTROLS_MAX		16
+#define GROUPS_MAX		64
+#define CONTROLS_MAX		16
+#define NAME_MAX_BYTES		128
+#define KEY_MIN_BYTES		8
 
 typedef struct {
 	const char *name;
@@ -37,6 +37,7 @@
 				       {"peak", OWNER_RESERVE_PEAK},
 				       {NULL, 0}};
 
+/* Sets *out to the value of a named setting; leaves it as it is if the setting is absent. */
 static status_t parse_enum(const toml_doc_t *c, const toml_table_t *t, const char *key,
 			   const char *value, const enum_name_t *names, int *out)
 {
@@ -52,6 +53,7 @@
 			   toml_line(t, key), key, value);
 }
 
+/* Reads [bench]: alternatives of the scheduling that benchmarks compare. */
 static status_t read_bench(const toml_doc_t *c, entry_settings_t *s)
 {
 	const toml_table_t *t = toml_table_at(toml_root(c), "bench", 0);
@@ -112,10 +114,10 @@
 		{"peer_key", TOML_STR, true, KEY_MIN_BYTES, NAME_MAX_BYTES, &s->peer_key},
 		{"controls", TOML_STRS, true, 1, CONTROLS_MAX, &s->controls},
 		{"ledger_groups", TOML_INT, false, 1, GROUPS_MAX, &s->ledger_groups},
-		{"address_ttl_ms", TOML_INT, false, 0, ADDRESS_TTL_MAX, &s->address_ttl_ms},
-		{"max_body_bytes", TOML_INT, false, 1, MAX_BODY_LIMIT, &s->max_body_bytes},
+		{"address_ttl_ms", TOML_INT, false, 0, ADDRESS_TTL_LIMIT_MS, &s->address_ttl_ms},
+		{"max_body_bytes", TOML_INT, false, 1, MAX_BODY_LIMIT_BYTES, &s->max_body_bytes},
 		{"max_items", TOML_INT, false, 1, MAX_ITEMS_LIMIT, &s->max_items},
-		{"max_connections", TOML_INT, false, 1, CONNECTIONS_LIMIT, &s->max_connections},
+		{"max_connections", TOML_INT, false, 1, MAX_CONNECTIONS_LIMIT, &s->max_connections},
 		{NULL, TOML_STR, false, 0, 0, NULL}};
 	status_t st = toml_read(c, toml_root(c), keys, sub);
 
@@ -134,10 +136,10 @@
 	status_t st;
 
 	*out = (entry_settings_t){.ledger_groups = 2,
-				  .address_ttl_ms = ADDRESS_TTL_MS,
-				  .max_body_bytes = MAX_BODY_BYTES,
-				  .max_items = MAX_ITEMS,
-				  .max_connections = MAX_CONNECTIONS};
+				  .address_ttl_ms = ADDRESS_TTL_DEFAULT_MS,
+				  .max_body_bytes = MAX_BODY_DEFAULT_BYTES,
+				  .max_items = MAX_ITEMS_DEFAULT,
+				  .max_connections = MAX_CONNECTIONS_DEFAULT};
 	st = toml_load(path, &c);
 	if (st == STATUS_OK)
 		st = read_root(c, out);
--- a/src/entry/entry_snapshot.c
+++ b/src/entry/entry_snapshot.c
@@ -79,7 +79,7 @@
 	entry_config_t *old;
 
 	if (msg->number <= entry_config_number(s))
-		return status_fail(STATUS_CONFLICT, "text %llu is not newer",
+		return status_fail(STATUS_CONFLICT, "config %llu is not newer than the current one",
 				   (unsigned long long)msg->number);
 	st = config_parse(wire_str(msg->text), &config);
 	if (st != STATUS_OK)
@@ -103,7 +103,7 @@
 	entry_view_t *old;
 
 	if (view->view_version <= entry_view_version(s))
-		return status_fail(STATUS_CONFLICT, "view %llu is not newer",
+		return status_fail(STATUS_CONFLICT, "view %llu is not newer than the current one",
 				   (unsigned long long)view->view_version);
 	v = mem_new(sizeof(*v));
 	atomic_init(&v->refs, 1);
--- a/src/entry/fetch.c
+++ b/src/entry/fetch.c
@@ -37,8 +37,8 @@
 	CURLM *multi;
 	pthread_mutex_t lock;
 	uint64_t last_id;
-	call_t *pending; /* not yet given to curl */
-	call_t *running; /* hash by id; used by the thread only */
+	call_t *pending; /* calls not yet handed to libcurl */
+	call_t *running; /* hash by id; used by client_thread only */
 };
 
 static bool is_event_stream(const call_t *c)
@@ -85,6 +85,7 @@
 	return take;
 }
 
+/* Rewinds the body when libcurl sends a request again on another connection. */
 static int on_request_seek(void *ctx, curl_off_t offset, int origin)
 {
 	call_t *c = ctx;
@@ -152,14 +153,15 @@
 	free(c);
 }
 
+/* FETCH_NOT_SENT only if not a byte of the request has left: then the server can't have run it. */
 static fetch_result_t result_of(const call_t *c, CURLcode code)
 {
-	long body_sent = 0;
+	long request_bytes = 0;
 
 	if (code == CURLE_OK)
 		return FETCH_FINISHED;
-	curl_easy_getinfo(c->curl, CURLINFO_REQUEST_SIZE, &body_sent);
-	if (!c->body_sent && body_sent == 0)
+	curl_easy_getinfo(c->curl, CURLINFO_REQUEST_SIZE, &request_bytes);
+	if (!c->body_sent && request_bytes == 0)
 		return FETCH_NOT_SENT;
 	return FETCH_BROKEN;
 }
--- a/src/entry/filter_accept.c
+++ b/src/entry/filter_accept.c
@@ -43,7 +43,7 @@
 {
 	unconfirmed_t *a = arg;
 	AUTO_BUF result = {0};
-	ledger_client_end_t standing = {0};
+	ledger_client_end_t stored = {0};
 	ledger_client_finish_t f = {.caller = str_c(a->caller),
 				    .key = str_c(a->key),
 				    .verdict = VERDICT_NOT_RUN,
@@ -53,10 +53,10 @@
 				 STR("the acceptance was not confirmed in time"), VERDICT_NOT_RUN,
 				 RETRY_AFTER_MS);
 	f.result = str_buf(&result);
-	/* In a later session the record may be another entry's to run. */
+	/* Under a new session another entry may run the request. */
 	if (entry_session(a->en->snapshot) == a->session)
-		ledger_client_finish(a->en, &f, &standing);
-	buf_free(&standing.result);
+		ledger_client_finish(a->en, &f, &stored);
+	buf_free(&stored.result);
 	inflight_remove(f.caller, f.key);
 	atomic_fetch_sub(&a->en->running_requests, 1);
 	free(a->caller);
@@ -65,7 +65,8 @@
 	return NULL;
 }
 
-/* The record may be there: it is ended as not run, which is true, so that nobody runs it later. */
+/* The acceptance may have been committed although its commit timed out. A thread ends the record as
+ * not run, which is true, so that no entry runs the request later. */
 static void end_unconfirmed(filter_call_t *c)
 {
 	unconfirmed_t *a = mem_new(sizeof(*a));
@@ -82,13 +83,16 @@
 	pthread_detach(t);
 }
 
+/* Acts on the ledger's answer: runs the request if it is accepted here, waits if it runs elsewhere,
+ * or replays its stored end. */
 static void handle_record(filter_call_t *c, const wire_ledger_res_t *res, const filter_step_t *next)
 {
 	const wire_record_t *r = &res->record;
 	bool own = r->session == entry_session(c->en->snapshot);
 
 	if (res->status == STATUS_CONFLICT) {
-		filter_refuse(c, 409, "key_conflict", STR("the key stands for another request"), 0);
+		filter_refuse(c, 409, "key_conflict", STR("the key was used for another request"),
+			      0);
 	} else if (res->status != STATUS_OK) {
 		filter_refuse(c, 503, "ledger", wire_str(res->message), RETRY_AFTER_MS);
 	} else if (r->state == WIRE_ACCEPTED && c->key_held && (r->fresh || own)) {
@@ -100,7 +104,7 @@
 	}
 }
 
-/* After a timeout the record may be there, and then another entry may run it. */
+/* After a timeout the acceptance may be committed, and then another entry may run the request. */
 static void refuse_uncommitted(filter_call_t *c, status_t st)
 {
 	AUTO_BUF why = {0};
@@ -110,7 +114,7 @@
 			      RETRY_AFTER_MS);
 		return;
 	}
-	buf_addf(&why, "the acceptance is not known, ask again under the same key: %s",
+	buf_addf(&why, "the ledger did not confirm the acceptance, retry with the same key: %s",
 		 status_message());
 	log_event(LOG_LEVEL_WARN, "acceptance_unknown", LOG_CSTR("key", c->key),
 		  LOG_CSTR("status", status_name(st)));
--- a/src/entry/filter_admit.c
+++ b/src/entry/filter_admit.c
@@ -20,7 +20,8 @@
 
 	if (!admission_take_rate(c->en->admission, c->caller,
 				 config_limit_for(c->config->config, c->caller), &wait_ms)) {
-		filter_refuse(c, 429, "rate_limit", STR("the caller is over its rate"), wait_ms);
+		filter_refuse(c, 429, "rate_limit", STR("the caller exceeds its request rate"),
+			      wait_ms);
 		return;
 	}
 	if (c->deadline <= clock_now_ms()) {
@@ -31,17 +32,17 @@
 	if (c->service->kind == CONFIG_ENGINE && c->en->settings.mode == ENTRY_MODE_OWNER &&
 	    wait_ms > clock_left_ms(c->deadline)) {
 		filter_refuse(c, 503, "overloaded",
-			      STR("no replica can start it before its deadline"),
+			      STR("no replica can start the request before its deadline"),
 			      wait_ms - clock_left_ms(c->deadline));
 		return;
 	}
 	if (!admission_enter(c->en->admission, service, c->service->concurrency,
 			     count_entries(c->en))) {
-		filter_refuse(c, 503, "service_busy", STR("the service is at its concurrency"),
-			      RETRY_AFTER_MS);
+		filter_refuse(c, 503, "service_busy",
+			      STR("the service is at its concurrency limit"), RETRY_AFTER_MS);
 		return;
 	}
 	c->admitted = true;
-	ledger_client_count_first(c->en, service, (int)c->service->retry_percent);
+	ledger_client_count_request(c->en, service, (int)c->service->retry_percent);
 	filter_next(c, next);
 }
--- a/src/entry/filter_idempotency.c
+++ b/src/entry/filter_idempotency.c
@@ -4,6 +4,7 @@
 #include <stdio.h>
 #include "entry/inflight.h"
 
+/* Copies the Idempotency-Key, or makes up a random one if the caller needs none. */
 static bool read_key(filter_call_t *c)
 {
 	str_t key = httpd_header(c->req, "Idempotency-Key");
@@ -15,7 +16,7 @@
 	}
 	if (key.n == 0 && c->service->kind == CONFIG_PLAIN && !c->service->repeatable) {
 		filter_refuse(c, 400, "key_required",
-			      STR("a call that may not be repeated needs an Idempotency-Key"), 0);
+			      STR("a service that is not repeatable needs an Idempotency-Key"), 0);
 		return false;
 	}
 	if (key.n == 0)
@@ -26,7 +27,7 @@
 	return true;
 }
 
-/* Digest of all that makes the request what it is. */
+/* Digest of service, path and body: a key must not be used again for a different request. */
 static uint64_t digest_request(const filter_call_t *c)
 {
 	AUTO_BUF b = {0};
--- a/src/entry/filter_identify.c
+++ b/src/entry/filter_identify.c
@@ -13,7 +13,7 @@
 	filter_next(c, next);
 }
 
-/* An entry whose lease is over may hold an old text: it names others to go to. */
+/* An entry without a lease may hold an outdated config, so it refuses and names other entries. */
 static void refuse_with_addresses(filter_call_t *c)
 {
 	AUTO_BUF others = {0};
@@ -21,7 +21,8 @@
 	addresses_list_others(c->en, &others);
 	if (others.n)
 		u_map_put(c->res->map_header, "X-Auburn-Addresses", others.p);
-	filter_refuse(c, 503, "no_lease", STR("this entry has not heard from the control in time"),
+	filter_refuse(c, 503, "no_lease",
+		      STR("no valid lease: the control has not answered this entry in time"),
 		      RETRY_AFTER_MS);
 }
 
@@ -37,7 +38,7 @@
 	}
 	c->config = entry_config_get(c->en->snapshot);
 	if (!c->config) {
-		filter_refuse(c, 503, "no_text", STR("no operators' text is in force"),
+		filter_refuse(c, 503, "no_text", STR("no operator config is in force"),
 			      RETRY_AFTER_MS);
 		return;
 	}
--- a/src/entry/filter_match.c
+++ b/src/entry/filter_match.c
@@ -29,8 +29,9 @@
 
 	c->body_json = json_loadb(body.p, body.n, JSON_REJECT_DUPLICATES, NULL);
 	if (!is_valid_completion(c)) {
-		filter_refuse(c, 400, "bad_request",
-			      STR("needs a JSON object with model, prompt and max_tokens"), 0);
+		filter_refuse(
+			c, 400, "bad_request",
+			STR("the body must be a JSON object with model, prompt and max_tokens"), 0);
 		return;
 	}
 	c->service = config_find_service(
@@ -58,8 +59,8 @@
 	}
 	c->upstream_path = str_c(*rest ? rest : "/");
 	if (c->upstream_path.n > UPSTREAM_PATH_MAX_BYTES || !httpd_key_valid(c->upstream_path)) {
-		filter_refuse(c, 400, "bad_path", STR("the path is too long or holds other bytes"),
-			      0);
+		filter_refuse(c, 400, "bad_path",
+			      STR("the path is too long or not printable ASCII"), 0);
 		return;
 	}
 	set_deadline(c);
--- a/src/entry/filter_plain.c
+++ b/src/entry/filter_plain.c
@@ -25,7 +25,7 @@
 	atomic_fetch_sub(&c->en->running_requests, 1);
 	if (st != STATUS_OK)
 		httpd_error(c->res, 409, "in_progress",
-			    STR("another attempt of this key was or may be begun"),
+			    STR("another attempt with this key may have been run"),
 			    VERDICT_MAY_HAVE_RUN, IN_PROGRESS_RETRY_AFTER_MS);
 	else if (end.done)
 		httpd_json(c->res, end.http_status, str_buf(&end.result));
--- a/src/entry/filter_replay.c
+++ b/src/entry/filter_replay.c
@@ -7,9 +7,9 @@
 #define RETRY_AFTER_MS 1000
 #define POLL_MIN_MS    20
 #define POLL_MAX_MS    200
-#define FOLLOW_MAX_MS  30000
+#define AWAIT_MAX_MS   30000
 
-/* A stored result, in the shape that was asked for. */
+/* Replies with a stored result, as an event stream if the caller asked for one. */
 static void replay_done(filter_call_t *c, str_t result)
 {
 	json_t *j = json_loadb(result.p, result.n, 0, NULL);
@@ -34,7 +34,7 @@
 {
 	ledger_client_end_t end;
 
-	ledger_client_end_of(r, &end);
+	ledger_client_read_end(r, &end);
 	httpd_error_json(c->res, end.http_status, str_buf(&end.result),
 			 end.verdict == VERDICT_NOT_RUN ? RETRY_AFTER_MS : 0);
 	buf_free(&end.result);
@@ -58,7 +58,7 @@
 	return r->state != WIRE_ACCEPTED && r->state != WIRE_ATTEMPTED;
 }
 
-/* True if a final record was found and replied with. */
+/* Queries the record; replies and returns true if it is final. */
 static bool reply_if_final(filter_call_t *c)
 {
 	wire_query_res_t res = {0};
@@ -73,19 +73,19 @@
 
 void filter_await_end(filter_call_t *c)
 {
-	deadline_t until = clock_now_ms() + FOLLOW_MAX_MS;
+	deadline_t until = clock_now_ms() + AWAIT_MAX_MS;
 	int64_t pause = POLL_MIN_MS;
 
 	if (c->deadline < until)
 		until = c->deadline;
-	log_event(LOG_LEVEL_INFO, "followed", LOG_CSTR("key", c->key));
+	log_event(LOG_LEVEL_INFO, "result_awaited", LOG_CSTR("key", c->key));
 	while (clock_now_ms() < until && !atomic_load(&c->en->closing)) {
 		if (reply_if_final(c))
 			return;
 		clock_sleep_ms(pause);
 		pause = pause * 2 < POLL_MAX_MS ? pause * 2 : POLL_MAX_MS;
 	}
-	httpd_error(c->res, 409, "in_progress", STR("this key is being worked on"),
+	httpd_error(c->res, 409, "in_progress", STR("a request with this key is in progress"),
 		    VERDICT_MAY_HAVE_RUN, RETRY_AFTER_MS);
 	trace_end(&c->span, str_c(c->key), "in_progress");
 }
--- a/src/entry/heartbeat.c
+++ b/src/entry/heartbeat.c
@@ -9,14 +9,14 @@
 #define HEARTBEATS_PER_LEASE 4
 #define HEARTBEAT_TIMEOUT_MS 1000
 #define FETCH_TIMEOUT_MS     1500
-#define LEASE_MARGIN_MS	     100
+#define LEASE_MARGIN_MS	     100 /* the entry ends its lease this much before the control does */
 #define LOOP_INTERVAL_MS     10
 #define TICK_INTERVAL_MS     20
 
 typedef struct {
 	entry_ctx_t *en;
 	uint64_t session;
-	int64_t lease_ms; /* as the control last said */
+	int64_t lease_ms; /* lease duration in the last answer */
 	bool was_valid;
 	uint64_t config_seen;
 	uint64_t view_seen;
@@ -33,6 +33,7 @@
 			     .draining = atomic_load(&en->draining)};
 }
 
+/* A new session means that the old one has ended and its replicas may have other owners. */
 static void update_session(control_state_t *s, uint64_t session)
 {
 	if (session == s->session)
@@ -99,8 +100,8 @@
 		fetch_view(en);
 		apply = true;
 	}
-	/* With an older text than the control's the lease is not taken: the old text must not be
-	 * served for longer than the lease that came with it. */
+	/* The lease is renewed only if this entry has the control's config: an outdated config must
+	 * not be served for longer than the lease granted with it. */
 	if (entry_config_number(en->snapshot) >= res->conf_number)
 		entry_lease_set(en->snapshot, res->session,
 				sent_ms + res->lease_ms - LEASE_MARGIN_MS);
--- a/src/entry/httpd.c
+++ b/src/entry/httpd.c
@@ -48,13 +48,14 @@
 				   en->settings.listen);
 	addr.sin_port = htons((uint16_t)port);
 	if (ulfius_init_instance(&instance, port, &addr, NULL) != U_OK)
-		return status_fail(STATUS_IO, "the HTTP server can't be made");
-	/* The library cuts a longer body short without a word; one byte more lets that be seen. */
+		return status_fail(STATUS_IO, "can't create the HTTP server");
+	/* ulfius silently truncates a longer body; one byte more makes an oversized body visible to
+	 * httpd_check_body_size. */
 	instance.max_post_body_size = (size_t)en->settings.max_body_bytes + 1;
 	instance.check_utf8 = 0;
 	instance.allowed_post_processor = U_POST_PROCESS_NONE;
 	for (; endpoints->method; endpoints++)
-		/* ulfius reads parameters from the format only, not from the prefix. */
+		/* ulfius parses path parameters in the format only, not in the prefix. */
 		ulfius_add_endpoint_by_val(&instance, endpoints->method, NULL, endpoints->path, 0,
 					   endpoints->handler, en);
 	ulfius_set_default_endpoint(&instance, reply_not_found, en);
@@ -165,7 +166,7 @@
 static bool reply_unauthorized(struct _u_response *res)
 {
 	u_map_put(res->map_header, "WWW-Authenticate", "Bearer");
-	httpd_error(res, 401, "bad_key", STR("no or unknown bearer key"), VERDICT_NOT_RUN, 0);
+	httpd_error(res, 401, "bad_key", STR("missing or unknown bearer key"), VERDICT_NOT_RUN, 0);
 	return false;
 }
 
@@ -194,12 +195,12 @@
 	str_t declared = httpd_header(req, "Content-Length");
 	int64_t max = en->settings.max_body_bytes;
 
-	/* A body of undeclared length that fills the bound may have been cut there. */
+	/* A body without Content-Length that reaches the limit may have been truncated. */
 	if (declared.n == 0 && (int64_t)req->binary_body_length < max)
 		return true;
 	if (declared.n && httpd_int(declared, -1) >= 0 && httpd_int(declared, -1) <= max)
 		return true;
-	httpd_error(res, 413, "body_too_large", STR("the body is over max_body_bytes"),
+	httpd_error(res, 413, "body_too_large", STR("the body is larger than max_body_bytes"),
 		    VERDICT_NOT_RUN, 0);
 	return false;
 }
--- a/src/entry/job_api.c
+++ b/src/entry/job_api.c
@@ -32,7 +32,7 @@
 		 state, j->count, j->waiting, j->leased, j->done, j->failed, j->dropped);
 }
 
-/* Runs a query of one group; false after an error was set. */
+/* Queries one ledger group; replies with an error and returns false if that fails. */
 static bool run_query(entry_ctx_t *en, struct _u_response *res, unsigned group,
 		      const wire_query_t *q, wire_query_res_t *r)
 {
@@ -66,7 +66,7 @@
 	       (x->job.wire_bytes_t_len < y->job.wire_bytes_t_len);
 }
 
-/* A page of jobs is merged from the pages of all groups. */
+/* Replies with a page of jobs, merged from one page of each ledger group. */
 static void reply_job_list(entry_ctx_t *en, struct _u_response *res, const wire_query_t *q,
 			   u_int max)
 {
@@ -155,7 +155,7 @@
 
 static void append_result(buf_t *b, str_t body)
 {
-	/* Results are JSON but for a failed item's reason and plain services' bodies. */
+	/* Results are JSON, except reasons of failed items and bodies of plain services. */
 	json_t *j = json_loadb(body.p, body.n, JSON_DECODE_ANY, NULL);
 
 	if (j)
--- a/src/entry/job_api_submit.c
+++ b/src/entry/job_api_submit.c
@@ -31,10 +31,10 @@
 	str_t caller;
 	char id[KEY_BYTES];
 	str_t service;
-	unsigned share; /* the caller's weight among jobs */
+	unsigned share; /* the caller's weight when jobs of several callers compete */
 	lines_t lines;
 	char trace[TRACE_PARENT_BYTES];
-	wire_job_t job; /* the last answer, without its strings */
+	wire_job_t job; /* from the ledger's last answer; its strings are freed */
 } submission_t;
 
 static void split_lines(str_t body, lines_t *out)
@@ -74,7 +74,7 @@
 	char why[96];
 
 	if (p->lines.n == 0 || (int64_t)p->lines.n > p->en->settings.max_items) {
-		snprintf(why, sizeof(why), "a job has 1 to %" PRId64 " items",
+		snprintf(why, sizeof(why), "a job must have 1 to %" PRId64 " items",
 			 p->en->settings.max_items);
 		httpd_error(p->res, p->lines.n ? 413 : 400, "item_count", str_c(why),
 			    VERDICT_NOT_RUN, 0);
@@ -99,7 +99,7 @@
 	return d;
 }
 
-/* Runs a ledger command of the job; false after an error was set. */
+/* Runs a ledger command of the job; replies with an error and returns false if that fails. */
 static bool run_command(submission_t *p, const wire_ledger_cmd_t *cmd)
 {
 	wire_ledger_res_t r = {0};
@@ -170,6 +170,7 @@
 	return true;
 }
 
+/* Marks the job as complete in the ledger: no more items follow. */
 static bool seal_job(submission_t *p)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_JOB_SEAL};
@@ -194,6 +195,7 @@
 	httpd_json(p->res, 202, str_buf(&b));
 }
 
+/* Checks lease, service and request rate, and sets the caller's share; replies if one fails. */
 static bool check_service(submission_t *p)
 {
 	AUTO_ENTRY_CONFIG *c = entry_config_get(p->en->snapshot);
@@ -203,7 +205,7 @@
 
 	if (!c || !entry_lease_valid(p->en->snapshot)) {
 		httpd_error(p->res, 503, "no_lease",
-			    STR("this entry has not heard from the control in time"),
+			    STR("no valid lease: the control has not answered this entry in time"),
 			    VERDICT_NOT_RUN, RETRY_AFTER_MS);
 		return false;
 	}
@@ -213,7 +215,7 @@
 		return false;
 	}
 	if (!admission_take_rate(p->en->admission, p->caller, limit, &wait_ms)) {
-		httpd_error(p->res, 429, "rate_limit", STR("the caller is over its rate"),
+		httpd_error(p->res, 429, "rate_limit", STR("the caller exceeds its request rate"),
 			    VERDICT_NOT_RUN, wait_ms);
 		return false;
 	}
@@ -221,6 +223,8 @@
 	return true;
 }
 
+/* Opens the job, sends the items that the ledger lacks and seals the job. A job that was cut off is
+ * resumed under the same key. */
 static void submit_job(submission_t *p, int64_t deadline_ms)
 {
 	trace_span_t sp;
--- a/src/entry/ledger_client.c
+++ b/src/entry/ledger_client.c
@@ -8,12 +8,12 @@
 #define FINISH_DEADLINE_MS  60000
 #define FINISH_TIMEOUT_MS   3000
 #define RETRY_PAUSE_MS	    100
-#define DEFAULT_HTTP_STATUS 502 /* told for an end that no entry gave a status */
+#define DEFAULT_HTTP_STATUS 502 /* for an end without a status */
 #define QUERY_TIMEOUT_MS    3000
 #define SERVICES_MAX	    1024
 
 typedef struct {
-	uint64_t service; /* hash */
+	uint64_t service; /* hash of the name */
 	retry_budget_t budget;
 } service_budget_t;
 
@@ -21,8 +21,9 @@
 static service_budget_t budgets[SERVICES_MAX];
 static size_t nbudgets;
 
-/* An entry stores its reply; the ledger itself stores a reason in words. */
-void ledger_client_end_of(const wire_record_t *r, ledger_client_end_t *out)
+/* A result stored by an entry is a complete reply; the ledger itself stores a reason as plain text.
+ */
+void ledger_client_read_end(const wire_record_t *r, ledger_client_end_t *out)
 {
 	str_t result = wire_str(r->result);
 
@@ -37,7 +38,7 @@
 }
 
 status_t ledger_client_finish(entry_ctx_t *en, const ledger_client_finish_t *f,
-			      ledger_client_end_t *standing)
+			      ledger_client_end_t *stored)
 {
 	deadline_t until = clock_now_ms() + FINISH_DEADLINE_MS;
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_FINISH};
@@ -59,7 +60,7 @@
 		if (st == STATUS_OK)
 			st = (status_t)res.status;
 		if (st == STATUS_CONFLICT)
-			ledger_client_end_of(&res.record, standing);
+			ledger_client_read_end(&res.record, stored);
 		wire_free(XDR_PROC(wire_ledger_res_t), &res);
 		if (st != STATUS_UNAVAILABLE && st != STATUS_TIMEOUT && st != STATUS_NOT_LEADER)
 			return st;
@@ -115,7 +116,7 @@
 	return NULL;
 }
 
-void ledger_client_count_first(entry_ctx_t *en, str_t service, int percent)
+void ledger_client_count_request(entry_ctx_t *en, str_t service, int percent)
 {
 	retry_budget_t *b;
 
--- a/src/entry/ledger_client.h
+++ b/src/entry/ledger_client.h
@@ -22,12 +22,12 @@
 } ledger_client_end_t;
 
 /** Commits the end of a request; retries until the ledger answers or a long deadline has passed.
- *  STATUS_CONFLICT: the ledger holds another end, which is copied to *standing; the caller frees
+ *  STATUS_CONFLICT: the ledger holds another end, which is copied to *stored; the caller frees
  * its result. */
 status_t ledger_client_finish(entry_ctx_t *en, const ledger_client_finish_t *f,
-			      ledger_client_end_t *standing);
+			      ledger_client_end_t *stored);
 /** Copies the end from a final record; the caller frees the result. */
-void ledger_client_end_of(const wire_record_t *r, ledger_client_end_t *out);
+void ledger_client_read_end(const wire_record_t *r, ledger_client_end_t *out);
 
 typedef struct {
 	str_t caller;
@@ -51,7 +51,7 @@
 			      int64_t retry_after_ms);
 
 /** Counts a request of the service, which adds to the service's retry budget. */
-void ledger_client_count_first(entry_ctx_t *en, str_t service, int percent);
+void ledger_client_count_request(entry_ctx_t *en, str_t service, int percent);
 /** Takes a retry from the service's budget; false if the budget is used up. */
 bool ledger_client_take_retry(entry_ctx_t *en, str_t service);
 
--- a/src/entry/load_exchange.c
+++ b/src/entry/load_exchange.c
@@ -11,7 +11,7 @@
 #define SEND_INTERVAL_MS 100
 #define CALL_TIMEOUT_MS	 500
 #define SCAN_INTERVAL_MS 200
-#define AVOIDED_QUEUE	 64 /* makes the others prefer any other replica */
+#define AVOIDED_QUEUE	 64 /* added to the queue length of a replica that is being emptied */
 #define PEERS_MAX	 1024
 #define STEP_MS		 10
 
@@ -66,7 +66,7 @@
 	return true;
 }
 
-/* Is the peer still a member? */
+/* True if an entry with this RPC address is in the view. */
 static bool is_member(entry_ctx_t *en, const char *addr)
 {
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
@@ -106,6 +106,7 @@
 	free(p);
 }
 
+/* Sends load reports to one peer until it leaves the view. */
 static void *peer_thread(void *arg)
 {
 	peer_t *p = arg;
@@ -148,6 +149,7 @@
 	pthread_detach(t);
 }
 
+/* Starts a peer_thread for each new member. */
 static void *scan_thread(void *arg)
 {
 	entry_ctx_t *en = arg;
--- a/src/entry/local_replica.c
+++ b/src/entry/local_replica.c
@@ -12,9 +12,10 @@
 #include "base/trace.h"
 #include "entry/engine_stream.h"
 
-/* A cancel may overtake its stream's request: it is sent again after so many tokens. */
+/* A cancel may reach the engine before the stream's request and is then ignored: it is repeated
+ * each time so many more tokens have come. */
 #define RESEND_CANCEL_TOKENS 3
-/* Without ownership a stream may wait in the engine's own queue. */
+/* In modes without owners a stream may wait in the engine's own queue. */
 #define UNOWNED_FIRST_TOKEN_MS 30000
 
 struct local_replica {
@@ -31,7 +32,7 @@
 	bool closed;
 	metric_t *step_us;
 	engine_stream_t *streams; /* hash by id */
-	engine_stream_t *ended; /* taken out under the lock, told after it */
+	engine_stream_t *ended; /* ended under the lock; unlock_and_notify calls their sinks */
 };
 
 static atomic_ullong last_stream_id;
@@ -44,6 +45,7 @@
 	return s;
 }
 
+/* Removes a stream from the hash and leaves it to unlock_and_notify. */
 static void move_to_ended(local_replica_t *r, engine_stream_t *s, attempt_outcome_t outcome,
 			  int64_t retry_after_ms)
 {
@@ -65,7 +67,7 @@
 	free(r);
 }
 
-/* Tells the sinks of streams that ended under the lock, which it gives back. */
+/* Releases the lock, then calls the sinks of the streams that ended under it. */
 static void unlock_and_notify(local_replica_t *r)
 {
 	int n = 0;
@@ -113,11 +115,11 @@
 
 	bool failed;
 
-	local_replica_ref(r); /* the stream's own reference ends with it */
+	local_replica_ref(r); /* unlock_and_notify drops the reference of the stream */
 	pthread_mutex_lock(&r->lock);
 	if (s->cancelling && (outcome == ATTEMPT_LOST || outcome == ATTEMPT_STALLED))
 		outcome = s->cancel_outcome;
-	if (outcome == ATTEMPT_REFUSED) /* an old fence, perhaps */
+	if (outcome == ATTEMPT_REFUSED) /* the fence may be outdated */
 		atomic_store(&r->en->view_stale, true);
 	failed = outcome == ATTEMPT_LOST || outcome == ATTEMPT_STALLED ||
 		 outcome == ATTEMPT_CROSSED || outcome == ATTEMPT_UNREACHED;
@@ -131,6 +133,7 @@
 	local_replica_unref(r);
 }
 
+/* Callback of the owner policy, as are preempt_stream and refuse_stream; the lock is held. */
 static void start_stream(void *ctx, uint64_t id)
 {
 	local_replica_t *r = ctx;
@@ -182,7 +185,7 @@
 		move_to_ended(r, s, ATTEMPT_REFUSED, retry_after_ms);
 }
 
-/* Ends streams whose start was not allowed, because the lease is over. */
+/* Ends the streams that start_stream did not start, because the lease had ended. */
 static void end_denied_streams(local_replica_t *r)
 {
 	engine_stream_t *s;
--- a/src/entry/main.c
+++ b/src/entry/main.c
@@ -128,7 +128,7 @@
 	if (args.check)
 		return EXIT_OK;
 	code = serve();
-	/* Detached threads still use what they were given; the process ends here. */
+	/* Detached threads still use `en`, so the process ends without cleaning up. */
 	fflush(NULL);
 	_exit(code);
 }
--- a/src/entry/peer_api.c
+++ b/src/entry/peer_api.c
@@ -14,7 +14,8 @@
 #define NS_PER_MS    1000000
 #define MS_PER_S     1000
 
-/* The stream to the other entry: the replica's callbacks write, the connection's thread reads. */
+/* Event stream to another entry: the replica's callbacks append events, the connection's thread
+ * reads them. */
 typedef struct {
 	atomic_int refs;
 	entry_ctx_t *en;
@@ -79,12 +80,13 @@
 	while (r->events.n == 0 && !r->ended)
 		if (pthread_cond_timedwait(&r->cond, &r->lock, &until) != 0)
 			break;
-	/* A comment shows the other entry that this one lives, and this one that the other does. */
+	/* A comment shows the other entry that this one is alive; writing it detects a closed
+	 * connection. */
 	if (r->events.n == 0 && !r->ended)
 		buf_add(&r->events, STR(":\n\n"));
 }
 
-static ssize_t read_events(void *ctx, uint64_t offset, char *events, size_t max)
+static ssize_t read_events(void *ctx, uint64_t offset, char *out, size_t max)
 {
 	relay_t *r = ctx;
 	size_t n;
@@ -93,7 +95,7 @@
 	wait_for_events(r);
 	n = r->events.n < max ? r->events.n : max;
 	if (n)
-		memcpy(events, r->events.p, n);
+		memcpy(out, r->events.p, n);
 	buf_drop_front(&r->events, n);
 	pthread_mutex_unlock(&r->lock);
 	return n ? (ssize_t)n : (ssize_t)U_STREAM_END;
@@ -162,6 +164,8 @@
 	return v && session && entry_find_member(&v->view, session);
 }
 
+/* Finds the replica if the sender is in the view and the fence is current. An unknown sender means
+ * that the view here is outdated. */
 static local_replica_t *find_local_replica(entry_ctx_t *en, json_t *j)
 {
 	uint64_t fence = (uint64_t)json_integer_value(json_object_get(j, "fence"));
@@ -178,13 +182,13 @@
 {
 	relay_t *r = relay_new(en, replica);
 	attempt_sink_t sink = {r, on_token, on_end};
-	attempt_end_t end = {ATTEMPT_REFUSED, 0, STR("the owner takes no more")};
+	attempt_end_t end = {ATTEMPT_REFUSED, 0, STR("the owner refused the attempt")};
 
 	if (local_replica_offer(replica, params, &sink, &r->stream_id, &end.retry_after_ms) ==
 	    OWNER_REFUSED) {
 		append_end_event(&r->events, &end);
 		r->ended = true;
-		atomic_store(&r->refs, 1); /* the replica holds none */
+		atomic_store(&r->refs, 1); /* no callback will drop the second reference */
 	}
 	u_map_put(res->map_header, "Content-Type", "text/event-stream");
 	ulfius_set_stream_response(res, 200, read_events, close_stream, U_STREAM_SIZE_UNKNOWN,
@@ -207,7 +211,8 @@
 	if (replica && entry_lease_valid(en->snapshot))
 		relay_attempt(en, replica, &params, res);
 	else
-		httpd_error(res, 503, "not_owner", STR("not the owner under this fence"),
+		httpd_error(res, 503, "not_owner",
+			    STR("this entry does not own the replica under this fence"),
 			    VERDICT_NOT_RUN, 1);
 	local_replica_unref(replica);
 	json_decref(j);
--- a/src/entry/peer_api_cancel.c
+++ b/src/entry/peer_api_cancel.c
@@ -29,7 +29,8 @@
 		batch_cancel_job(en->batch, str_c(caller), str_c(job));
 		httpd_json(res, 200, STR("{\"ok\":true}"));
 	} else {
-		httpd_error(res, 403, "not_a_member", STR("not from a member"), VERDICT_NOT_RUN, 0);
+		httpd_error(res, 403, "not_a_member", STR("the sender is not a member"),
+			    VERDICT_NOT_RUN, 0);
 	}
 	json_decref(j);
 	return U_CALLBACK_COMPLETE;
--- a/src/entry/plain_call.c
+++ b/src/entry/plain_call.c
@@ -18,8 +18,8 @@
 #define HTTP_SERVER_ERROR  500
 #define HTTP_UNAVAILABLE   503
 
-/* Commits that an attempt begins; after this only this process may send, and only once. Goes on
- * past the call's deadline, because the record must not stay as it is. */
+/* Commits that an attempt starts, after which only this process may send the call, and only once.
+ * Retries past the call's deadline, because the record must not stay open. */
 static status_t commit_attempt(entry_ctx_t *en, const plain_call_t *c, uint64_t token)
 {
 	deadline_t until = clock_now_ms() + COMMIT_DEADLINE_MS;
@@ -85,7 +85,7 @@
 				 v == VERDICT_NOT_RUN ? RETRY_AFTER_MS : 0);
 }
 
-/* The verdict of one sent call. True if it ended; false if it surely did not run. */
+/* Sets *end from the result of one attempt and returns true; false if the call did not run. */
 static bool classify_result(const plain_call_t *c, fetch_result_t result, int status,
 			    plain_call_end_t *end)
 {
@@ -96,7 +96,7 @@
 			   STR("the service's answer was lost: the call may have run"));
 		return true;
 	}
-	/* 503 is a refusal by the service: it says that it did not run the call. */
+	/* With 503 a service states that it did not run the call. */
 	if (status == HTTP_UNAVAILABLE)
 		return false;
 	end->done = true;
@@ -105,6 +105,7 @@
 	return true;
 }
 
+/* True if the call may be sent again: attempts, deadline, verdict and retry budget allow it. */
 static bool may_retry(entry_ctx_t *en, const plain_call_t *c, const plain_call_end_t *end,
 		      int *nattempts)
 {
@@ -144,21 +145,21 @@
 	} while (may_retry(en, c, end, &nattempts));
 }
 
-/* What stands in the ledger is what every resend is told, so it is told now too. */
-static void adopt_stored_end(plain_call_end_t *end, ledger_client_end_t *standing)
+/* Every retry gets the end that the ledger holds, so this call replies with it too. */
+static void adopt_stored_end(plain_call_end_t *end, ledger_client_end_t *stored)
 {
-	end->done = standing->done;
-	end->http_status = standing->http_status;
-	end->verdict = standing->verdict;
+	end->done = stored->done;
+	end->http_status = stored->http_status;
+	end->verdict = stored->verdict;
 	end->code = "ended_elsewhere";
 	buf_free(&end->result);
-	end->result = standing->result;
+	end->result = stored->result;
 }
 
 status_t plain_call_run(entry_ctx_t *en, const plain_call_t *c, plain_call_end_t *end)
 {
 	ledger_client_finish_t f = {.caller = c->caller, .key = c->key};
-	ledger_client_end_t standing = {0};
+	ledger_client_end_t stored = {0};
 	status_t st = STATUS_OK;
 
 	if (!c->repeatable)
@@ -173,17 +174,17 @@
 	f.verdict = end->verdict;
 	f.http_status = end->http_status;
 	f.result = str_buf(&end->result);
-	st = ledger_client_finish(en, &f, &standing);
+	st = ledger_client_finish(en, &f, &stored);
 	if (st == STATUS_OK)
 		return STATUS_OK;
 	if (st == STATUS_CONFLICT) {
-		adopt_stored_end(end, &standing);
+		adopt_stored_end(end, &stored);
 		return STATUS_OK;
 	}
 	log_event(LOG_LEVEL_ERROR, "result_not_committed", LOG_STR("key", c->key),
 		  LOG_CSTR("status", status_name(st)));
 	if (end->verdict != VERDICT_NOT_RUN)
 		set_failed(end, 503, VERDICT_MAY_HAVE_RUN, "result_not_committed",
-			   STR("the result could not be stored yet: ask again under the same key"));
+			   STR("the result is not committed yet: retry with the same key"));
 	return STATUS_OK;
 }
--- a/src/entry/probe.c
+++ b/src/entry/probe.c
@@ -7,12 +7,12 @@
 #define GET_TIMEOUT_MS	  500
 #define URL_BYTES	  256
 #define STATE_INTERVAL_MS 500
-#define ORDER_SETTLE_MS	  1500 /* an order of the last owner may still be on its way */
+#define ORDER_SETTLE_MS	  1500 /* an order of the previous owner may still arrive */
 #define HTTP_OK		  200
 
 typedef struct {
 	entry_ctx_t *en;
-	entry_config_t *conf;
+	entry_config_t *config;
 	probe_replica_t *replicas;
 } probe_t;
 
@@ -30,6 +30,7 @@
 	return json_loadb(body.p ? body.p : "", body.n, 0, NULL);
 }
 
+/* Returns the state of a replica, reset if its fence has changed. */
 static probe_replica_t *get_replica(probe_t *p, const upstream_info_t *info,
 				    const config_service_t *s)
 {
@@ -69,7 +70,7 @@
 {
 	probe_t *p = ctx;
 	entry_ctx_t *en = p->en;
-	const config_service_t *s = config_find_service(p->conf->config, str_c(info->service));
+	const config_service_t *s = config_find_service(p->config->config, str_c(info->service));
 	probe_replica_t *r;
 
 	if (!info->replica || !s || info->state != WIRE_UPSTREAM_LIVE)
@@ -81,7 +82,7 @@
 	if (en->settings.mode == ENTRY_MODE_OWNER && s->model &&
 	    clock_now_ms() >= r->next_state_read && clock_now_ms() >= r->orders_from) {
 		r->next_state_read = clock_now_ms() + STATE_INTERVAL_MS;
-		probe_send_orders(en, info, p->conf, s, r);
+		probe_send_orders(en, info, p->config, s, r);
 	}
 	return true;
 }
@@ -91,10 +92,10 @@
 	probe_t p = {.en = arg};
 
 	for (;;) {
-		p.conf = entry_config_get(p.en->snapshot);
-		if (p.conf && entry_lease_valid(p.en->snapshot))
+		p.config = entry_config_get(p.en->snapshot);
+		if (p.config && entry_lease_valid(p.en->snapshot))
 			upstream_each(p.en->upstreams, probe_upstream, &p);
-		entry_config_put(p.conf);
+		entry_config_put(p.config);
 		clock_sleep_ms(ROUND_INTERVAL_MS);
 	}
 	return NULL;
--- a/src/entry/probe_orders.c
+++ b/src/entry/probe_orders.c
@@ -18,6 +18,7 @@
 	return strcmp(have, want ? want : "") == 0;
 }
 
+/* True if the list contains the service's model, version and adapter. */
 static bool lists_model(json_t *list, const config_service_t *s)
 {
 	for (size_t i = 0; i < json_array_size(list); i++) {
@@ -31,10 +32,10 @@
 	return false;
 }
 
-/* This entry's part of the weight store's rate. */
+/* Limits this entry to its share of the rate at which engines may load weights from the store. */
 static bool take_load_permit(entry_ctx_t *en, const entry_config_t *c)
 {
-	static deadline_t next; /* used by the probe thread only */
+	static deadline_t next; /* used by probe_thread only */
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
 	int64_t entries = v && v->view.members.members_len ? v->view.members.members_len : 1;
 	int64_t rate = c->config->weight_loads_per_min;
--- a/src/entry/upstream.c
+++ b/src/entry/upstream.c
@@ -7,7 +7,7 @@
 #include "base/log.h"
 #include "base/metric.h"
 
-#define ALONE_SLOTS    4096 /* ways without owners keep no exact count */
+#define ALONE_SLOTS    4096 /* modes without owners: the engine limits the streams, not this entry */
 #define ALONE_QUEUE    0
 #define QUEUE_PER_SLOT 16
 #define DEFAULT_SLOTS  8
@@ -52,6 +52,7 @@
 	return u;
 }
 
+/* Scheduling policy of a replica by the service's config and the entry's mode. */
 static owner_options_t make_policy(const entry_ctx_t *en, const config_service_t *s,
 				   unsigned entries)
 {
@@ -104,7 +105,8 @@
 		  LOG_INT("fence", a->fence));
 }
 
-/* Returns the owner to be closed, if there is one. */
+/* Updates an upstream from the view. Returns the replica to close if this entry no longer
+ * dispatches to it, else NULL. */
 static local_replica_t *apply_upstream(upstream_t *u, const wire_upstream_t *a,
 				       const config_service_t *s, const wire_view_t *v)
 {
@@ -157,6 +159,7 @@
 	return false;
 }
 
+/* Stops dispatching to upstreams that are no longer in the view. */
 static void close_gone(upstream_table_t *t, const wire_view_t *v)
 {
 	for (size_t i = 0; i < t->n; i++) {
--- a/src/entry/upstream.h
+++ b/src/entry/upstream.h
@@ -14,8 +14,8 @@
 /** Updates the table to the current view and config: starts and stops dispatching to replicas.
  * Called by the control thread only. */
 void upstream_apply_view(upstream_table_t *t);
-/** Stops dispatching to all replicas, after the loss of the lease. Running online streams may end.
- */
+/** Stops dispatching to all replicas, after the loss of the lease. Running online streams go on,
+ *  batch streams only unless cancel_batch. */
 void upstream_close_owned(upstream_table_t *t, bool cancel_batch);
 
 /** One upstream as passed to a visitor; strings are never freed. */
@@ -65,17 +65,17 @@
 /** Free batch slots by the engine's last report, less the streams sent since (modes without
  * owners).
  */
-unsigned upstream_reported_headroom(upstream_t *u, unsigned kept);
+unsigned upstream_reported_headroom(upstream_t *u, unsigned reserved_slots);
 /** Until then other replicas are preferred, because this one is being emptied. */
 void upstream_avoid(upstream_t *u, deadline_t until);
 bool upstream_is_avoided(upstream_t *u);
 /** Counts a stream sent since the last load report. */
 void upstream_count_sent(upstream_t *u);
-/** Replace, change or clear the known content of the replica's prefix cache. */
+/** Replace, change or clear the list of prefixes that the replica has cached. */
 void upstream_set_prefixes(upstream_t *u, const uint64_t *hashes, size_t n);
 void upstream_update_prefix(upstream_t *u, uint64_t hash, bool added);
 void upstream_clear_prefixes(upstream_t *u);
-/** Sets *out to a malloc'ed copy of the known prefixes and returns their number. */
+/** Sets *out to a malloc'ed copy of the cached prefixes and returns their number. */
 size_t upstream_copy_prefixes(upstream_t *u, uint64_t **out);
 /** Hash of the leading part of a prompt, by which engines cache. */
 uint64_t upstream_prefix_hash(str_t prompt);
--- a/src/entry/upstream_pick.c
+++ b/src/entry/upstream_pick.c
@@ -35,6 +35,7 @@
 	return u->breaker.state == RETRY_BREAKER_CLOSED || u->breaker.probe_at_ms <= now_ms;
 }
 
+/* The exact state of a local replica replaces the last report. */
 static void fill_from_local(upstream_t *u, balance_candidate_t *c, int64_t now_ms)
 {
 	owner_stats_t st;
@@ -99,6 +100,7 @@
 	pthread_rwlock_unlock(&t->lock);
 }
 
+/* Asks the breaker to let a request through and fills *out; false if the breaker refuses. */
 static bool claim_choice(upstream_t *u, int64_t now_ms, upstream_choice_t *out)
 {
 	bool ok;
@@ -141,7 +143,7 @@
 	return found;
 }
 
-/* Time until a stream offered to the replica would give its first token. */
+/* Estimated time to the first token of a new stream; 0 if unknown, INT64_MAX if unusable. */
 static int64_t estimate_wait_ms(upstream_t *u, int64_t now_ms)
 {
 	balance_candidate_t c = make_candidate(u, 0, now_ms);
@@ -237,16 +239,16 @@
 	pthread_mutex_unlock(&u->lock);
 }
 
-unsigned upstream_reported_headroom(upstream_t *u, unsigned kept)
+unsigned upstream_reported_headroom(upstream_t *u, unsigned reserved_slots)
 {
-	int room;
+	int headroom;
 
 	pthread_mutex_lock(&u->lock);
-	room = u->report.free_slots - u->report.sent_since_report - (int)kept;
+	headroom = u->report.free_slots - u->report.sent_since_report - (int)reserved_slots;
 	if (u->report.reported_at + REPORT_FRESH_MS < clock_now_ms())
-		room = 0;
+		headroom = 0;
 	pthread_mutex_unlock(&u->lock);
-	return room > 0 ? (unsigned)room : 0;
+	return headroom > 0 ? (unsigned)headroom : 0;
 }
 
 void upstream_avoid(upstream_t *u, deadline_t until)
