--- a/src/entry/addresses.h
+++ b/src/entry/addresses.h
@@ -4,7 +4,8 @@
 
 #include "entry/httpd.h"
 
-/** Handles GET /v1/addresses: entries that are not draining, those of the asked zone first. */
+/** Handles GET /v1/addresses: entries that are not draining, first those of the zone in the query,
+ * by default of this entry's zone. */
 int addresses_get(const struct _u_request *req, struct _u_response *res, void *en);
 /** Appends "addr, addr, ..." of the other entries that are not draining, own zone first. */
 void addresses_list_others(entry_ctx_t *en, buf_t *out);
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -28,11 +28,11 @@
 	ATTEMPT_REFUSED, /* by the owner or the engine; not run */
 	ATTEMPT_UNREACHED, /* no connection to the engine or the owner; not run */
 	ATTEMPT_REJECTED, /* the engine answered that the request is invalid */
-	ATTEMPT_LOST, /* the stream broke; the next attempt resumes after the tokens received */
-	ATTEMPT_STALLED, /* no token within the stall timeout */
+	ATTEMPT_LOST, /* the stream broke or was invalid; its tokens count */
+	ATTEMPT_STALLED, /* no token from the engine, or nothing from the owner, in time */
 	ATTEMPT_CROSSED, /* the engine sent tokens of another attempt */
 	ATTEMPT_PREEMPTED, /* cancelled to free a slot for another stream */
-	ATTEMPT_CANCELLED,
+	ATTEMPT_CANCELLED, /* by local_replica_cancel */
 	ATTEMPT_OUTCOMES /* number of outcomes */
 } attempt_outcome_t;
 
@@ -42,15 +42,15 @@
 	str_t message;
 } attempt_end_t;
 
-/** Callbacks of an attempt. They run one at a time, on the HTTP client's thread or on the thread
- *  that starts or cancels the attempt, and must not block. */
+/** Callbacks of an attempt. They run one at a time and must not block: on the HTTP client's thread,
+ * or within a call to the local replica (offer, cancel, tick, close). */
 typedef struct {
 	void *ctx;
 	void (*on_token)(void *ctx, unsigned index, str_t text);
 	void (*on_end)(void *ctx, const attempt_end_t *end); /* called once, after the last token */
 } attempt_sink_t;
 
-const char *attempt_outcome_name(attempt_outcome_t k);
+const char *attempt_outcome_name(attempt_outcome_t outcome);
 /** Returns ATTEMPT_OUTCOMES if no outcome has this name. */
 attempt_outcome_t attempt_outcome_parse(str_t name);
 
--- a/src/entry/attempt_start.c
+++ b/src/entry/attempt_start.c
@@ -128,8 +128,8 @@
 	fetch_start(en->fetch_client, &call);
 }
 
-/* In mode alone_cancel an online stream takes a batch stream's slot if the engine reports none
- * free. */
+/* In mode alone_cancel the newest batch stream is preempted if no free slot is known: by the last
+ * load report less the streams sent since, this one included, or because the report is too old. */
 static void preempt_if_full(entry_ctx_t *en, const upstream_choice_t *c)
 {
 	if (en->settings.mode == ENTRY_MODE_ALONE_CANCEL &&
--- a/src/entry/attempt_start.h
+++ b/src/entry/attempt_start.h
@@ -1,5 +1,5 @@
 /** Starts an attempt on a chosen replica: in this entry if it dispatches to the replica, else by
- *  HTTP at the replica's owner. */
+ * HTTP at the replica's owner. */
 #ifndef AUBURN_ATTEMPT_START_H
 #define AUBURN_ATTEMPT_START_H
 
@@ -13,7 +13,7 @@
 } attempt_handle_t;
 
 /** Starts the attempt. sink->on_end is called exactly once, possibly before attempt_start returns.
- *  The caller releases *out with attempt_release. */
+ * The caller releases *out with attempt_release. */
 void attempt_start(entry_ctx_t *en, const upstream_choice_t *choice, const attempt_params_t *params,
 		   const attempt_sink_t *sink, attempt_handle_t *out);
 void attempt_release(attempt_handle_t *h);
--- a/src/entry/batch_feed.c
+++ b/src/entry/batch_feed.c
@@ -20,8 +20,9 @@
 }
 
 /* True if the item may be offered to the replica now. An item that must run alone is offered to one
- * replica repeatedly whatever its headroom: each offer makes the owner empty the replica further. A
- * request whose entry was lost needs no batch headroom, because it is queued like an online one. */
+ * replica repeatedly whatever its headroom: after each refused offer the owner starts no other
+ * batch stream for a while and batch_item_run preempts one, which empties the replica. A request
+ * whose entry was lost needs no batch headroom, because it is queued like an online one. */
 static bool may_offer(const batch_item_t *it, const upstream_t *u, bool has_headroom, int64_t now)
 {
 	if (it->not_before > now)
--- a/src/entry/batch_internal.h
+++ b/src/entry/batch_internal.h
@@ -30,10 +30,10 @@
 	deadline_t reserved_until;
 	bool repeatable;
 	deadline_t deadline;
-	deadline_t not_before; /* not offered to a replica earlier */
+	deadline_t not_before; /* the item is offered to no replica before this time */
 	buf_t text; /* tokens received; the next attempt resumes after them */
 	unsigned ntokens;
-	int resumes; /* attempts that followed a stalled or crossed stream */
+	int resumes; /* stalled or crossed attempts so far */
 	bool cancelled;
 	bool key_held; /* the key is in the inflight table; requests only */
 	local_replica_t *replica; /* a reference, while the item runs */
@@ -49,11 +49,12 @@
 	char *name;
 	unsigned headroom; /* free batch slots, as of the last feed pass */
 	unsigned slots; /* of all local replicas, as of the last feed pass */
-	bool plain; /* a plain service: its calls need no slot */
+	bool plain; /* not a model engine: its calls need no slot */
 	unsigned waiting; /* items in the waiting list */
 	deadline_t next_lease[BATCH_GROUPS_MAX + 1];
 	int64_t backoff_ms[BATCH_GROUPS_MAX + 1];
-	uint64_t lease_seq[BATCH_GROUPS_MAX + 1]; /* last lease answered in this session */
+	uint64_t lease_seq[BATCH_GROUPS_MAX +
+			   1]; /* number of the last lease answered in this session */
 } batch_service_t;
 
 struct batch_runner {
@@ -85,8 +86,7 @@
 /** Adds the item to the waiting list. The caller holds the lock. */
 void batch_item_enqueue(batch_runner_t *b, batch_item_t *it);
 /** Passes the item with its result to its group's thread, to be committed. The caller holds the
- * lock.
- */
+ * lock. */
 void batch_item_finish(batch_runner_t *b, batch_item_t *it, bool done, wire_blame_t blame,
 		       str_t result);
 
--- a/src/entry/batch_item.c
+++ b/src/entry/batch_item.c
@@ -8,7 +8,8 @@
 #include "base/metric.h"
 #include "entry/ledger_client.h"
 
-#define FAULT_RESUMES_MAX 3 /* then the replica is blamed */
+/* Resumes after a stalled or crossed attempt before the replica is blamed. */
+#define FAULT_RESUMES_MAX 3
 #define RETRY_PAUSE_MS	  50
 #define RETRY_ALONE_MS	  10
 #define RESERVE_MS	  10000
@@ -179,8 +180,9 @@
 	local_replica_unref(replica);
 }
 
-/* A request whose entry was lost has a caller waiting, so it runs in the online class with a
- * deadline of its own, unless it must run alone. */
+/* A request whose entry was lost has a caller waiting: each attempt gets a new deadline,
+ * ORPHAN_TIMEOUT_MS from now, and runs in the online class, or in the batch class if it must run
+ * alone. */
 static attempt_params_t make_params(const batch_item_t *it)
 {
 	AUTO_ENTRY_CONFIG *c = entry_config_get(it->b->en->snapshot);
@@ -201,8 +203,8 @@
 				  .trace = str_c(it->trace)};
 }
 
-/* Reserves the replica for an item that must run alone: other work avoids the replica until the
- * item has run or RESERVE_MS have passed. */
+/* Reserves the replica for an item that must run alone: other work avoids the replica until an
+ * attempt of the item ends or RESERVE_MS have passed. */
 static void reserve_replica(batch_item_t *it, upstream_t *u)
 {
 	if (!it->alone || (it->reserved == u && it->reserved_until > clock_now_ms()))
--- a/src/entry/batch_lease.c
+++ b/src/entry/batch_lease.c
@@ -91,8 +91,9 @@
 			  LOG_CSTR("service", service));
 	pthread_mutex_lock(&b->lock);
 	b->held++;
-	/* If the caller's own call runs here already, the lease goes back to the ledger, which
-	 * offers the request again in case that call fails. */
+	/* If a request with this key runs here already, the item is returned to the ledger. The
+	 * ledger leases it out again until the running request has committed its end, so that it is
+	 * not lost if the running request fails. */
 	if (it->job[0] == 0 && !it->key_held)
 		batch_item_finish(b, it, false, WIRE_BLAME_NONE,
 				  STR("already running in this entry"));
@@ -168,8 +169,8 @@
 	return name;
 }
 
-/* Backs off while a service has no items to lease. Plain services are polled at a fixed interval.
- */
+/* Backs off while a service has no items to lease. Plain services are polled at a fixed
+ * interval. */
 static void schedule_next_lease(batch_group_t *g, size_t i, unsigned leased)
 {
 	batch_service_t *s = &g->b->services[i];
--- a/src/entry/completion.c
+++ b/src/entry/completion.c
@@ -11,9 +11,9 @@
 #include "entry/inflight.h"
 #include "policy/retry.h"
 
-#define TRIED_MAX	   8
-#define LOST_REPLICAS_MAX  3 /* replicas a request may lose before it fails */
-#define REFUSALS_MAX	   3 /* refusals for lack of time before the request fails */
+#define TRIED_MAX	   8 /* replicas that the next pick leaves out */
+#define LOST_REPLICAS_MAX  3 /* the request fails when it has lost this many replicas */
+#define REFUSALS_MAX	   3 /* or after so many refusals for lack of time, unless it has tokens */
 #define PICK_PAUSE_MS	   20
 #define RESUME_TIMEOUT_MS  30000 /* to place the next attempt once the caller has tokens */
 #define THREAD_STACK_BYTES (256 << 10)
@@ -54,7 +54,7 @@
 	int nrefused;
 };
 
-/* Context of an attempt's callbacks. A late callback of an earlier attempt does nothing, because
+/* Context of an attempt's callbacks. A late callback of an earlier attempt changes nothing, because
  * its number differs from completion.attempt. */
 typedef struct {
 	completion_t *r;
@@ -181,8 +181,8 @@
 					    .retry_after_ms = retry_after_ms};
 }
 
-/* Fails the request because no replica took it. It may have run if an earlier attempt got tokens or
- * lost its replica. */
+/* Fails the request with code no_replica. The request may have run if an earlier attempt got tokens
+ * or lost its replica. */
 static void fail_without_replica(completion_t *r, str_t message, int64_t retry_after_ms)
 {
 	verdict_t v = r->ntokens || r->nlost ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
@@ -344,8 +344,8 @@
 	ledger_client_end_t stored = {0};
 	status_t st;
 
-	/* Under a new session another entry may run the request, so a failure here is not its end.
-	 */
+	/* Under a new session another entry may run the request, so a failure here is not its
+	 * end. */
 	if (!r->outcome.ok && entry_session(r->en->snapshot) != r->session) {
 		fail_session_lost(r);
 		return;
--- a/src/entry/engine_stream.c
+++ b/src/entry/engine_stream.c
@@ -94,8 +94,7 @@
 	return !s->aborted;
 }
 
-/* Outcome of a response without a complete stream. An engine refuses an outdated
- * fence with 409. */
+/* Outcome of a response without a complete stream. An engine refuses an outdated fence with 409. */
 static attempt_outcome_t outcome_of_status(int status)
 {
 	if (status == HTTP_OK)
--- a/src/entry/engine_stream.h
+++ b/src/entry/engine_stream.h
@@ -1,5 +1,5 @@
-/** A stream on an engine: sends the request, checks the events against the attempt, sends cancels.
- */
+/** A stream on an engine: sends the request, checks the events against the attempt, sends
+ * cancels. */
 #ifndef AUBURN_ENGINE_STREAM_H
 #define AUBURN_ENGINE_STREAM_H
 
@@ -60,7 +60,7 @@
 void engine_stream_free(engine_stream_t *s);
 void engine_stream_start(const engine_stream_options_t *o, engine_stream_t *s);
 /** Asks the engine to cancel the stream. The engine then closes the stream's connection, which ends
- *  the stream. */
+ * the stream. */
 void engine_stream_cancel(fetch_client_t *client, const char *addr, const engine_stream_t *s);
 
 #endif
--- a/src/entry/entry_drain.h
+++ b/src/entry/entry_drain.h
@@ -5,7 +5,7 @@
 #include "entry/entry.h"
 
 /** Serves on until callers have switched to other entries and running work has ended, within time
- *  limits. */
+ * limits. */
 void entry_drain(entry_ctx_t *en);
 
 #endif
--- a/src/entry/entry_settings.h
+++ b/src/entry/entry_settings.h
@@ -7,8 +7,7 @@
 #include "policy/owner.h"
 
 /** How the entry dispatches to replicas. All but ENTRY_MODE_OWNER exist for comparison in
- * benchmarks.
- */
+ * benchmarks. */
 typedef enum {
 	ENTRY_MODE_OWNER, /* each replica has one owner; the other entries forward to the owner */
 	ENTRY_MODE_ALONE, /* each entry dispatches to every replica, by the engines' load reports */
--- a/src/entry/entry_snapshot.h
+++ b/src/entry/entry_snapshot.h
@@ -36,8 +36,8 @@
 #define AUTO_ENTRY_VIEW	  __attribute__((cleanup(entry_view_cleanup))) entry_view_t
 
 /** Publish a newer config or view. STATUS_CONFLICT if its number is not higher than the current
- * one's. On success both take over the contents of the message. */
-status_t entry_config_publish(entry_snapshot_t *s, wire_config_t *conf);
+ * one's; a config must also be valid. On success both take over the contents of the message. */
+status_t entry_config_publish(entry_snapshot_t *s, wire_config_t *msg);
 status_t entry_view_publish(entry_snapshot_t *s, wire_view_t *view);
 uint64_t entry_config_number(entry_snapshot_t *s);
 uint64_t entry_view_version(entry_snapshot_t *s);
--- a/src/entry/fetch.c
+++ b/src/entry/fetch.c
@@ -49,11 +49,11 @@
 	return type && strncmp(type, "text/event-stream", strlen("text/event-stream")) == 0;
 }
 
-static bool on_sse_event(void *ctx, const sse_event_t *client)
+static bool on_sse_event(void *ctx, const sse_event_t *event)
 {
 	call_t *c = ctx;
 
-	return !client->has_data || c->options.on_event(c->options.ctx, client->name, client->data);
+	return !event->has_data || c->options.on_event(c->options.ctx, event->name, event->data);
 }
 
 static size_t on_response_bytes(char *p, size_t size, size_t n, void *ctx)
--- a/src/entry/fetch.h
+++ b/src/entry/fetch.h
@@ -31,11 +31,10 @@
 	const char *url;
 	str_t body;
 	const char *const *headers; /* "Name: value", terminated by NULL; may be NULL */
-	int64_t silence_timeout_ms; /* longest time without a byte; 0 = no limit */
-	int64_t first_byte_timeout_ms; /* the same before the first byte; 0 = silence_timeout_ms */
+	int64_t silence_timeout_ms; /* without a byte of the response body; 0 = no limit */
+	int64_t first_byte_timeout_ms; /* the same until the first byte; 0 = silence_timeout_ms */
 	deadline_t deadline; /* 0 = none */
-	bool new_connection; /* uses a new connection, so that libcurl never sends the request twice
-			      */
+	bool new_connection; /* so that libcurl never sends the request twice */
 	void *ctx;
 	/** Called for each server-sent event; false ends the call. May be NULL. */
 	bool (*on_event)(void *ctx, str_t name, str_t data);
--- a/src/entry/filter.h
+++ b/src/entry/filter.h
@@ -20,7 +20,7 @@
 	str_t upstream_path; /* path to call at the upstream */
 	char key[136];
 	uint64_t digest;
-	deadline_t deadline;
+	deadline_t deadline; /* of the first token of a completion, of the answer of a plain call */
 	trace_span_t span;
 	bool admitted; /* counted by admission_enter */
 	bool key_held; /* this call registered the idempotency key; else another call here runs the
@@ -43,8 +43,8 @@
 
 /** Replies with the stored end of a request. */
 void filter_replay(filter_call_t *c, const wire_record_t *r);
-/** Waits for the end of a request that runs elsewhere, at most until the call's deadline, and
- * replies with it. */
+/** Waits for the end of a request that runs elsewhere and replies with it; 409 if it has not ended
+ * by the call's deadline or within 30 s. */
 void filter_await_end(filter_call_t *c);
 
 /* The filters, in filter_*.c */
--- a/src/entry/filter_idempotency.c
+++ b/src/entry/filter_idempotency.c
@@ -9,7 +9,7 @@
 {
 	str_t key = httpd_header(c->req, "Idempotency-Key");
 
-	if (key.n >= sizeof(c->key) || (key.n && !httpd_key_valid(key))) {
+	if (key.n >= sizeof(c->key) || (key.n && !httpd_token_valid(key))) {
 		filter_refuse(c, 400, "bad_key",
 			      STR("Idempotency-Key is too long or not printable ASCII"), 0);
 		return false;
--- a/src/entry/filter_match.c
+++ b/src/entry/filter_match.c
@@ -58,7 +58,7 @@
 		return;
 	}
 	c->upstream_path = str_c(*rest ? rest : "/");
-	if (c->upstream_path.n > UPSTREAM_PATH_MAX_BYTES || !httpd_key_valid(c->upstream_path)) {
+	if (c->upstream_path.n > UPSTREAM_PATH_MAX_BYTES || !httpd_token_valid(c->upstream_path)) {
 		filter_refuse(c, 400, "bad_path",
 			      STR("the path is too long or not printable ASCII"), 0);
 		return;
--- a/src/entry/heartbeat.c
+++ b/src/entry/heartbeat.c
@@ -41,7 +41,7 @@
 	log_event(LOG_LEVEL_INFO, "session_opened", LOG_INT("session", session),
 		  LOG_INT("was", s->session));
 	if (s->session)
-		upstream_close_owned(s->en->upstreams, true);
+		upstream_close_local(s->en->upstreams, true);
 	s->session = session;
 }
 
@@ -135,7 +135,7 @@
 	if (s->was_valid && !valid) {
 		log_event(LOG_LEVEL_WARN, "lease_lost", LOG_INT("session", s->session));
 		METRIC_INC("auburn_leases_lost_total");
-		upstream_close_owned(s->en->upstreams, true);
+		upstream_close_local(s->en->upstreams, true);
 	} else if (!s->was_valid && valid) {
 		log_event(LOG_LEVEL_INFO, "lease_held", LOG_INT("session", s->session));
 	}
--- a/src/entry/httpd.c
+++ b/src/entry/httpd.c
@@ -102,7 +102,7 @@
 	return ms > TIMEOUT_MAX_MS ? TIMEOUT_MAX_MS : ms;
 }
 
-bool httpd_key_valid(str_t key)
+bool httpd_token_valid(str_t key)
 {
 	for (size_t i = 0; i < key.n; i++) {
 		if (key.p[i] <= ' ' || key.p[i] > '~')
--- a/src/entry/httpd.h
+++ b/src/entry/httpd.h
@@ -26,9 +26,9 @@
 int64_t httpd_int(str_t s, int64_t fallback);
 /** Parses a timeout in ms and clamps it to 0..1 year; `fallback` if absent or malformed. */
 int64_t httpd_timeout_ms(str_t s, int64_t fallback);
-/** True if a key, job id or path is non-empty printable ASCII without spaces, so that it may stand
- * in JSON, logs and paths. */
-bool httpd_key_valid(str_t key);
+/** True if a key, job id or path is non-empty printable ASCII without spaces, so that it can't
+ * break a header, a request line or a log line. JSON still needs escaping. */
+bool httpd_token_valid(str_t key);
 str_t httpd_body(const struct _u_request *req);
 
 int httpd_reply(struct _u_response *res, int status, const char *type, str_t body);
@@ -39,7 +39,8 @@
 /** Replies with an error body that is already JSON, such as a stored one. */
 int httpd_error_json(struct _u_response *res, int status, str_t body, int64_t retry_after_ms);
 
-/** Sets *name to the holder of the bearer key, or replies 401 and returns false. */
+/** Sets *name to the caller or operator whose bearer key the request has; else replies 401 and
+ * returns false. */
 bool httpd_auth_caller(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res,
 		       str_t *name);
 bool httpd_auth_operator(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res,
--- a/src/entry/job_api_submit.c
+++ b/src/entry/job_api_submit.c
@@ -252,7 +252,7 @@
 
 	if (!httpd_auth_caller(p.en, req, res, &p.caller) || !httpd_check_body_size(p.en, req, res))
 		return U_CALLBACK_COMPLETE;
-	if (key.n >= sizeof(p.id) || !httpd_key_valid(key))
+	if (key.n >= sizeof(p.id) || !httpd_token_valid(key))
 		return httpd_error(res, 400, "key_required",
 				   STR("a job needs an Idempotency-Key in printable ASCII"),
 				   VERDICT_NOT_RUN, 0);
--- a/src/entry/ledger_client.c
+++ b/src/entry/ledger_client.c
@@ -21,8 +21,8 @@
 static service_budget_t budgets[SERVICES_MAX];
 static size_t nbudgets;
 
-/* A result stored by an entry is a complete reply; the ledger itself stores a reason as plain text.
- */
+/* A result stored by an entry is a complete reply; the ledger itself stores a reason as plain
+ * text. */
 void ledger_client_read_end(const wire_record_t *r, ledger_client_end_t *out)
 {
 	str_t result = wire_str(r->result);
--- a/src/entry/ledger_client.h
+++ b/src/entry/ledger_client.h
@@ -22,8 +22,8 @@
 } ledger_client_end_t;
 
 /** Commits the end of a request; retries until the ledger answers or a long deadline has passed.
- *  STATUS_CONFLICT: the ledger holds another end, which is copied to *stored; the caller frees
- * its result. */
+ * STATUS_CONFLICT: the ledger holds another end, which is copied to *stored; the caller frees its
+ * result. */
 status_t ledger_client_finish(entry_ctx_t *en, const ledger_client_finish_t *f,
 			      ledger_client_end_t *stored);
 /** Copies the end from a final record; the caller frees the result. */
@@ -50,9 +50,10 @@
 void ledger_client_error_json(buf_t *out, const char *code, str_t message, verdict_t verdict,
 			      int64_t retry_after_ms);
 
-/** Counts a request of the service, which adds to the service's retry budget. */
+/** Counts a request of the service: adds `percent` of a retry to the service's retry budget. */
 void ledger_client_count_request(entry_ctx_t *en, str_t service, int percent);
-/** Takes a retry from the service's budget; false if the budget is used up. */
+/** Takes a retry from the service's budget; false if the budget is used up, or if this entry has
+ * not counted a request of the service yet. */
 bool ledger_client_take_retry(entry_ctx_t *en, str_t service);
 
 #endif
--- a/src/entry/load_exchange.c
+++ b/src/entry/load_exchange.c
@@ -150,7 +150,7 @@
 }
 
 /* Starts a peer_thread for each new member. */
-static void *scan_thread(void *arg)
+static void *watch_members_thread(void *arg)
 {
 	entry_ctx_t *en = arg;
 
@@ -185,7 +185,7 @@
 
 	if (st != STATUS_OK)
 		return st;
-	if (pthread_create(&t, NULL, scan_thread, en) != 0)
+	if (pthread_create(&t, NULL, watch_members_thread, en) != 0)
 		abort();
 	pthread_detach(t);
 	return STATUS_OK;
--- a/src/entry/load_exchange.h
+++ b/src/entry/load_exchange.h
@@ -1,6 +1,5 @@
 /** Load reports between entries: each entry sends the load of the replicas that it owns to all
- * others.
- */
+ * others. */
 #ifndef AUBURN_LOAD_EXCHANGE_H
 #define AUBURN_LOAD_EXCHANGE_H
 
--- a/src/entry/local_replica.c
+++ b/src/entry/local_replica.c
@@ -25,7 +25,7 @@
 	char *addr;
 	uint64_t fence;
 	void *ctx;
-	void (*health)(void *ctx, bool ok);
+	void (*on_health)(void *ctx, bool ok);
 	pthread_mutex_t lock; /* guards all below */
 	int64_t stall_ms;
 	owner_t *owner;
@@ -106,7 +106,7 @@
 	unlock_and_notify(r);
 	s->sink.on_token(s->sink.ctx, index, text);
 	if (step_us == 0)
-		r->health(r->ctx, true);
+		r->on_health(r->ctx, true);
 }
 
 static void on_stream_end(void *ctx, engine_stream_t *s, attempt_outcome_t outcome)
@@ -129,7 +129,7 @@
 	move_to_ended(r, s, outcome, 0);
 	unlock_and_notify(r);
 	if (failed)
-		r->health(r->ctx, false);
+		r->on_health(r->ctx, false);
 	local_replica_unref(r);
 }
 
@@ -228,7 +228,7 @@
 	r->fence = o->fence;
 	r->stall_ms = o->stall_ms;
 	r->ctx = o->ctx;
-	r->health = o->on_health;
+	r->on_health = o->on_health;
 	pthread_mutex_init(&r->lock, NULL);
 	r->step_us = metric_get(METRIC_HISTOGRAM, "auburn_step_us", NULL);
 	r->owner = owner_new(&policy, clock_now_ms());
--- a/src/entry/local_replica.h
+++ b/src/entry/local_replica.h
@@ -31,7 +31,7 @@
 uint64_t local_replica_fence(const local_replica_t *r);
 
 /** Offers an attempt to the replica: started, queued or refused. Unless refused, sink->on_end is
- *  called once. Strings are copied. */
+ * called once. Strings are copied. */
 owner_answer_t local_replica_offer(local_replica_t *r, const attempt_params_t *params,
 				   const attempt_sink_t *sink, uint64_t *id,
 				   int64_t *retry_after_ms);
--- a/src/entry/peer_api.c
+++ b/src/entry/peer_api.c
@@ -174,7 +174,7 @@
 		atomic_store(&en->view_stale, true);
 		return NULL;
 	}
-	return upstream_find_owned(en->upstreams, get_string(j, "upstream"), fence);
+	return upstream_find_local(en->upstreams, get_string(j, "upstream"), fence);
 }
 
 static void relay_attempt(entry_ctx_t *en, local_replica_t *replica, const attempt_params_t *params,
--- a/src/entry/peer_api.h
+++ b/src/entry/peer_api.h
@@ -8,8 +8,8 @@
 int peer_api_cancel(const struct _u_request *req, struct _u_response *res, void *en);
 /** Sends a job's cancel to all entries and waits for their answers, with a time limit. */
 void peer_api_broadcast_cancel(entry_ctx_t *en, str_t caller, str_t job);
-/** Handles POST /internal/v1/run: runs another entry's attempt on a replica that this entry owns.
- */
+/** Handles POST /internal/v1/run: runs another entry's attempt on a replica that this entry
+ * owns. */
 int peer_api_run(const struct _u_request *req, struct _u_response *res, void *en);
 
 #endif
--- a/src/entry/peer_api_cancel.c
+++ b/src/entry/peer_api_cancel.c
@@ -44,17 +44,17 @@
 
 static void on_cancel_reply(void *ctx, const fetch_end_t *end)
 {
-	broadcast_t *a = ctx;
+	broadcast_t *b = ctx;
 
 	if (end->result != FETCH_FINISHED)
 		METRIC_INC("auburn_cancel_broadcasts_failed_total");
-	pthread_mutex_lock(&a->lock);
-	a->pending--;
-	pthread_cond_signal(&a->cond);
-	pthread_mutex_unlock(&a->lock);
+	pthread_mutex_lock(&b->lock);
+	b->pending--;
+	pthread_cond_signal(&b->cond);
+	pthread_mutex_unlock(&b->lock);
 }
 
-static void send_cancel(entry_ctx_t *en, const wire_member_t *m, str_t body, broadcast_t *a)
+static void send_cancel(entry_ctx_t *en, const wire_member_t *m, str_t body, broadcast_t *b)
 {
 	AUTO_BUF key = {0};
 	const char *headers[] = {"Content-Type: application/json", NULL, NULL};
@@ -64,22 +64,22 @@
 				   .headers = headers,
 				   .body = body,
 				   .deadline = clock_now_ms() + CANCEL_TIMEOUT_MS,
-				   .ctx = a,
+				   .ctx = b,
 				   .on_end = on_cancel_reply};
 
 	buf_addf(&key, "Authorization: Bearer %s", en->settings.peer_key);
 	headers[1] = key.p;
 	snprintf(url, sizeof(url), "http://%.*s/internal/v1/cancel", STR_ARG(wire_str(m->addr)));
-	pthread_mutex_lock(&a->lock);
-	a->pending++;
-	pthread_mutex_unlock(&a->lock);
+	pthread_mutex_lock(&b->lock);
+	b->pending++;
+	pthread_mutex_unlock(&b->lock);
 	fetch_start(en->fetch_client, &o);
 }
 
 void peer_api_broadcast_cancel(entry_ctx_t *en, str_t caller, str_t job)
 {
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
-	broadcast_t a = {PTHREAD_MUTEX_INITIALIZER, PTHREAD_COND_INITIALIZER, 0};
+	broadcast_t b = {PTHREAD_MUTEX_INITIALIZER, PTHREAD_COND_INITIALIZER, 0};
 	AUTO_BUF body = {0};
 
 	batch_cancel_job(en->batch, caller, job);
@@ -91,9 +91,9 @@
 	buf_addc(&body, '}');
 	for (u_int i = 0; v && i < v->view.members.members_len; i++)
 		if (v->view.members.members_val[i].session != entry_session(en->snapshot))
-			send_cancel(en, &v->view.members.members_val[i], str_buf(&body), &a);
-	pthread_mutex_lock(&a.lock);
-	while (a.pending)
-		pthread_cond_wait(&a.cond, &a.lock);
-	pthread_mutex_unlock(&a.lock);
+			send_cancel(en, &v->view.members.members_val[i], str_buf(&body), &b);
+	pthread_mutex_lock(&b.lock);
+	while (b.pending)
+		pthread_cond_wait(&b.cond, &b.lock);
+	pthread_mutex_unlock(&b.lock);
 }
--- a/src/entry/plain_call.c
+++ b/src/entry/plain_call.c
@@ -145,7 +145,8 @@
 	} while (may_retry(en, c, end, &nattempts));
 }
 
-/* Every retry gets the end that the ledger holds, so this call replies with it too. */
+/* A caller that retries with the same key gets the end that the ledger holds, so this call replies
+ * with it too. */
 static void adopt_stored_end(plain_call_end_t *end, ledger_client_end_t *stored)
 {
 	end->done = stored->done;
--- a/src/entry/plain_call.h
+++ b/src/entry/plain_call.h
@@ -1,4 +1,5 @@
-/** A call of a plain service, sent at most once unless it is repeatable. */
+/** A call of a plain service, an HTTP service that is not a model engine. The call is sent at most
+ * once unless it is repeatable. */
 #ifndef AUBURN_PLAIN_CALL_H
 #define AUBURN_PLAIN_CALL_H
 
@@ -19,12 +20,12 @@
 	bool done;
 	int http_status;
 	verdict_t verdict;
-	const char *code; /* of a failure; else NULL */
+	const char *code; /* reason of a failure; only valid if !done */
 	buf_t result; /* body, or the error as JSON */
 } plain_call_end_t;
 
 /** Runs an accepted call and commits its end. Any status but STATUS_OK means that this call sent
- *  nothing and that another attempt was or may have been started. */
+ * nothing and that another attempt was or may have been started. */
 status_t plain_call_run(entry_ctx_t *en, const plain_call_t *c, plain_call_end_t *end);
 
 #endif
--- a/src/entry/probe.c
+++ b/src/entry/probe.c
@@ -7,8 +7,9 @@
 #define GET_TIMEOUT_MS	  500
 #define URL_BYTES	  256
 #define STATE_INTERVAL_MS 500
-#define ORDER_SETTLE_MS	  1500 /* an order of the previous owner may still arrive */
-#define HTTP_OK		  200
+/* An engine that does not check fences may still get an order of the previous owner. */
+#define ORDER_SETTLE_MS 1500
+#define HTTP_OK		200
 
 typedef struct {
 	entry_ctx_t *en;
--- a/src/entry/probe.h
+++ b/src/entry/probe.h
@@ -1,4 +1,5 @@
-/** Polls engines: load, prefix cache events, loaded models. */
+/** Polls engines for load, prefix cache events and loaded models, and orders them to load
+ * models. */
 #ifndef AUBURN_PROBE_H
 #define AUBURN_PROBE_H
 
--- a/src/entry/upstream.c
+++ b/src/entry/upstream.c
@@ -7,7 +7,7 @@
 #include "base/log.h"
 #include "base/metric.h"
 
-#define ALONE_SLOTS    4096 /* modes without owners: the engine limits the streams, not this entry */
+#define ALONE_SLOTS    4096 /* modes alone and alone_cancel: the engine limits the streams */
 #define ALONE_QUEUE    0
 #define QUEUE_PER_SLOT 16
 #define DEFAULT_SLOTS  8
@@ -198,7 +198,7 @@
 	close_gone(t, &v->view);
 }
 
-void upstream_close_owned(upstream_table_t *t, bool cancel_batch)
+void upstream_close_local(upstream_table_t *t, bool cancel_batch)
 {
 	for (size_t i = 0; i < t->n; i++) {
 		upstream_t *u = t->upstreams[i];
@@ -237,7 +237,7 @@
 	}
 }
 
-local_replica_t *upstream_find_owned(upstream_table_t *t, str_t id, uint64_t fence)
+local_replica_t *upstream_find_local(upstream_table_t *t, str_t id, uint64_t fence)
 {
 	upstream_t *u = upstream_find(t, id);
 	local_replica_t *replica = NULL;
--- a/src/entry/upstream.h
+++ b/src/entry/upstream.h
@@ -15,8 +15,8 @@
  * Called by the control thread only. */
 void upstream_apply_view(upstream_table_t *t);
 /** Stops dispatching to all replicas, after the loss of the lease. Running online streams go on,
- *  batch streams only unless cancel_batch. */
-void upstream_close_owned(upstream_table_t *t, bool cancel_batch);
+ * batch streams only unless cancel_batch. */
+void upstream_close_local(upstream_table_t *t, bool cancel_batch);
 
 /** One upstream as passed to a visitor; strings are never freed. */
 typedef struct {
@@ -48,23 +48,23 @@
 bool upstream_pick(upstream_table_t *t, str_t service, str_t prompt, upstream_t *const *tried,
 		   size_t ntried, upstream_choice_t *out);
 /** Shortest estimated time to the first token of a new stream, over the service's replicas; 0 if
- *  unknown. */
+ * unknown. */
 int64_t upstream_min_wait_ms(upstream_table_t *t, str_t service);
-/** Returns a reference to the replica if this entry dispatches to it under this fence, else NULL.
- */
-local_replica_t *upstream_find_owned(upstream_table_t *t, str_t id, uint64_t fence);
+/** Returns a reference to the replica if this entry dispatches to it under this fence, else
+ * NULL. */
+local_replica_t *upstream_find_local(upstream_table_t *t, str_t id, uint64_t fence);
 /** Picks a live upstream of a plain service, round robin; false if there is none. */
 bool upstream_pick_plain(upstream_table_t *t, str_t service, upstream_choice_t *out, char addr[64]);
 /** Records a success or failure in the circuit breaker. */
 void upstream_record_health(void *up, bool ok);
 
-/** Stores a load report from the owner; ignored if its fence is not the current one. */
+/** Stores a load report from the owner. Ignored if its fence is not the current one or if this
+ * entry dispatches to the replica itself. */
 void upstream_owner_report(upstream_table_t *t, const wire_load_t *load);
 /** Stores a load report of the engine itself. */
 void upstream_engine_report(upstream_t *u, int running, int waiting, int slots);
-/** Free batch slots by the engine's last report, less the streams sent since (modes without
- * owners).
- */
+/** Free batch slots by the engine's last report, less the streams sent since and the reserved
+ * slots; 0 if the report is too old. For the modes alone and alone_cancel. */
 unsigned upstream_reported_headroom(upstream_t *u, unsigned reserved_slots);
 /** Until then other replicas are preferred, because this one is being emptied. */
 void upstream_avoid(upstream_t *u, deadline_t until);
--- a/src/entry/upstream_internal.h
+++ b/src/entry/upstream_internal.h
@@ -19,7 +19,7 @@
 	local_replica_t *replica;
 	balance_candidate_t report; /* last load report */
 	deadline_t avoid_until;
-	int64_t drain_ms; /* time to the first token of a new stream, by the owner's last report */
+	int64_t first_token_wait_ms; /* of a new stream, by the owner's last report */
 	retry_breaker_t breaker;
 	uint64_t *prefixes; /* sorted */
 	size_t nprefixes;
--- a/src/entry/upstream_pick.c
+++ b/src/entry/upstream_pick.c
@@ -154,7 +154,7 @@
 	if (c.reported_at + REPORT_FRESH_MS < now_ms || c.free_slots > c.sent_since_report)
 		return 0;
 	if (!u->replica)
-		return u->drain_ms;
+		return u->first_token_wait_ms;
 	local_replica_stats(u->replica, &st);
 	return st.drain_ms + st.first_token_ms;
 }
@@ -216,7 +216,7 @@
 		u->report.free_slots = load->free_slots;
 		u->report.queued = load->queued;
 		u->report.running = load->running;
-		u->drain_ms = load->drain_ms;
+		u->first_token_wait_ms = load->drain_ms;
 		u->report.sent_since_report = 0;
 		u->report.reported_at = clock_now_ms();
 		free(u->prefixes);
