--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -16,7 +16,7 @@
 	unsigned resume_from; /* tokens received in earlier attempts */
 
 	str_t caller;
-	str_t key;
+	str_t key; /* of the request; for an item the id of its job */
 	str_t service;
 	str_t model;
 	str_t prompt;
@@ -28,7 +28,7 @@
 	ATTEMPT_REFUSED, /* by the owner or the engine; not run */
 	ATTEMPT_UNREACHED, /* no connection to the engine or the owner; not run */
 	ATTEMPT_REJECTED, /* the engine answered that the request is invalid */
-	ATTEMPT_LOST, /* the stream broke or was invalid; its tokens count */
+	ATTEMPT_LOST, /* the stream broke or was invalid; tokens received before are valid */
 	ATTEMPT_STALLED, /* no token from the engine, or nothing from the owner, in time */
 	ATTEMPT_CROSSED, /* the engine sent tokens of another attempt */
 	ATTEMPT_PREEMPTED, /* cancelled to free a slot for another stream */
--- a/src/entry/attempt_start.c
+++ b/src/entry/attempt_start.c
@@ -128,9 +128,10 @@
 	fetch_start(en->fetch_client, &call);
 }
 
-/* In mode alone_cancel the newest batch stream is preempted if no free slot is known: by the last
- * load report less the streams sent since, this one included, or because the report is too old. */
-static void preempt_if_full(entry_ctx_t *en, const upstream_choice_t *c)
+/* In mode alone_cancel: preempts the newest batch stream unless a free slot remains besides the one
+ * for this stream, by the last load report and the streams sent since. An outdated report counts as
+ * no free slot. */
+static void preempt_unless_free(entry_ctx_t *en, const upstream_choice_t *c)
 {
 	if (en->settings.mode == ENTRY_MODE_ALONE_CANCEL &&
 	    upstream_reported_headroom(c->upstream, 0) == 0)
@@ -148,7 +149,7 @@
 		start_remote(en, c, params, sink);
 		return;
 	}
-	preempt_if_full(en, c);
+	preempt_unless_free(en, c);
 	if (local_replica_offer(c->replica, params, sink, &out->stream_id, &retry_after_ms) ==
 	    OWNER_REFUSED) {
 		end.retry_after_ms = retry_after_ms;
--- a/src/entry/batch_internal.h
+++ b/src/entry/batch_internal.h
@@ -82,7 +82,7 @@
 batch_item_t *batch_item_new(batch_runner_t *b, unsigned group, const char *service,
 			     const wire_item_t *a);
 void batch_item_free(batch_item_t *it);
-void batch_item_run(batch_item_t *it, const upstream_info_t *at);
+void batch_item_run(batch_item_t *it, const upstream_info_t *target);
 /** Adds the item to the waiting list. The caller holds the lock. */
 void batch_item_enqueue(batch_runner_t *b, batch_item_t *it);
 /** Passes the item with its result to its group's thread, to be committed. The caller holds the
--- a/src/entry/batch_lease.c
+++ b/src/entry/batch_lease.c
@@ -144,9 +144,9 @@
 	return n;
 }
 
-/* Sets how many items of service i the group should lease now. Returns the service's name, or NULL
- * if none are wanted. */
-static const char *items_wanted(batch_group_t *g, size_t i, unsigned *max, bool *plain)
+/* Sets *max to the number of items that the group should lease now for service i, and *plain.
+ * Returns the service's name, or NULL if no items are wanted. */
+static const char *service_to_lease(batch_group_t *g, size_t i, unsigned *max, bool *plain)
 {
 	batch_runner_t *b = g->b;
 	const char *name = NULL;
@@ -198,7 +198,7 @@
 	for (size_t i = 0; i < n; i++) {
 		unsigned max = 0;
 		bool plain = false;
-		const char *name = items_wanted(g, i, &max, &plain);
+		const char *name = service_to_lease(g, i, &max, &plain);
 
 		if (name)
 			schedule_next_lease(g, i,
--- a/src/entry/completion.h
+++ b/src/entry/completion.h
@@ -33,12 +33,14 @@
 	str_t result; /* JSON, as committed */
 } completion_outcome_t;
 
-/** Starts the completion's thread. The caller owns one reference. */
+/** Starts the completion's thread, which at its end removes the key from the inflight table and
+ * calls admission_leave. The caller owns one reference. */
 completion_t *completion_start(const completion_options_t *o);
 void completion_unref(completion_t *r);
 /** Counts the caller's event stream, which entry_drain waits for, until completion_stream_close. */
 void completion_stream_open(completion_t *r);
-/** Ends the caller's event stream, complete or not, and drops the caller's reference. */
+/** The caller's event stream is over, all events sent or not: no longer counts the stream and drops
+ * the caller's reference. */
 void completion_stream_close(completion_t *r);
 /** Waits for the first token or the end. Returns true if there are tokens to read. */
 bool completion_wait_first(completion_t *r);
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -27,7 +27,7 @@
 	bearer_keys_t *operator_keys;
 	batch_runner_t *batch;
 	atomic_bool draining;
-	atomic_bool view_stale; /* a newer view exists: the control thread fetches it */
+	atomic_bool view_stale; /* the view may be outdated: the control thread fetches it */
 	atomic_int running_requests; /* accepted requests running in this entry */
 	atomic_int open_streams; /* responses being streamed to callers and entries */
 	atomic_bool closing; /* late in a drain, cached addresses have expired: new requests are
--- a/src/entry/job_api.c
+++ b/src/entry/job_api.c
@@ -155,7 +155,8 @@
 
 static void append_result(buf_t *b, str_t body)
 {
-	/* Results are JSON, except reasons of failed items and bodies of plain services. */
+	/* A result is JSON, except the ledger's reasons for failed items and requests, bodies of
+	 * plain services, and the empty result of an item or request that has not ended. */
 	json_t *j = json_loadb(body.p, body.n, JSON_DECODE_ANY, NULL);
 
 	if (j)
--- a/src/entry/local_replica.h
+++ b/src/entry/local_replica.h
@@ -41,8 +41,8 @@
 bool local_replica_preempt_newest(local_replica_t *r);
 /** Refuses queued streams that can no longer meet their deadline. To be called periodically. */
 void local_replica_tick(local_replica_t *r);
-/** Starts no more streams and ends the queued ones. Running streams go on, batch streams only
- * unless cancel_batch. */
+/** Starts no more streams and ends the queued ones. Running streams go on; with cancel_batch the
+ * batch streams are cancelled. */
 void local_replica_close(local_replica_t *r, bool cancel_batch);
 /** Number of batch streams that could start now. */
 unsigned local_replica_batch_headroom(local_replica_t *r);
--- a/src/entry/probe_orders.c
+++ b/src/entry/probe_orders.c
@@ -33,7 +33,7 @@
 }
 
 /* Limits this entry to its share of the rate at which engines may load weights from the store. */
-static bool take_load_permit(entry_ctx_t *en, const entry_config_t *c)
+static bool take_weights_permit(entry_ctx_t *en, const entry_config_t *c)
 {
 	static deadline_t next; /* used by probe_thread only */
 	AUTO_ENTRY_VIEW *v = entry_view_get(en->snapshot);
@@ -91,6 +91,6 @@
 		      !lists_model(json_object_get(j, "loading"), s);
 
 	json_decref(j);
-	if (wanted && entry_lease_valid(en->snapshot) && take_load_permit(en, c))
+	if (wanted && entry_lease_valid(en->snapshot) && take_weights_permit(en, c))
 		send_order(en, info, s);
 }
--- a/src/entry/upstream.h
+++ b/src/entry/upstream.h
@@ -1,5 +1,5 @@
-/** Table of the upstreams in the view, with load, circuit breaker, cached prefixes and owner of
- * each. */
+/** Table of all upstreams that were ever in the view (the control's list of entries, upstreams and
+ * their owners), with load, circuit breaker, cached prefixes and owner of each. */
 #ifndef AUBURN_UPSTREAM_H
 #define AUBURN_UPSTREAM_H
 
@@ -14,8 +14,8 @@
 /** Updates the table to the current view and config: starts and stops dispatching to replicas.
  * Called by the control thread only. */
 void upstream_apply_view(upstream_table_t *t);
-/** Stops dispatching to all replicas, after the loss of the lease. Running online streams go on,
- * batch streams only unless cancel_batch. */
+/** Stops dispatching to all replicas, after the loss of the lease. Running streams go on; with
+ * cancel_batch the batch streams are cancelled. */
 void upstream_close_local(upstream_table_t *t, bool cancel_batch);
 
 /** One upstream as passed to a visitor; strings are never freed. */
@@ -39,7 +39,7 @@
 typedef struct {
 	upstream_t *upstream;
 	const char *id;
-	char owner_addr[64]; /* HTTP address, if another entry is the owner */
+	char owner_addr[64]; /* HTTP address of the owner; empty if there is none */
 	uint64_t fence;
 	local_replica_t *replica; /* a reference; NULL if another entry is the owner */
 } upstream_choice_t;
@@ -66,7 +66,7 @@
 /** Free batch slots by the engine's last report, less the streams sent since and the reserved
  * slots; 0 if the report is too old. For the modes alone and alone_cancel. */
 unsigned upstream_reported_headroom(upstream_t *u, unsigned reserved_slots);
-/** Until then other replicas are preferred, because this one is being emptied. */
+/** Makes other replicas preferred until `until`, because this one is being emptied. */
 void upstream_avoid(upstream_t *u, deadline_t until);
 bool upstream_is_avoided(upstream_t *u);
 /** Counts a stream sent since the last load report. */
