--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,4 +1,4 @@
-/** The entry process: its modules, made once by main and shared by all threads. */
+/** The entry process: its modules, created by main and shared by all threads. */
 #ifndef AUBURN_ENTRY_H
 #define AUBURN_ENTRY_H
 
@@ -11,13 +11,13 @@
 #include "policy/bucket.h"
 
 typedef struct upstream_table upstream_table_t;
-typedef struct ad admission_t;
-typedef struct ki bearer_keys_t;
-typedef struct bj batch_runner_t;
+typedef struct admission admission_t;
+typedef struct bearer_keys bearer_keys_t;
+typedef struct batch_runner batch_runner_t;
 
-typedef struct en {
+typedef struct entry_ctx {
 	entry_settings_t settings;
-	uint64_t boot; /* random, new at each start */
+	uint64_t boot; /* random id of this run of the process */
 	control_client_t *control_client;
 	entry_snapshot_t *snapshot;
 	fetch_client_t *fetch_client;
@@ -27,13 +27,14 @@
 	bearer_keys_t *operator_keys;
 	batch_runner_t *batch;
 	atomic_bool draining;
-	atomic_bool view_stale; /* an upstream saw a newer fence than ours */
-	atomic_int running_requests; /* accepted requests that run here */
-	atomic_int open_streams; /* answers being streamed to callers and other entries */
-	atomic_bool closing; /* the addresses given out have expired: nothing new is taken */
+	atomic_bool view_stale; /* the view may be outdated: the control thread fetches it */
+	atomic_int running_requests; /* accepted requests running in this entry */
+	atomic_int open_streams; /* responses being streamed to callers and entries */
+	atomic_bool closing; /* late in a drain, cached addresses have expired: new requests are
+				refused */
 } entry_ctx_t;
 
-/** A random number for ids and choices. */
+/** Returns a cryptographically secure random number. */
 uint64_t entry_random(void);
 
 #endif
--- a/src/entry/filter_idempotency.c
+++ b/src/entry/filter_idempotency.c
@@ -4,18 +4,19 @@
 #include <stdio.h>
 #include "entry/inflight.h"
 
-static bool take_key(filter_call_t *c)
+/* Copies the Idempotency-Key, or makes up a random one if the caller needs none. */
+static bool read_key(filter_call_t *c)
 {
 	str_t key = httpd_header(c->req, "Idempotency-Key");
 
-	if (key.n >= sizeof(c->key) || (key.n && !httpd_key_valid(key))) {
+	if (key.n >= sizeof(c->key) || (key.n && !httpd_token_valid(key))) {
 		filter_refuse(c, 400, "bad_key",
 			      STR("Idempotency-Key is too long or not printable ASCII"), 0);
 		return false;
 	}
 	if (key.n == 0 && c->service->kind == CONFIG_PLAIN && !c->service->repeatable) {
 		filter_refuse(c, 400, "key_required",
-			      STR("a call that may not be repeated needs an Idempotency-Key"), 0);
+			      STR("a service that is not repeatable needs an Idempotency-Key"), 0);
 		return false;
 	}
 	if (key.n == 0)
@@ -26,8 +27,8 @@
 	return true;
 }
 
-/* Digest of all that makes the request what it is. */
-static uint64_t digest(const filter_call_t *c)
+/* Digest of service, path and body: a key must not be used again for a different request. */
+static uint64_t digest_request(const filter_call_t *c)
 {
 	AUTO_BUF b = {0};
 
@@ -41,10 +42,10 @@
 
 void filter_idempotency(filter_call_t *c, const filter_step_t *next)
 {
-	if (!take_key(c))
+	if (!read_key(c))
 		return;
 	u_map_put(c->res->map_header, "Idempotency-Key", c->key);
-	c->digest = digest(c);
+	c->digest = digest_request(c);
 	c->key_held = inflight_add(c->caller, str_c(c->key));
 	filter_next(c, next);
 }
--- a/src/entry/upstream_pick.c
+++ b/src/entry/upstream_pick.c
@@ -14,7 +14,7 @@
 	return false;
 }
 
-static bool knows_prefix(const upstream_t *u, uint64_t hash)
+static bool has_prefix(const upstream_t *u, uint64_t hash)
 {
 	size_t lo = 0;
 	size_t hi = u->nprefixes;
@@ -30,12 +30,13 @@
 	return lo < u->nprefixes && u->prefixes[lo] == hash;
 }
 
-static bool breaker_lets(const upstream_t *u, int64_t now_ms)
+static bool breaker_may_allow(const upstream_t *u, int64_t now_ms)
 {
 	return u->breaker.state == RETRY_BREAKER_CLOSED || u->breaker.probe_at_ms <= now_ms;
 }
 
-static void own_report(upstream_t *u, balance_candidate_t *c, int64_t now_ms)
+/* The exact state of a local replica replaces the last report. */
+static void fill_from_local(upstream_t *u, balance_candidate_t *c, int64_t now_ms)
 {
 	owner_stats_t st;
 
@@ -54,7 +55,7 @@
 	}
 }
 
-static balance_candidate_t candidate(upstream_t *u, uint64_t prefix, int64_t now_ms)
+static balance_candidate_t make_candidate(upstream_t *u, uint64_t prefix, int64_t now_ms)
 {
 	balance_candidate_t c = u->report;
 	bool reachable =
@@ -63,10 +64,10 @@
 	c.slots = u->slots;
 	c.same_zone = strcmp(u->zone, u->en->settings.zone) == 0;
 	c.owned_here = u->replica != NULL;
-	c.prefix_known = knows_prefix(u, prefix);
-	c.usable = u->state == WIRE_UPSTREAM_LIVE && reachable && breaker_lets(u, now_ms);
+	c.prefix_known = has_prefix(u, prefix);
+	c.usable = u->state == WIRE_UPSTREAM_LIVE && reachable && breaker_may_allow(u, now_ms);
 	if (u->replica)
-		own_report(u, &c, now_ms);
+		fill_from_local(u, &c, now_ms);
 	return c;
 }
 
@@ -79,9 +80,9 @@
 	upstream_t **ups;
 	balance_candidate_t *c;
 	size_t n;
-} gather_t;
+} candidates_t;
 
-static void gather(upstream_table_t *t, gather_t *g)
+static void gather_candidates(upstream_table_t *t, candidates_t *g)
 {
 	pthread_rwlock_rdlock(&t->lock);
 	g->ups = mem_new(t->n * sizeof(upstream_t *));
@@ -93,13 +94,14 @@
 			continue;
 		pthread_mutex_lock(&u->lock);
 		g->ups[g->n] = u;
-		g->c[g->n++] = candidate(u, g->prefix, g->now_ms);
+		g->c[g->n++] = make_candidate(u, g->prefix, g->now_ms);
 		pthread_mutex_unlock(&u->lock);
 	}
 	pthread_rwlock_unlock(&t->lock);
 }
 
-static bool choose(upstream_t *u, int64_t now_ms, upstream_choice_t *out)
+/* Asks the breaker to let a request through and fills *out; false if the breaker refuses. */
+static bool claim_choice(upstream_t *u, int64_t now_ms, upstream_choice_t *out)
 {
 	bool ok;
 
@@ -120,20 +122,20 @@
 bool upstream_pick(upstream_table_t *t, str_t service, str_t prompt, upstream_t *const *tried,
 		   size_t ntried, upstream_choice_t *out)
 {
-	gather_t g = {.service = service,
-		      .prefix = upstream_prefix_hash(prompt),
-		      .tried = tried,
-		      .ntried = ntried,
-		      .now_ms = clock_now_ms()};
+	candidates_t g = {.service = service,
+			  .prefix = upstream_prefix_hash(prompt),
+			  .tried = tried,
+			  .ntried = ntried,
+			  .now_ms = clock_now_ms()};
 	bool found = false;
 
-	gather(t, &g);
+	gather_candidates(t, &g);
 	while (!found) {
 		int i = balance_pick(g.c, g.n, BALANCE_TWO_CHOICES, entry_random(), g.now_ms);
 
 		if (i < 0)
 			break;
-		found = choose(g.ups[i], g.now_ms, out);
+		found = claim_choice(g.ups[i], g.now_ms, out);
 		g.c[i].usable = false;
 	}
 	free(g.ups);
@@ -141,10 +143,10 @@
 	return found;
 }
 
-/* Time until a stream offered to the replica would give its first token. */
-static int64_t wait_of(upstream_t *u, int64_t now_ms)
+/* Estimated time to the first token of a new stream; 0 if unknown, INT64_MAX if unusable. */
+static int64_t estimate_wait_ms(upstream_t *u, int64_t now_ms)
 {
-	balance_candidate_t c = candidate(u, 0, now_ms);
+	balance_candidate_t c = make_candidate(u, 0, now_ms);
 	owner_stats_t st;
 
 	if (!c.usable)
@@ -152,7 +154,7 @@
 	if (c.reported_at + REPORT_FRESH_MS < now_ms || c.free_slots > c.sent_since_report)
 		return 0;
 	if (!u->replica)
-		return u->drain_ms;
+		return u->first_token_wait_ms;
 	local_replica_stats(u->replica, &st);
 	return st.drain_ms + st.first_token_ms;
 }
@@ -170,7 +172,7 @@
 		if (!str_eq(str_c(u->service), service))
 			continue;
 		pthread_mutex_lock(&u->lock);
-		wait = wait_of(u, now_ms);
+		wait = estimate_wait_ms(u, now_ms);
 		pthread_mutex_unlock(&u->lock);
 		if (wait < best)
 			best = wait;
@@ -214,7 +216,7 @@
 		u->report.free_slots = load->free_slots;
 		u->report.queued = load->queued;
 		u->report.running = load->running;
-		u->drain_ms = load->drain_ms;
+		u->first_token_wait_ms = load->drain_ms;
 		u->report.sent_since_report = 0;
 		u->report.reported_at = clock_now_ms();
 		free(u->prefixes);
@@ -237,16 +239,16 @@
 	pthread_mutex_unlock(&u->lock);
 }
 
-unsigned upstream_reported_headroom(upstream_t *u, unsigned kept)
+unsigned upstream_reported_headroom(upstream_t *u, unsigned reserved_slots)
 {
-	int room;
+	int headroom;
 
 	pthread_mutex_lock(&u->lock);
-	room = u->report.free_slots - u->report.sent_since_report - (int)kept;
+	headroom = u->report.free_slots - u->report.sent_since_report - (int)reserved_slots;
 	if (u->report.reported_at + REPORT_FRESH_MS < clock_now_ms())
-		room = 0;
+		headroom = 0;
 	pthread_mutex_unlock(&u->lock);
-	return room > 0 ? (unsigned)room : 0;
+	return headroom > 0 ? (unsigned)headroom : 0;
 }
 
 void upstream_avoid(upstream_t *u, deadline_t until)
