--- a/src/raft/raft.c
+++ b/src/raft/raft.c
@@ -1,4 +1,4 @@
-/* Set-up, dispatch of inputs, terms, and messages that wait for the disk. */
+/* Set-up, dispatch of inputs, terms, and messages that wait for a sync. */
 #include "raft/raft_internal.h"
 
 #include <assert.h>
@@ -8,13 +8,14 @@
 
 void raft_reset_election_timeout(raft_t *r)
 {
-	r->elapsed = 0;
-	r->timeout = r->election_ticks + (unsigned)(prng_next(&r->random) % r->election_ticks);
+	r->election_elapsed = 0;
+	r->election_timeout =
+		r->election_ticks + (unsigned)(prng_next(&r->prng_state) % r->election_ticks);
 }
 
-/* A snapshot may have been synced before the term that it came in. No vote of that term can have
- * left then, since votes wait for their sync. */
-static void raise_term(raft_t *r)
+/* A snapshot may be durable before the term that it arrived in. No vote of that term can have been
+ * sent, since votes wait for their own sync, so the vote starts empty. */
+static void raise_term_to_log(raft_t *r)
 {
 	uint64_t last_term = raft_term_at(r, raft_last_index(r));
 
@@ -26,20 +27,21 @@
 
 static bool is_sole_voter(const raft_t *r)
 {
-	for (unsigned i = 0; i < r->conf.n; i++) {
-		if (r->conf.peers[i].voter && r->conf.peers[i].id != r->self)
+	for (unsigned i = 0; i < r->members.n; i++) {
+		if (r->members.peers[i].voter && r->members.peers[i].id != r->self)
 			return false;
 	}
-	return raft_members_find(&r->conf, r->self) >= 0;
+	return raft_members_find(&r->members, r->self) >= 0;
 }
 
-/* A member that has just started knows of no leader. If there is one, the others reject its
- * pre-vote; if all have started anew, nobody need wait out a whole timeout. */
-static void start_early(raft_t *r)
+/* A replica that has just restarted does not know the leader. It starts its first election early:
+ * if there is a leader, the others reject the pre-vote; if all replicas restarted, none has to wait
+ * a whole timeout. */
+static void shorten_first_timeout(raft_t *r)
 {
-	unsigned wait = 1 + (unsigned)(prng_next(&r->random) % (r->election_ticks / 2 + 1));
+	unsigned wait = 1 + (unsigned)(prng_next(&r->prng_state) % (r->election_ticks / 2 + 1));
 
-	r->elapsed = r->timeout > wait ? r->timeout - wait : 0;
+	r->election_elapsed = r->election_timeout > wait ? r->election_timeout - wait : 0;
 }
 
 raft_t *raft_new(const raft_options_t *o)
@@ -51,28 +53,28 @@
 	r->self = o->self;
 	r->election_ticks = o->election_ticks;
 	r->heartbeat_ticks = o->heartbeat_ticks;
-	r->random = o->random_seed ? o->random_seed : o->self;
+	r->prng_state = o->random_seed ? o->random_seed : o->self;
 	r->term = o->term;
 	r->vote = o->vote;
 	r->base = r->commit = r->applied = o->base;
 	r->base_term = o->base_term;
-	r->base_conf = r->conf = o->base_members;
-	r->conf_index = o->base;
+	r->base_members = r->members = o->base_members;
+	r->members_index = o->base;
 	for (size_t i = 0; i < o->nentries; i++) {
 		raft_entry_t e = o->entries[i];
 
 		e.data.data_val = str_dup((str_t){e.data.data_val, e.data.data_len});
 		raft_log_append(r, e);
-		r->seqs[i] = 0;
+		r->persist_seqs[i] = 0;
 	}
 	r->persisted = r->synced = raft_last_index(r);
 	r->verified = r->commit;
-	raise_term(r);
+	raise_term_to_log(r);
 	raft_reset_election_timeout(r);
 	if (is_sole_voter(r))
-		r->elapsed = r->timeout - 1; /* there is nobody to wait for */
+		r->election_elapsed = r->election_timeout - 1; /* no other voter to wait for */
 	else if (r->term > 0)
-		start_early(r);
+		shorten_first_timeout(r);
 	return r;
 }
 
@@ -83,8 +85,8 @@
 	for (size_t i = 0; i < r->nlog; i++)
 		free(r->log[i].data.data_val);
 	free(r->log);
-	free(r->seqs);
-	free(r->held);
+	free(r->persist_seqs);
+	free(r->held_msgs);
 	free(r->reads);
 	free(r);
 }
@@ -92,24 +94,24 @@
 void raft_set_hard_state(raft_t *r, uint64_t term, uint64_t vote)
 {
 	assert(term >= r->term);
-	assert(term > r->term || r->vote == 0 || r->vote == vote); /* one vote a term */
+	assert(term > r->term || r->vote == 0 || r->vote == vote); /* one vote per term */
 	if (term == r->term && vote == r->vote)
 		return;
 	if (term > r->term)
 		r->term_leader = 0;
 	r->term = term;
 	r->vote = vote;
-	r->hard_seq = ++r->next_seq;
-	r->cb.persist_hard_state(r->cb.ctx, r->hard_seq, term, vote);
+	r->hard_state_seq = ++r->next_seq;
+	r->cb.persist_hard_state(r->cb.ctx, r->hard_state_seq, term, vote);
 }
 
-static void hold(raft_t *r, const raft_msg_t *m)
+static void hold_until_synced(raft_t *r, const raft_msg_t *m)
 {
 	if (r->nheld == r->held_cap) {
 		r->held_cap = r->held_cap ? r->held_cap * 2 : 8;
-		r->held = mem_grow(r->held, r->held_cap * sizeof(*r->held));
+		r->held_msgs = mem_grow(r->held_msgs, r->held_cap * sizeof(*r->held_msgs));
 	}
-	r->held[r->nheld++] = (raft_held_msg_t){*m, r->hard_seq};
+	r->held_msgs[r->nheld++] = (raft_held_msg_t){*m, r->hard_state_seq};
 }
 
 void raft_send_msg(raft_t *r, raft_msg_t *m, uint64_t to)
@@ -118,21 +120,21 @@
 	m->to = to;
 	if (m->term == 0)
 		m->term = r->term;
-	if (r->synced_seq >= r->hard_seq) {
+	if (r->synced_seq >= r->hard_state_seq) {
 		r->cb.send(r->cb.ctx, m);
 		return;
 	}
-	/* Term and vote must be durable before anybody may rely on them. */
+	/* Other replicas may rely on the message only once term and vote are durable. */
 	assert(m->entries.entries_len == 0 && m->data.data_len == 0);
-	hold(r, m);
+	hold_until_synced(r, m);
 }
 
-static void release_held(raft_t *r)
+static void send_held_msgs(raft_t *r)
 {
 	size_t done = 0;
 
-	while (done < r->nheld && r->held[done].seq <= r->synced_seq) {
-		raft_msg_t m = r->held[done++].m;
+	while (done < r->nheld && r->held_msgs[done].seq <= r->synced_seq) {
+		raft_msg_t m = r->held_msgs[done++].m;
 
 		if (m.term >= r->term || m.type == RAFT_PREVOTE_RESP)
 			r->cb.send(r->cb.ctx, &m);
@@ -140,9 +142,10 @@
 	if (done == 0)
 		return;
 	r->nheld -= done;
-	memmove(r->held, r->held + done, r->nheld * sizeof(*r->held));
+	memmove(r->held_msgs, r->held_msgs + done, r->nheld * sizeof(*r->held_msgs));
 }
 
+/* Called on every change to follower; a leader fails its reads and reports the change. */
 static void set_role(raft_t *r, raft_role_t role)
 {
 	bool was = r->role == RAFT_LEADER;
@@ -160,7 +163,7 @@
 	if (term > r->term) {
 		raft_set_hard_state(r, term, 0);
 		r->verified = r->commit;
-		r->round_answered = 0;
+		r->round_echoed = 0;
 	}
 	r->leader = leader;
 	set_role(r, RAFT_FOLLOWER);
@@ -175,7 +178,8 @@
 
 void raft_on_disk_failed(raft_t *r)
 {
-	/* Nothing more is acknowledged here, so that a successor need not wait for its timeout. */
+	/* This replica acknowledges nothing more, so a successor can start at once instead of
+	 * waiting for its election timeout. */
 	if (r->role == RAFT_LEADER)
 		raft_leader_hand_over(r);
 	raft_step_down(r);
@@ -193,8 +197,8 @@
 		raft_leader_tick(r);
 		return;
 	}
-	r->elapsed++;
-	if (r->elapsed < r->timeout)
+	r->election_elapsed++;
+	if (r->election_elapsed < r->election_timeout)
 		return;
 	r->leader = 0;
 	raft_reset_election_timeout(r);
@@ -207,7 +211,7 @@
 		return;
 	assert(seq >= r->synced_seq && seq <= r->next_seq);
 	r->synced_seq = seq;
-	release_held(r);
+	send_held_msgs(r);
 	if (r->role == RAFT_CANDIDATE)
 		raft_count_self_vote(r);
 	if (!raft_log_update_synced(r))
@@ -227,8 +231,8 @@
 		raft_leader_flush(r);
 }
 
-/* Tells the sender of an old term that it has passed. */
-static void answer_old_term(raft_t *r, const raft_msg_t *m)
+/* Answers a message of an old term with the current term. */
+static void reject_old_term(raft_t *r, const raft_msg_t *m)
 {
 	raft_msg_t resp = {.reject = true};
 
@@ -241,8 +245,8 @@
 	raft_send_msg(r, &resp, m->from);
 }
 
-/* Brings the own term up to the message's; false when the message is to be dropped. */
-static bool check_term(raft_t *r, const raft_msg_t *m)
+/* Adopts the term of a message if it is newer. Returns false if the message must be ignored. */
+static bool update_term(raft_t *r, const raft_msg_t *m)
 {
 	bool leads = m->type == RAFT_APPEND || m->type == RAFT_SNAPSHOT;
 
@@ -251,7 +255,7 @@
 	if (m->type == RAFT_VOTE && !m->force && raft_has_leader_lease(r))
 		return false;
 	if (m->term < r->term) {
-		answer_old_term(r, m);
+		reject_old_term(r, m);
 		return false;
 	}
 	if (m->term > r->term && (m->type != RAFT_PREVOTE_RESP || m->reject))
@@ -259,12 +263,12 @@
 	return true;
 }
 
-static void dispatch(raft_t *r, raft_msg_t *m)
+static void handle_msg(raft_t *r, raft_msg_t *m)
 {
 	switch (m->type) {
 	case RAFT_PREVOTE:
 		if (m->term < r->term)
-			answer_old_term(r, m);
+			reject_old_term(r, m);
 		else
 			raft_handle_prevote(r, m);
 		break;
@@ -298,8 +302,8 @@
 {
 	if (r->failed || m->to != r->self || m->from == r->self)
 		return;
-	if (check_term(r, m))
-		dispatch(r, m);
+	if (update_term(r, m))
+		handle_msg(r, m);
 }
 
 uint64_t raft_propose(raft_t *r, str_t cmd)
@@ -336,7 +340,8 @@
 			       .last = raft_last_index(r),
 			       .synced = r->synced,
 			       .failed = r->failed,
-			       .members = r->conf};
-	for (unsigned i = 0; i < r->conf.n && r->role == RAFT_LEADER; i++)
-		out->match[i] = r->conf.peers[i].id == r->self ? r->synced : r->progress[i].match;
+			       .members = r->members};
+	for (unsigned i = 0; i < r->members.n && r->role == RAFT_LEADER; i++)
+		out->match[i] =
+			r->members.peers[i].id == r->self ? r->synced : r->progress[i].match;
 }
--- a/src/raft/raft_leader.c
+++ b/src/raft/raft_leader.c
@@ -1,4 +1,4 @@
-/* The leader's side: what each member has, commit by majority, check-quorum, transfer. */
+/* Leader: progress of each member, commit by majority, check-quorum, leadership transfer. */
 #include "raft/raft_internal.h"
 
 #include <assert.h>
@@ -14,8 +14,8 @@
 	unsigned voters = 0;
 	unsigned yes = 0;
 
-	for (unsigned i = 0; i < r->conf.n; i++) {
-		if (!r->conf.peers[i].voter)
+	for (unsigned i = 0; i < r->members.n; i++) {
+		if (!r->members.peers[i].voter)
 			continue;
 		voters++;
 		if (has(r, i, arg))
@@ -26,12 +26,11 @@
 
 static raft_progress_t *find_progress(raft_t *r, uint64_t id)
 {
-	int at = raft_members_find(&r->conf, id);
+	int at = raft_members_find(&r->members, id);
 
 	return at < 0 || id == r->self ? NULL : &r->progress[at];
 }
 
-/* Gives each member of the present configuration its progress, keeping what is known. */
 void raft_leader_rebuild_progress(raft_t *r)
 {
 	raft_progress_t old[GROUP_PEERS_MAX];
@@ -45,9 +44,9 @@
 		raft_progress_t *p = &r->progress[i];
 
 		*p = (raft_progress_t){0};
-		if (i >= r->conf.n)
+		if (i >= r->members.n)
 			continue;
-		p->id = r->conf.peers[i].id;
+		p->id = r->members.peers[i].id;
 		p->next = raft_last_index(r) + 1;
 		for (unsigned k = 0; k < nold; k++) {
 			if (old[k].id == p->id)
@@ -59,12 +58,12 @@
 void raft_become_leader(raft_t *r)
 {
 	assert(r->role == RAFT_CANDIDATE && r->term_leader == 0);
-	assert(r->synced_seq >= r->hard_seq);
-	assert(raft_last_index(r) >= r->commit); /* leader completeness */
+	assert(r->synced_seq >= r->hard_state_seq);
+	assert(raft_last_index(r) >= r->commit); /* has all committed entries */
 	r->role = RAFT_LEADER;
 	r->leader = r->self;
 	r->term_leader = r->self;
-	r->elapsed = 0;
+	r->election_elapsed = 0;
 	r->heartbeat_elapsed = 0;
 	r->round = 0;
 	r->transfer_to = 0;
@@ -77,42 +76,43 @@
 	raft_flush(r);
 }
 
+/* True if the member answered within the election timeout. */
 static bool is_live(const raft_t *r, uint64_t id)
 {
-	int at = raft_members_find(&r->conf, id);
+	int at = raft_members_find(&r->members, id);
 
 	if (id == r->self)
 		return true;
 	return at >= 0 && r->progress[at].silent_ticks < r->election_ticks;
 }
 
-bool raft_leader_has_live_majority(const raft_t *r, const raft_members_t *conf)
+bool raft_leader_has_live_majority(const raft_t *r, const raft_members_t *members)
 {
 	unsigned voters = 0;
 	unsigned live = 0;
 
-	for (unsigned i = 0; i < conf->n; i++) {
-		if (!conf->peers[i].voter)
+	for (unsigned i = 0; i < members->n; i++) {
+		if (!members->peers[i].voter)
 			continue;
 		voters++;
-		live += is_live(r, conf->peers[i].id);
+		live += is_live(r, members->peers[i].id);
 	}
 	return live > voters / 2;
 }
 
-static void tick_peers(raft_t *r, bool heartbeat)
+static void tick_followers(raft_t *r, bool heartbeat)
 {
-	for (unsigned i = 0; i < r->conf.n; i++) {
+	for (unsigned i = 0; i < r->members.n; i++) {
 		raft_progress_t *p = &r->progress[i];
 
 		if (p->id == r->self)
 			continue;
 		p->silent_ticks++;
-		if (p->flow == RAFT_MODE_SNAPSHOT && ++p->snap_wait_ticks >= r->election_ticks)
+		if (p->mode == RAFT_MODE_SNAPSHOT && ++p->snap_wait_ticks >= r->election_ticks)
 			p->snap_sent = false;
 		if (!heartbeat)
 			continue;
-		p->probing = false;
+		p->probe_pending = false;
 		raft_send_append(r, p, true);
 	}
 }
@@ -121,8 +121,8 @@
 {
 	bool heartbeat = ++r->heartbeat_elapsed >= r->heartbeat_ticks;
 
-	/* Check-quorum: without a majority, another leader may be at work already. */
-	if (!raft_leader_has_live_majority(r, &r->conf)) {
+	/* Check-quorum: if no majority answers, another leader may have been elected. */
+	if (!raft_leader_has_live_majority(r, &r->members)) {
 		raft_become_follower(r, r->term, 0);
 		return;
 	}
@@ -130,13 +130,13 @@
 		r->transfer_to = 0;
 	if (heartbeat)
 		r->heartbeat_elapsed = 0;
-	tick_peers(r, heartbeat);
+	tick_followers(r, heartbeat);
 }
 
 void raft_leader_flush(raft_t *r)
 {
 	raft_reads_begin_round(r);
-	for (unsigned i = 0; i < r->conf.n; i++) {
+	for (unsigned i = 0; i < r->members.n; i++) {
 		if (r->progress[i].id != r->self)
 			raft_send_append(r, &r->progress[i], false);
 	}
@@ -145,29 +145,29 @@
 
 static bool has_synced(const raft_t *r, unsigned i, uint64_t index)
 {
-	if (r->conf.peers[i].id == r->self)
+	if (r->members.peers[i].id == r->self)
 		return r->synced >= index;
 	return r->progress[i].match >= index;
 }
 
-/* The highest index that some member is known to have synced. */
+/* Highest index that any member has synced. */
 static uint64_t highest_match(const raft_t *r)
 {
 	uint64_t high = r->synced;
 
-	for (unsigned i = 0; i < r->conf.n; i++)
+	for (unsigned i = 0; i < r->members.n; i++)
 		high = max_u64(high, r->progress[i].match);
 	return high;
 }
 
-static bool still_voter(const raft_t *r)
+static bool is_self_voter(const raft_t *r)
 {
-	int at = raft_members_find(&r->conf, r->self);
+	int at = raft_members_find(&r->members, r->self);
 
-	return at >= 0 && r->conf.peers[at].voter;
+	return at >= 0 && r->members.peers[at].voter;
 }
 
-/* The highest index that a majority of voters has synced. */
+/* Highest index that a majority of voters has synced. */
 static uint64_t majority_match(const raft_t *r)
 {
 	uint64_t low = r->commit;
@@ -188,18 +188,19 @@
 {
 	uint64_t index = majority_match(r);
 
-	/* Entries of earlier terms are committed only together with one of this term. */
+	/* Entries of earlier terms are committed only together with one of this term: a majority
+	 * holding an old entry does not prevent another leader from overwriting it. */
 	if (index <= r->commit || index < r->term_start)
 		return;
 	raft_log_commit(r, index);
-	if (r->conf_index <= r->commit && !still_voter(r)) {
+	if (r->members_index <= r->commit && !is_self_voter(r)) {
 		raft_become_follower(r, r->term, 0);
 		return;
 	}
 	raft_reads_complete(r);
 }
 
-static void pop_inflight(raft_progress_t *p)
+static void remove_acked_inflight(raft_progress_t *p)
 {
 	while (p->inflight_n && p->inflight[p->inflight_head] <= p->match) {
 		p->inflight_head = (p->inflight_head + 1) % RAFT_INFLIGHT_MAX;
@@ -209,24 +210,25 @@
 
 static void start_probe(raft_progress_t *p, uint64_t next)
 {
-	p->flow = RAFT_MODE_PROBE;
+	p->mode = RAFT_MODE_PROBE;
 	p->next = next;
-	p->probing = false;
+	p->probe_pending = false;
 	p->inflight_n = 0;
 }
 
-static void handle_reject(raft_t *r, raft_progress_t *p, const raft_msg_t *m)
+static void handle_append_reject(raft_t *r, raft_progress_t *p, const raft_msg_t *m)
 {
+	/* The hint is the highest index at which the follower's log may match. */
 	uint64_t next = m->index < m->hint + 1 ? m->index : m->hint + 1;
 
-	if (p->flow == RAFT_MODE_SNAPSHOT || m->index <= p->match || m->index >= p->next)
+	if (p->mode == RAFT_MODE_SNAPSHOT || m->index <= p->match || m->index >= p->next)
 		return;
 	start_probe(p, max_u64(next, p->match + 1));
 	raft_send_append(r, p, false);
 }
 
-/* Sends the transfer's target on its way once it has the whole log. */
-static void try_transfer(raft_t *r, const raft_progress_t *p)
+/* Sends TIMEOUT_NOW to the transfer target once it has the whole log. */
+static void send_timeout_now_if_caught_up(raft_t *r, const raft_progress_t *p)
 {
 	raft_msg_t m = {.type = RAFT_TIMEOUT_NOW};
 
@@ -241,20 +243,20 @@
 	if (r->role != RAFT_LEADER || !p)
 		return;
 	p->silent_ticks = 0;
-	p->round = max_u64(p->round, m->round);
+	p->round_acked = max_u64(p->round_acked, m->round);
 	if (m->reject) {
-		handle_reject(r, p, m);
+		handle_append_reject(r, p, m);
 		raft_reads_complete(r);
 		return;
 	}
-	assert(m->index <=
-	       raft_last_index(r)); /* log matching: it has verified no more than we hold */
+	/* Log matching: a follower verifies no more than this log holds. */
+	assert(m->index <= raft_last_index(r));
 	p->match = max_u64(p->match, m->index);
-	pop_inflight(p);
-	if (p->flow == RAFT_MODE_PROBE ||
-	    (p->flow == RAFT_MODE_SNAPSHOT && p->match >= p->snap_index)) {
-		p->flow = RAFT_MODE_REPLICATE;
-		p->probing = false;
+	remove_acked_inflight(p);
+	if (p->mode == RAFT_MODE_PROBE ||
+	    (p->mode == RAFT_MODE_SNAPSHOT && p->match >= p->snap_index)) {
+		p->mode = RAFT_MODE_REPLICATE;
+		p->probe_pending = false;
 		p->next = p->match + 1;
 		p->inflight_n = 0;
 	}
@@ -264,7 +266,7 @@
 		return;
 	raft_reads_complete(r);
 	raft_send_append(r, p, false);
-	try_transfer(r, p);
+	send_timeout_now_if_caught_up(r, p);
 }
 
 void raft_handle_snap_resp(raft_t *r, const raft_msg_t *m)
@@ -274,7 +276,7 @@
 	if (r->role != RAFT_LEADER || !p)
 		return;
 	p->silent_ticks = 0;
-	if (p->flow != RAFT_MODE_SNAPSHOT || m->index != p->snap_index)
+	if (p->mode != RAFT_MODE_SNAPSHOT || m->index != p->snap_index)
 		return;
 	p->snap_offset = m->hint;
 	p->snap_sent = false;
@@ -283,22 +285,22 @@
 
 bool raft_sending_snapshot(const raft_t *r)
 {
-	for (unsigned i = 0; i < r->conf.n && r->role == RAFT_LEADER; i++) {
-		if (r->progress[i].flow == RAFT_MODE_SNAPSHOT && is_live(r, r->progress[i].id))
+	for (unsigned i = 0; i < r->members.n && r->role == RAFT_LEADER; i++) {
+		if (r->progress[i].mode == RAFT_MODE_SNAPSHOT && is_live(r, r->progress[i].id))
 			return true;
 	}
 	return false;
 }
 
-/* The other voter that has synced most, or NULL. */
-static const raft_progress_t *most_advanced(const raft_t *r)
+/* The other voter that has synced most; NULL if there is no other voter. */
+static const raft_progress_t *most_advanced_voter(const raft_t *r)
 {
 	const raft_progress_t *best = NULL;
 
-	for (unsigned i = 0; i < r->conf.n; i++) {
+	for (unsigned i = 0; i < r->members.n; i++) {
 		const raft_progress_t *p = &r->progress[i];
 
-		if (p->id == r->self || !r->conf.peers[i].voter)
+		if (p->id == r->self || !r->members.peers[i].voter)
 			continue;
 		if (!best || p->match > best->match)
 			best = p;
@@ -312,18 +314,18 @@
 
 	if (r->role != RAFT_LEADER)
 		return false;
-	best = most_advanced(r);
+	best = most_advanced_voter(r);
 	if (!best)
 		return false;
 	r->transfer_to = best->id;
 	r->transfer_ticks = 0;
-	try_transfer(r, best);
+	send_timeout_now_if_caught_up(r, best);
 	return true;
 }
 
 void raft_leader_hand_over(raft_t *r)
 {
-	const raft_progress_t *best = most_advanced(r);
+	const raft_progress_t *best = most_advanced_voter(r);
 	raft_msg_t m = {.type = RAFT_TIMEOUT_NOW};
 
 	if (best)
--- a/src/raft/raft_log.c
+++ b/src/raft/raft_log.c
@@ -1,4 +1,5 @@
-/* The log in memory: entries after the base, what is persisted, synced, committed and applied. */
+/* The in-memory log: the entries after the base, and which are persisted, synced, committed and
+ * applied. */
 #include "raft/raft_internal.h"
 
 #include <assert.h>
@@ -12,15 +13,15 @@
 	return (str_t){e->data.data_val, e->data.data_len};
 }
 
-static void use_conf(raft_t *r, const raft_members_t *conf, uint64_t index)
+static void set_members(raft_t *r, const raft_members_t *members, uint64_t index)
 {
-	r->conf = *conf;
-	r->conf_index = index;
+	r->members = *members;
+	r->members_index = index;
 	if (r->role == RAFT_LEADER)
 		raft_leader_rebuild_progress(r);
 }
 
-static void decode_conf(const raft_entry_t *e, raft_members_t *out)
+static void decode_members(const raft_entry_t *e, raft_members_t *out)
 {
 	status_t st = raft_members_decode(entry_data(e), out);
 
@@ -33,23 +34,23 @@
 	if (r->nlog == r->log_cap) {
 		r->log_cap = r->log_cap ? r->log_cap * 2 : LOG_MIN_CAP;
 		r->log = mem_grow(r->log, r->log_cap * sizeof(*r->log));
-		r->seqs = mem_grow(r->seqs, r->log_cap * sizeof(*r->seqs));
+		r->persist_seqs = mem_grow(r->persist_seqs, r->log_cap * sizeof(*r->persist_seqs));
 	}
 	assert(raft_term_at(r, raft_last_index(r)) <= e.term);
 	r->log[r->nlog] = e;
-	r->seqs[r->nlog] = RAFT_SEQ_NOT_PERSISTED;
+	r->persist_seqs[r->nlog] = RAFT_SEQ_NOT_PERSISTED;
 	r->nlog++;
 	if (e.kind == RAFT_ENTRY_MEMBERS) {
-		raft_members_t conf;
+		raft_members_t members;
 
-		decode_conf(&e, &conf);
-		use_conf(r, &conf, raft_last_index(r));
+		decode_members(&e, &members);
+		set_members(r, &members, raft_last_index(r));
 	}
 }
 
 void raft_log_truncate(raft_t *r, uint64_t last)
 {
-	assert(last >= r->commit); /* what is committed never changes */
+	assert(last >= r->commit); /* committed entries never change */
 	while (raft_last_index(r) > last)
 		free(r->log[--r->nlog].data.data_val);
 	if (r->persisted > last)
@@ -58,35 +59,36 @@
 		r->synced = last;
 	if (r->verified > last)
 		r->verified = last;
-	if (r->conf_index > last)
+	if (r->members_index > last)
 		raft_log_use_newest_members(r);
 }
 
-void raft_log_reset(raft_t *r, uint64_t index, uint64_t term, const raft_members_t *conf)
+void raft_log_reset(raft_t *r, uint64_t index, uint64_t term, const raft_members_t *members)
 {
 	assert(index >= r->commit);
 	while (r->nlog)
 		free(r->log[--r->nlog].data.data_val);
 	r->base = index;
 	r->base_term = term;
-	r->base_conf = *conf;
+	r->base_members = *members;
 	r->persisted = index;
 	r->synced = index;
 	r->verified = index;
-	use_conf(r, conf, index);
+	set_members(r, members, index);
 }
 
-/* Members of the newest entry up to index that holds some; *at is its index. */
-static void find_conf(const raft_t *r, uint64_t index, raft_members_t *out, uint64_t *at)
+/* Finds the members as of index: those of the newest members entry up to it, else the base's; *at
+ * is the index that they come from. */
+static void find_members(const raft_t *r, uint64_t index, raft_members_t *out, uint64_t *at)
 {
 	for (uint64_t i = index; i > r->base; i--) {
 		if (raft_entry_at(r, i)->kind == RAFT_ENTRY_MEMBERS) {
-			decode_conf(raft_entry_at(r, i), out);
+			decode_members(raft_entry_at(r, i), out);
 			*at = i;
 			return;
 		}
 	}
-	*out = r->base_conf;
+	*out = r->base_members;
 	*at = r->base;
 }
 
@@ -95,16 +97,16 @@
 	uint64_t at;
 
 	assert(index >= r->base && index <= raft_last_index(r));
-	find_conf(r, index, out, &at);
+	find_members(r, index, out, &at);
 }
 
 void raft_log_use_newest_members(raft_t *r)
 {
-	raft_members_t conf;
+	raft_members_t members;
 	uint64_t at;
 
-	find_conf(r, raft_last_index(r), &conf, &at);
-	use_conf(r, &conf, at);
+	find_members(r, raft_last_index(r), &members, &at);
+	set_members(r, &members, at);
 }
 
 uint64_t raft_term_at(const raft_t *r, uint64_t index)
@@ -122,7 +124,7 @@
 		return;
 	r->next_seq++;
 	for (uint64_t i = from; i <= raft_last_index(r); i++)
-		r->seqs[i - r->base - 1] = r->next_seq;
+		r->persist_seqs[i - r->base - 1] = r->next_seq;
 	r->persisted = raft_last_index(r);
 	r->cb.persist_entries(r->cb.ctx, r->next_seq, from, raft_entry_at(r, from), n);
 }
@@ -131,7 +133,7 @@
 {
 	uint64_t was = r->synced;
 
-	while (r->synced < r->persisted && r->seqs[r->synced - r->base] <= r->synced_seq)
+	while (r->synced < r->persisted && r->persist_seqs[r->synced - r->base] <= r->synced_seq)
 		r->synced++;
 	return r->synced > was;
 }
@@ -149,25 +151,26 @@
 void raft_compact(raft_t *r, uint64_t index)
 {
 	size_t n = index - r->base;
-	raft_members_t conf;
+	raft_members_t members;
 
 	if (index <= r->base)
 		return;
 	assert(index <= r->applied);
-	raft_members_at(r, index, &conf);
+	raft_members_at(r, index, &members);
 	r->base_term = raft_term_at(r, index);
-	r->base_conf = conf;
+	r->base_members = members;
 	for (size_t i = 0; i < n; i++)
 		free(r->log[i].data.data_val);
 	memmove(r->log, r->log + n, (r->nlog - n) * sizeof(*r->log));
-	memmove(r->seqs, r->seqs + n, (r->nlog - n) * sizeof(*r->seqs));
+	memmove(r->persist_seqs, r->persist_seqs + n, (r->nlog - n) * sizeof(*r->persist_seqs));
 	r->nlog -= n;
 	r->base = index;
-	/* The snapshot is durable, whatever became of the entries that it holds. */
+	/* The snapshot is durable, so the entries it covers count as synced even if they are
+	 * not. */
 	if (r->persisted < index)
 		r->persisted = index;
 	if (r->synced < index)
 		r->synced = index;
-	if (r->conf_index < index)
-		r->conf_index = index;
+	if (r->members_index < index)
+		r->members_index = index;
 }
--- a/src/raft/raft_members.c
+++ b/src/raft/raft_members.c
@@ -23,7 +23,8 @@
 
 	*out = (raft_members_t){0};
 	if (st == STATUS_OK && wire.peers.peers_len > GROUP_PEERS_MAX)
-		st = status_fail(STATUS_CORRUPT, "%u members in a group", wire.peers.peers_len);
+		st = status_fail(STATUS_CORRUPT, "too many members in a group: %u",
+				 wire.peers.peers_len);
 	for (unsigned i = 0; st == STATUS_OK && i < wire.peers.peers_len; i++) {
 		const raft_wire_peer_t *w = &wire.peers.peers_val[i];
 		group_peer_t *p = &out->peers[out->n++];
@@ -46,32 +47,34 @@
 	return -1;
 }
 
-/* A leader may change members only after an entry of its term is committed, one at a time. */
-static status_t check_change(const raft_t *r)
+/* Members change one at a time, and only after the leader has committed an entry of its own
+ * term. */
+static status_t check_may_change(const raft_t *r)
 {
 	if (r->role != RAFT_LEADER || r->transfer_to)
-		return status_fail(STATUS_NOT_LEADER, "this replica doesn't lead");
+		return status_fail(STATUS_NOT_LEADER, "this replica is not the leader");
 	if (r->commit < r->term_start)
 		return status_fail(STATUS_LIMIT, "no entry of this term is committed yet");
-	if (r->conf_index > r->commit)
-		return status_fail(STATUS_LIMIT, "another change of members is under way");
+	if (r->members_index > r->commit)
+		return status_fail(STATUS_LIMIT, "another membership change is in progress");
 	return STATUS_OK;
 }
 
-/* Refuses members of whom a majority of voters is silent: they couldn't commit their own entry. */
-static status_t check_live(const raft_t *r, const raft_members_t *conf)
+/* Rejects members without a live majority of voters: they could not commit the change. */
+static status_t check_live_majority(const raft_t *r, const raft_members_t *members)
 {
-	if (raft_leader_has_live_majority(r, conf))
+	if (raft_leader_has_live_majority(r, members))
 		return STATUS_OK;
-	return status_fail(STATUS_LIMIT, "no majority of these voters has answered lately");
+	return status_fail(STATUS_LIMIT,
+			   "no majority of the new voters answered within the election timeout");
 }
 
-static uint64_t propose_conf(raft_t *r, const raft_members_t *conf)
+static uint64_t propose_members(raft_t *r, const raft_members_t *members)
 {
 	AUTO_BUF b = {0};
 	raft_entry_t e = {.term = r->term, .kind = RAFT_ENTRY_MEMBERS};
 
-	raft_members_encode(conf, &b);
+	raft_members_encode(members, &b);
 	e.data.data_len = (u_int)b.n;
 	e.data.data_val = str_dup(str_buf(&b));
 	raft_log_append(r, e);
@@ -80,49 +83,50 @@
 
 status_t raft_add_learner(raft_t *r, const group_peer_t *peer, uint64_t *index)
 {
-	raft_members_t conf = r->conf;
-	status_t st = check_change(r);
-	int at = raft_members_find(&conf, peer->id);
+	raft_members_t members = r->members;
+	status_t st = check_may_change(r);
+	int at = raft_members_find(&members, peer->id);
 
 	*index = 0;
 	if (st != STATUS_OK)
 		return st;
 	if (peer->id == 0)
-		return status_fail(STATUS_INVALID, "a replica's id is never 0");
-	if (at < 0 && conf.n == GROUP_PEERS_MAX)
+		return status_fail(STATUS_INVALID, "replica id 0 is not valid");
+	if (at < 0 && members.n == GROUP_PEERS_MAX)
 		return status_fail(STATUS_LIMIT, "a group has at most %d members", GROUP_PEERS_MAX);
 	if (at < 0) {
-		at = (int)conf.n++;
-		conf.peers[at] = (group_peer_t){.id = peer->id};
+		at = (int)members.n++;
+		members.peers[at] = (group_peer_t){.id = peer->id};
 	}
-	/* Naming a member again renews its address and availability zone. */
-	memcpy(conf.peers[at].addr, peer->addr, sizeof(peer->addr));
-	memcpy(conf.peers[at].zone, peer->zone, sizeof(peer->zone));
-	*index = propose_conf(r, &conf);
+	/* Adding a member again updates its address and availability zone. */
+	memcpy(members.peers[at].addr, peer->addr, sizeof(peer->addr));
+	memcpy(members.peers[at].zone, peer->zone, sizeof(peer->zone));
+	*index = propose_members(r, &members);
 	return STATUS_OK;
 }
 
 status_t raft_promote(raft_t *r, uint64_t id, uint64_t *index)
 {
-	raft_members_t conf = r->conf;
-	status_t st = check_change(r);
-	int at = raft_members_find(&conf, id);
+	raft_members_t members = r->members;
+	status_t st = check_may_change(r);
+	int at = raft_members_find(&members, id);
 
 	*index = 0;
 	if (st != STATUS_OK)
 		return st;
 	if (at < 0)
 		return status_fail(STATUS_NOT_FOUND, "no such member");
-	if (conf.peers[at].voter)
+	if (members.peers[at].voter)
 		return STATUS_OK;
 	if (r->progress[at].match < r->commit)
-		return status_fail(STATUS_LIMIT, "the learner has synced %lu of %lu",
+		return status_fail(STATUS_LIMIT,
+				   "learner has synced up to index %lu, committed is %lu",
 				   (unsigned long)r->progress[at].match, (unsigned long)r->commit);
-	conf.peers[at].voter = true;
-	st = check_live(r, &conf);
+	members.peers[at].voter = true;
+	st = check_live_majority(r, &members);
 	if (st != STATUS_OK)
 		return st;
-	*index = propose_conf(r, &conf);
+	*index = propose_members(r, &members);
 	return STATUS_OK;
 }
 
@@ -137,23 +141,23 @@
 
 status_t raft_remove(raft_t *r, uint64_t id, uint64_t *index)
 {
-	raft_members_t conf = r->conf;
-	status_t st = check_change(r);
-	int at = raft_members_find(&conf, id);
+	raft_members_t members = r->members;
+	status_t st = check_may_change(r);
+	int at = raft_members_find(&members, id);
 
 	*index = 0;
 	if (st != STATUS_OK)
 		return st;
 	if (at < 0)
 		return STATUS_OK;
-	if (conf.peers[at].voter && count_voters(&conf) == 1)
-		return status_fail(STATUS_INVALID, "the last voter can't be removed");
-	conf.n--;
-	memmove(&conf.peers[at], &conf.peers[at + 1],
-		(conf.n - (unsigned)at) * sizeof(group_peer_t));
-	st = check_live(r, &conf);
+	if (members.peers[at].voter && count_voters(&members) == 1)
+		return status_fail(STATUS_INVALID, "cannot remove the last voter");
+	members.n--;
+	memmove(&members.peers[at], &members.peers[at + 1],
+		(members.n - (unsigned)at) * sizeof(group_peer_t));
+	st = check_live_majority(r, &members);
 	if (st != STATUS_OK)
 		return st;
-	*index = propose_conf(r, &conf);
+	*index = propose_members(r, &members);
 	return STATUS_OK;
 }
--- a/src/raft/raft_read.c
+++ b/src/raft/raft_read.c
@@ -1,4 +1,5 @@
-/* Read index: a read is answered after a majority has confirmed the leader in a later round. */
+/* Linearizable reads (read index): a read completes once a majority has confirmed the leader in a
+ * round of messages begun after the read. */
 #include "raft/raft_internal.h"
 
 #include <string.h>
@@ -13,7 +14,8 @@
 		r->reads_cap = r->reads_cap ? r->reads_cap * 2 : 16;
 		r->reads = mem_grow(r->reads, r->reads_cap * sizeof(*r->reads));
 	}
-	/* Until an entry of this term is committed, the leader may not know all that is. */
+	/* A leader knows the full commit index only once an entry of its own term is committed, so
+	 * reads wait at least for the first entry of the term. */
 	r->reads[r->nreads++] = (raft_pending_read_t){token, 0, index};
 	return true;
 }
@@ -27,9 +29,9 @@
 		r->reads[i - 1].round = r->round;
 }
 
-static bool answered_round(const raft_t *r, unsigned i, uint64_t round)
+static bool acked_round(const raft_t *r, unsigned i, uint64_t round)
 {
-	return r->conf.peers[i].id == r->self || r->progress[i].round >= round;
+	return r->members.peers[i].id == r->self || r->progress[i].round_acked >= round;
 }
 
 void raft_reads_complete(raft_t *r)
@@ -41,7 +43,7 @@
 
 		if (rd->round == 0 || rd->index > r->applied)
 			break;
-		if (!raft_has_quorum(r, answered_round, rd->round))
+		if (!raft_has_quorum(r, acked_round, rd->round))
 			break;
 		done++;
 	}
--- a/src/raft/raft_send.c
+++ b/src/raft/raft_send.c
@@ -1,15 +1,15 @@
-/* What a leader sends to a member: entries, heartbeats or pieces of a snapshot. */
+/* Messages from the leader to one member: entries, heartbeats and snapshot chunks. */
 #include "raft/raft_internal.h"
 
 #include <assert.h>
 
-/* Number of entries from `from` that fit one message. */
-static size_t batch_size(const raft_t *r, uint64_t from)
+/* Number of entries from `from` on that fit into one message. */
+static size_t count_batch_entries(const raft_t *r, uint64_t from)
 {
 	size_t bytes = 0;
 	size_t n = 0;
 
-	/* Only what was handed to the own disk as well goes out. */
+	/* Sends only entries that were given to this replica's disk as well. */
 	while (from + n <= r->persisted && n < RAFT_BATCH_ENTRIES_MAX) {
 		bytes += raft_entry_at(r, from + n)->data.data_len;
 		if (n > 0 && bytes > RAFT_BATCH_BYTES_MAX)
@@ -21,7 +21,7 @@
 
 static void start_snapshot(raft_t *r, raft_progress_t *p)
 {
-	p->flow = RAFT_MODE_SNAPSHOT;
+	p->mode = RAFT_MODE_SNAPSHOT;
 	p->snap_index = 0;
 	p->snap_offset = 0;
 	p->snap_sent = false;
@@ -40,12 +40,12 @@
 	raft_send_msg(r, &m, p->id);
 }
 
-static void note_sent(raft_progress_t *p, size_t n)
+static void record_sent(raft_progress_t *p, size_t n)
 {
 	if (n == 0)
 		return;
-	if (p->flow == RAFT_MODE_PROBE) {
-		p->probing = true;
+	if (p->mode == RAFT_MODE_PROBE) {
+		p->probe_pending = true;
 		return;
 	}
 	p->next += n;
@@ -53,7 +53,7 @@
 	p->inflight_n++;
 }
 
-/* Keeps a member that takes a snapshot from calling an election meanwhile. */
+/* Prevents a member that receives a snapshot from starting an election meanwhile. */
 static void send_snapshot_heartbeat(raft_t *r, raft_progress_t *p)
 {
 	raft_msg_t m = {.type = RAFT_APPEND, .round = r->round};
@@ -67,11 +67,11 @@
 
 void raft_send_append(raft_t *r, raft_progress_t *p, bool heartbeat)
 {
-	bool urgent = heartbeat || r->round > p->round_sent;
+	bool must_send = heartbeat || r->round > p->round_sent;
 	size_t n;
 
-	if (p->flow == RAFT_MODE_SNAPSHOT) {
-		if (urgent)
+	if (p->mode == RAFT_MODE_SNAPSHOT) {
+		if (must_send)
 			send_snapshot_heartbeat(r, p);
 		p->round_sent = r->round;
 		return;
@@ -82,14 +82,14 @@
 	}
 	do {
 		n = 0;
-		if (p->inflight_n < RAFT_INFLIGHT_MAX && !p->probing)
-			n = batch_size(r, p->next);
-		if (n || urgent)
+		if (p->inflight_n < RAFT_INFLIGHT_MAX && !p->probe_pending)
+			n = count_batch_entries(r, p->next);
+		if (n || must_send)
 			send_entries(r, p, n);
-		note_sent(p, n);
+		record_sent(p, n);
 		p->round_sent = r->round;
-		urgent = false;
-	} while (n && p->flow == RAFT_MODE_REPLICATE);
+		must_send = false;
+	} while (n && p->mode == RAFT_MODE_REPLICATE);
 }
 
 void raft_send_snap_chunk(raft_t *r, raft_progress_t *p)
@@ -100,7 +100,7 @@
 	if (p->snap_sent)
 		return;
 	if (!r->cb.snap_read(r->cb.ctx, &c)) {
-		/* That snapshot is gone: begin with the newest. */
+		/* The snapshot was removed: restart with the newest one. */
 		c = (raft_snap_chunk_t){0};
 		if (!r->cb.snap_read(r->cb.ctx, &c))
 			return;
--- a/src/raft/raft_vote.c
+++ b/src/raft/raft_vote.c
@@ -1,4 +1,4 @@
-/* Elections: pre-vote, votes, and the lease of a leader that was heard lately. */
+/* Elections: pre-vote, votes and the leader lease. */
 #include "raft/raft_internal.h"
 
 #include <assert.h>
@@ -7,40 +7,40 @@
 {
 	if (r->role == RAFT_LEADER)
 		return true;
-	return r->leader != 0 && r->elapsed < r->election_ticks;
+	return r->leader != 0 && r->election_elapsed < r->election_ticks;
 }
 
-/* One that isn't a voter by its own log may campaign once a candidate with an older log has counted
- * on it: its removal isn't committed, or it hasn't seen its promotion, and it may be the only one
- * who can win. The votes are counted by the members that its log names, so that a win is as safe as
- * any. */
+/* A replica that is not a voter by its own log may campaign once a candidate with an older log has
+ * asked for its vote: its removal is not committed, or it has not received its promotion, and it
+ * may be the only replica that can win. The votes are counted among the members in its own log, so
+ * a win is as safe as any voter's. */
 static bool may_campaign(const raft_t *r)
 {
-	int at = raft_members_find(&r->conf, r->self);
+	int at = raft_members_find(&r->members, r->self);
 
-	return r->asked || (at >= 0 && r->conf.peers[at].voter);
+	return r->counted_as_voter || (at >= 0 && r->members.peers[at].voter);
 }
 
 static bool voted_for_us(const raft_t *r, unsigned i, uint64_t unused)
 {
-	if (r->conf.peers[i].id == r->self)
+	if (r->members.peers[i].id == r->self)
 		return r->self_vote;
 	for (unsigned v = 0; v < r->nvotes; v++) {
-		if (r->votes[v] == r->conf.peers[i].id)
+		if (r->votes[v] == r->members.peers[i].id)
 			return true;
 	}
 	return false;
 }
 
-static void ask_voters(raft_t *r, raft_msg_type_t type, uint64_t term, bool force)
+static void request_votes(raft_t *r, raft_msg_type_t type, uint64_t term, bool force)
 {
 	raft_msg_t m = {.type = type, .term = term, .force = force};
 
 	m.index = raft_last_index(r);
 	m.log_term = raft_term_at(r, m.index);
-	for (unsigned i = 0; i < r->conf.n; i++) {
-		if (r->conf.peers[i].voter && r->conf.peers[i].id != r->self)
-			raft_send_msg(r, &m, r->conf.peers[i].id);
+	for (unsigned i = 0; i < r->members.n; i++) {
+		if (r->members.peers[i].voter && r->members.peers[i].id != r->self)
+			raft_send_msg(r, &m, r->members.peers[i].id);
 	}
 }
 
@@ -54,7 +54,7 @@
 	if (raft_has_quorum(r, voted_for_us, 0))
 		raft_campaign(r, false);
 	else
-		ask_voters(r, RAFT_PREVOTE, r->term + 1, false);
+		request_votes(r, RAFT_PREVOTE, r->term + 1, false);
 }
 
 void raft_campaign(raft_t *r, bool force)
@@ -63,25 +63,25 @@
 		return;
 	raft_set_hard_state(r, r->term + 1, r->self);
 	r->verified = r->commit;
-	r->round_answered = 0;
+	r->round_echoed = 0;
 	r->role = RAFT_CANDIDATE;
 	r->leader = 0;
 	r->nvotes = 0;
 	r->self_vote = false;
 	raft_reset_election_timeout(r);
-	ask_voters(r, RAFT_VOTE, r->term, force);
+	request_votes(r, RAFT_VOTE, r->term, force);
 }
 
 void raft_count_self_vote(raft_t *r)
 {
-	if (r->self_vote || r->synced_seq < r->hard_seq)
+	if (r->self_vote || r->synced_seq < r->hard_state_seq)
 		return;
 	r->self_vote = true;
 	if (raft_has_quorum(r, voted_for_us, 0))
 		raft_become_leader(r);
 }
 
-static bool log_is_current(const raft_t *r, const raft_msg_t *m)
+static bool log_is_up_to_date(const raft_t *r, const raft_msg_t *m)
 {
 	uint64_t term = raft_term_at(r, raft_last_index(r));
 
@@ -92,8 +92,9 @@
 {
 	raft_msg_t resp = {.type = RAFT_PREVOTE_RESP};
 
-	resp.reject = m->term <= r->term || raft_has_leader_lease(r) || !log_is_current(r, m);
-	r->asked |= m->term > r->term && !raft_has_leader_lease(r) && !log_is_current(r, m);
+	resp.reject = m->term <= r->term || raft_has_leader_lease(r) || !log_is_up_to_date(r, m);
+	r->counted_as_voter |=
+		m->term > r->term && !raft_has_leader_lease(r) && !log_is_up_to_date(r, m);
 	resp.term = resp.reject ? r->term : m->term;
 	raft_send_msg(r, &resp, m->from);
 }
@@ -104,7 +105,7 @@
 
 	assert(m->term == r->term);
 	resp.reject = (r->vote != 0 && r->vote != m->from) || r->role == RAFT_LEADER ||
-		      r->term_leader != 0 || !log_is_current(r, m);
+		      r->term_leader != 0 || !log_is_up_to_date(r, m);
 	if (!resp.reject) {
 		raft_set_hard_state(r, r->term, m->from);
 		raft_reset_election_timeout(r);
