--- a/src/raft/group.h
+++ b/src/raft/group.h
@@ -1,7 +1,8 @@
 /**
- * One replicated group in a process: the log's core, its files and its thread, around a state
- * machine that the caller supplies. Blocking calls are for traffic threads; callbacks run on the
- * group's own thread, one at a time.
+ * One replicated group in a process: the Raft core, its files and its thread, around a state
+ * machine that the caller supplies. The functions here may be called from any thread; most block
+ * until the group's thread has answered. The callbacks run on the group's thread, one at a time;
+ * only group_open calls `restore` on its own thread.
  */
 #ifndef AUBURN_GROUP_H
 #define AUBURN_GROUP_H
@@ -11,74 +12,78 @@
 #include "base/status.h"
 #include "base/str.h"
 
-typedef struct gr group_t;
+typedef struct group group_t;
 
-/** A replica as the group's log names it. */
+/** A member of the group, as the replicated log records it. */
 typedef struct {
-	uint64_t id; /* random, made with the data folder; never 0 */
+	uint64_t id; /* never 0; random, or derived from the address for the first voters */
 	char addr[64]; /* ip:port of its control process */
 	char zone[32];
-	bool voter; /* else a learner */
+	bool voter; /* false: a learner, which receives the log but has no vote */
 } group_peer_t;
 
 #define GROUP_PEERS_MAX 9
 
 typedef struct {
 	unsigned group;
-	const char *dir; /* data folder of this group; made if missing */
-	const char *addr; /* own ip:port */
+	const char *dir; /* data directory of this group; created if missing */
+	const char *addr; /* ip:port of this control process */
 	const char *zone;
-	/** First voters' addresses, own included; used only when the folder is new and `bootstrap`.
-	 */
+	/** Addresses of the first voters, including this one; used only if the directory is new and
+	 * `bootstrap` is set. */
 	const char *const *seeds;
 	unsigned nseeds;
-	/** True on the first start of a new fleet; a folder made without it joins as a learner. */
+	/** Set on the first start of a new fleet. A directory created without it joins as a
+	 * learner. */
 	bool bootstrap;
 	unsigned tick_ms;
-	unsigned election_ms; /* base of the election timeout */
+	unsigned election_ms; /* minimum; each timeout is random, up to twice as long */
 	uint64_t snapshot_entries; /* applied entries between snapshots */
-	uint64_t snapshot_bytes; /* or bytes of log, whichever comes first */
+	uint64_t snapshot_bytes; /* or bytes of applied entries, whichever comes first */
 	void *ctx;
-	/** Applies one command; result is handed to the proposer. Must be deterministic. */
+	/** Applies one command; the proposer gets the result. Must be deterministic. */
 	void (*apply)(void *ctx, uint64_t index, str_t cmd, buf_t *result);
-	/** Appends the whole state to out; commits wait meanwhile, so that it must take much less
-	 * than an election timeout. */
+	/** Appends the whole state to out. Nothing commits in the meantime, so this must take much
+	 * less than an election timeout. */
 	void (*snapshot)(void *ctx, buf_t *out);
 	/** Replaces the whole state. */
 	status_t (*restore)(void *ctx, str_t snap);
-	/** Queues a message to the control process at addr; may drop it. */
+	/** Queues a message to the control process at addr; may drop the message. */
 	void (*send)(void *ctx, const char *addr, unsigned group, str_t msg);
-	/** Called on the group's thread after a change of role. */
+	/** Called after this replica became leader or stopped leading. */
 	void (*role)(void *ctx, bool leader, uint64_t term);
 } group_options_t;
 
-/** Opens the folder, replays it and starts the group's thread. STATUS_CORRUPT names file and
- * offset: the replica must not go on under its old id; rename the folder away and join as a
- * learner.
+/**
+ * Opens the directory, replays the log and starts the group's thread. STATUS_CORRUPT names the file
+ * and the offset; the replica must not continue under its old id then: rename the directory away
+ * and join as a learner.
  *
- *  The first voters' ids follow from their addresses, so a seed that has lost its folder must not
- * be opened with `bootstrap` again: it could vote twice. The caller first asks the other seeds; as
- *  soon as one of them answers with a term above 0, the group exists and `bootstrap` must be false.
+ * The first voters' ids are derived from their addresses, so a seed that has lost its directory
+ * must not be opened with `bootstrap` again: it could vote twice in a term. The caller first asks
+ * the other seeds; once one of them answers with a term above 0, the group exists and `bootstrap`
+ * must be false.
  */
 status_t group_open(const group_options_t *o, group_t **out);
-/** True when dir holds a replica already; `bootstrap` has no effect on it then. */
+/** Returns true if dir already holds a replica; `bootstrap` then has no effect. */
 bool group_exists(const char *dir);
-/** Id of the first voter at a seed's address. */
+/** Returns the id that a first voter derives from its address. */
 uint64_t group_seed_id(unsigned group, const char *addr);
 void group_close(group_t *g);
 
-/** Hands in a message that another replica's send callback was given. */
+/** Delivers a message that another replica passed to its `send` callback. */
 void group_receive(group_t *g, str_t msg);
 
-/** Commits and applies cmd. STATUS_NOT_LEADER: surely not done. STATUS_TIMEOUT: may be done, now or
- * later. STATUS_IO: own disk failed. */
+/** Commits and applies cmd. STATUS_NOT_LEADER: cmd was not applied and never will be.
+ * STATUS_TIMEOUT: cmd may be applied, now or later. STATUS_IO: this replica's disk failed. */
 status_t group_propose(group_t *g, str_t cmd, deadline_t deadline, buf_t *result);
 
-/** Returns STATUS_OK once this replica is known to lead still and has applied all that was
- * committed when the call began. Concurrent calls share one round. */
+/** Returns STATUS_OK once a majority has confirmed that this replica still leads and it has applied
+ * everything that was committed when the call began, so that reads of the state are linearizable.
+ * Concurrent calls share one round of messages. */
 status_t group_read_barrier(group_t *g, deadline_t deadline);
 
-/** Runs fn on the group's thread, between two applies. */
+/** Runs fn on the group's thread, between two applied entries, and waits for it. */
 void group_with_state(group_t *g, void (*fn)(void *ctx, void *arg), void *arg);
 
 typedef struct {
@@ -90,12 +95,12 @@
 	uint64_t last_index;
 	uint64_t snapshot_index;
 	bool leader;
-	char leader_addr[64]; /* empty when unknown */
-	deadline_t leader_since; /* when this replica began to lead; 0 if it doesn't */
+	char leader_addr[64]; /* empty if unknown */
+	deadline_t leader_since; /* when this replica became leader; 0 if it does not lead */
 	unsigned npeers;
 	group_peer_t peers[GROUP_PEERS_MAX];
-	uint64_t match[GROUP_PEERS_MAX]; /* leader only: synced index of each peer */
-	deadline_t last_answer[GROUP_PEERS_MAX]; /* leader only: when each peer last answered */
+	uint64_t match[GROUP_PEERS_MAX]; /* leader only: highest index that each peer has synced */
+	deadline_t last_answer[GROUP_PEERS_MAX]; /* when each peer last sent; 0: never */
 	uint64_t syncs;
 	uint64_t sync_us;
 	uint64_t commands;
@@ -103,15 +108,16 @@
 
 void group_get_status(group_t *g, group_status_t *out);
 
-/** Membership, one change at a time; leader only. Each returns once the change is committed.
- *  STATUS_LIMIT: another change is under way, or no majority of the voters that it leaves has
- * answered lately; group_promote also refuses so until the learner has synced everything committed.
- *  group_add_learner with the id of a member renews its address and availability zone, which the
- *  first voters' entries lack, and leaves its vote as it is. */
+/** Membership changes, one at a time, on the leader only. Each call returns once the change is
+ * committed. STATUS_LIMIT: another change is in progress, or no majority of the voters after the
+ * change has answered within the last election timeout; group_promote also returns it until the
+ * learner has synced everything that is committed. group_add_learner with the id of a member
+ * updates its address and its availability zone, which the first voters are recorded without, and
+ * leaves its vote unchanged. */
 status_t group_add_learner(group_t *g, const group_peer_t *peer, deadline_t deadline);
 status_t group_promote(group_t *g, uint64_t id, deadline_t deadline);
 status_t group_remove(group_t *g, uint64_t id, deadline_t deadline);
-/** Hands leadership to the most advanced voter, for a planned stop. */
+/** Transfers leadership to the most up-to-date other voter, for a planned stop. */
 status_t group_step_down(group_t *g, deadline_t deadline);
 
 #endif
--- a/src/raft/group_calls.c
+++ b/src/raft/group_calls.c
@@ -1,4 +1,5 @@
-/* Calls by other threads: each queues an item and waits for the group's thread to finish it. */
+/* Calls from other threads: each queues an input and waits until the group's thread has handled the
+ * input. */
 #include "raft/group_internal.h"
 
 #include <errno.h>
@@ -7,30 +8,30 @@
 #include <string.h>
 #include <time.h>
 
-void group_queue_push(group_queue_t *l, group_input_t *it)
+void group_queue_push(group_queue_t *q, group_input_t *it)
 {
 	it->next = NULL;
-	if (l->last)
-		l->last->next = it;
+	if (q->last)
+		q->last->next = it;
 	else
-		l->first = it;
-	l->last = it;
+		q->first = it;
+	q->last = it;
 }
 
-group_input_t *group_queue_pop(group_queue_t *l)
+group_input_t *group_queue_pop(group_queue_t *q)
 {
-	group_input_t *it = l->first;
+	group_input_t *it = q->first;
 
 	if (!it)
 		return NULL;
-	l->first = it->next;
-	if (!l->first)
-		l->last = NULL;
+	q->first = it->next;
+	if (!q->first)
+		q->last = NULL;
 	it->next = NULL;
 	return it;
 }
 
-static group_input_t *new_item(group_input_kind_t kind, unsigned refs)
+static group_input_t *new_input(group_input_kind_t kind, unsigned refs)
 {
 	group_input_t *it = mem_new(sizeof(*it));
 	pthread_condattr_t attr;
@@ -44,7 +45,7 @@
 	return it;
 }
 
-/* With the lock held. */
+/* The caller holds the lock. */
 static void unref_locked(group_input_t *it)
 {
 	if (--it->refs > 0)
@@ -87,9 +88,9 @@
 	pthread_cond_timedwait(cond, &g->lock, &ts);
 }
 
-#define WAIT_MAX_MS 1000 /* a wait is cut into such, since its clock doesn't count suspend */
+#define WAIT_MAX_MS 1000 /* long waits are split: the condition's clock stops during suspend */
 
-static void wait_done(group_t *g, group_input_t *it, deadline_t deadline)
+static void wait_until_done(group_t *g, group_input_t *it, deadline_t deadline)
 {
 	while (!it->done) {
 		int64_t left = clock_left_ms(deadline);
@@ -100,8 +101,8 @@
 	}
 }
 
-/* Queues an item, waits for it and lets go of it. */
-static status_t run_item(group_t *g, group_input_t *it, deadline_t deadline, buf_t *result)
+/* Queues an input, waits for its result or the deadline, then drops the caller's reference. */
+static status_t submit_and_wait(group_t *g, group_input_t *it, deadline_t deadline, buf_t *result)
 {
 	status_t st = STATUS_TIMEOUT;
 
@@ -110,12 +111,12 @@
 		it->refs = 1;
 		unref_locked(it);
 		pthread_mutex_unlock(&g->lock);
-		return status_fail(STATUS_NOT_LEADER, "the group is closed");
+		return status_fail(STATUS_NOT_LEADER, "group is closed");
 	}
 	g->callers++;
 	group_queue_push(&g->inbox, it);
 	pthread_cond_signal(&g->wake);
-	wait_done(g, it, deadline);
+	wait_until_done(g, it, deadline);
 	if (it->done)
 		st = it->st;
 	if (st == STATUS_OK && result)
@@ -131,58 +132,58 @@
 
 status_t group_propose(group_t *g, str_t cmd, deadline_t deadline, buf_t *result)
 {
-	group_input_t *it = new_item(GROUP_PROPOSE, 2);
+	group_input_t *it = new_input(GROUP_PROPOSE, 2);
 
 	buf_add(&it->data, cmd);
-	return run_item(g, it, deadline, result);
+	return submit_and_wait(g, it, deadline, result);
 }
 
 status_t group_read_barrier(group_t *g, deadline_t deadline)
 {
-	return run_item(g, new_item(GROUP_READ_BARRIER, 2), deadline, NULL);
+	return submit_and_wait(g, new_input(GROUP_READ_BARRIER, 2), deadline, NULL);
 }
 
 void group_with_state(group_t *g, void (*fn)(void *ctx, void *arg), void *arg)
 {
-	group_input_t *it = new_item(GROUP_WITH_STATE, 2);
+	group_input_t *it = new_input(GROUP_WITH_STATE, 2);
 
 	it->fn = fn;
 	it->arg = arg;
-	run_item(g, it, DEADLINE_NEVER, NULL);
+	submit_and_wait(g, it, DEADLINE_NEVER, NULL);
 }
 
 status_t group_add_learner(group_t *g, const group_peer_t *peer, deadline_t deadline)
 {
-	group_input_t *it = new_item(GROUP_ADD_LEARNER, 2);
+	group_input_t *it = new_input(GROUP_ADD_LEARNER, 2);
 
 	it->peer = *peer;
-	return run_item(g, it, deadline, NULL);
+	return submit_and_wait(g, it, deadline, NULL);
 }
 
 status_t group_promote(group_t *g, uint64_t id, deadline_t deadline)
 {
-	group_input_t *it = new_item(GROUP_PROMOTE, 2);
+	group_input_t *it = new_input(GROUP_PROMOTE, 2);
 
 	it->peer.id = id;
-	return run_item(g, it, deadline, NULL);
+	return submit_and_wait(g, it, deadline, NULL);
 }
 
 status_t group_remove(group_t *g, uint64_t id, deadline_t deadline)
 {
-	group_input_t *it = new_item(GROUP_REMOVE, 2);
+	group_input_t *it = new_input(GROUP_REMOVE, 2);
 
 	it->peer.id = id;
-	return run_item(g, it, deadline, NULL);
+	return submit_and_wait(g, it, deadline, NULL);
 }
 
 status_t group_step_down(group_t *g, deadline_t deadline)
 {
-	return run_item(g, new_item(GROUP_STEP_DOWN, 2), deadline, NULL);
+	return submit_and_wait(g, new_input(GROUP_STEP_DOWN, 2), deadline, NULL);
 }
 
 void group_receive(group_t *g, str_t msg)
 {
-	group_input_t *it = new_item(GROUP_MESSAGE, 1);
+	group_input_t *it = new_input(GROUP_MESSAGE, 1);
 
 	buf_add(&it->data, msg);
 	pthread_mutex_lock(&g->lock);
--- a/src/raft/group_disk.c
+++ b/src/raft/group_disk.c
@@ -1,4 +1,4 @@
-/* The threads that wait for the disk: one syncs the log, a short-lived one writes a snapshot. */
+/* Threads that block on the disk: one syncs the log, a short-lived one writes a snapshot. */
 #include "raft/group_internal.h"
 
 #include <assert.h>
@@ -6,7 +6,7 @@
 
 void group_disk_set_failed(group_t *g)
 {
-	log_event(LOG_LEVEL_ERROR, "disk_failed", LOG_INT("group", g->o.group),
+	log_event(LOG_LEVEL_ERROR, "disk_failed", LOG_INT("group", g->options.group),
 		  LOG_CSTR("what", status_message()));
 	pthread_mutex_lock(&g->lock);
 	g->disk_failed = true;
@@ -21,15 +21,15 @@
 	pthread_mutex_unlock(&g->lock);
 }
 
-/* Waits until something is queued; false: the group closes and nothing is. */
-static bool wait_queued(group_t *g)
+/* Waits until records are queued. Returns false if the group is closing and none are left. */
+static bool wait_for_records(group_t *g)
 {
 	bool has;
 
-	if (!store_has_queued(g->rs))
-		store_write_sync_mark(g->rs);
+	if (!store_has_queued(g->store))
+		store_write_sync_mark(g->store);
 	pthread_mutex_lock(&g->lock);
-	while (!(has = store_has_queued(g->rs)) && !g->disk_stop)
+	while (!(has = store_has_queued(g->store)) && !g->disk_stop)
 		pthread_cond_wait(&g->disk_wake, &g->lock);
 	pthread_mutex_unlock(&g->lock);
 	return has;
@@ -39,10 +39,10 @@
 {
 	group_t *g = arg;
 
-	while (wait_queued(g)) {
+	while (wait_for_records(g)) {
 		uint64_t seq = 0;
 
-		if (store_sync(g->rs, &seq) != STATUS_OK) {
+		if (store_sync(g->store, &seq) != STATUS_OK) {
 			group_disk_set_failed(g);
 			return NULL;
 		}
@@ -54,11 +54,11 @@
 	return NULL;
 }
 
-static void *save_snapshot(void *arg)
+static void *snapshot_thread_main(void *arg)
 {
 	group_t *g = arg;
-	status_t st = store_save_snapshot(g->rs, g->snap_index, g->snap_term,
-					  str_buf(&g->snap_conf), str_buf(&g->snap_state));
+	status_t st = store_save_snapshot(g->store, g->snap_index, g->snap_term,
+					  str_buf(&g->snap_members), str_buf(&g->snap_state));
 
 	if (st != STATUS_OK)
 		group_disk_set_failed(g);
@@ -69,30 +69,31 @@
 	return NULL;
 }
 
-/* Takes the state as of what is applied and has it written. */
+/* Serializes the state as of the last applied entry and starts the thread that writes it. */
 void group_snapshot_begin(group_t *g)
 {
-	raft_members_t conf;
+	raft_members_t members;
 
 	assert(!g->snap_running);
-	g->snap_index = raft_applied_index(g->rf);
-	g->snap_term = raft_term_at(g->rf, g->snap_index);
-	raft_members_at(g->rf, g->snap_index, &conf);
-	g->snap_conf.n = 0;
-	raft_members_encode(&conf, &g->snap_conf);
+	g->snap_index = raft_applied_index(g->raft);
+	g->snap_term = raft_term_at(g->raft, g->snap_index);
+	raft_members_at(g->raft, g->snap_index, &members);
+	g->snap_members.n = 0;
+	raft_members_encode(&members, &g->snap_members);
 	g->snap_state.n = 0;
-	g->o.snapshot(g->o.ctx, &g->snap_state);
+	g->options.snapshot(g->options.ctx, &g->snap_state);
 	g->applied_bytes = 0;
 	g->snap_running = true;
-	if (pthread_create(&g->snap_thread, NULL, save_snapshot, g) != 0)
+	if (pthread_create(&g->snap_thread, NULL, snapshot_thread_main, g) != 0)
 		g->snap_running = false;
 }
 
-/* Joins the thread that has ended, and drops the entries that are no longer needed. */
+/* Joins the snapshot thread, which has ended, and drops the entries that the older snapshot
+ * covers. */
 void group_snapshot_end(group_t *g)
 {
 	group_snapshot_join(g);
-	raft_compact(g->rf, store_oldest_snapshot(g->rs));
+	raft_compact(g->raft, store_oldest_snapshot(g->store));
 }
 
 void group_snapshot_join(group_t *g)
--- a/src/raft/group_internal.h
+++ b/src/raft/group_internal.h
@@ -1,4 +1,4 @@
-/** Inner structure of a group's runtime, shared by its files. */
+/** Internal structure of a group, shared by its files. */
 #ifndef AUBURN_GROUP_INTERNAL_H
 #define AUBURN_GROUP_INTERNAL_H
 
@@ -7,7 +7,7 @@
 #include "raft/raft.h"
 #include "raft/store.h"
 
-#define GROUP_SENDERS_MAX 16 /* senders whose address is remembered */
+#define GROUP_SENDERS_MAX 16 /* members whose last address is remembered */
 
 typedef enum {
 	GROUP_MESSAGE,
@@ -20,7 +20,8 @@
 	GROUP_WITH_STATE
 } group_input_kind_t;
 
-/** One input to the group's thread. A caller that waits shares it; the last one frees it. */
+/** One input to the group's thread. A waiting caller and the thread each hold a reference; the last
+ * one to drop its reference frees the input. */
 typedef struct group_input {
 	struct group_input *next;
 	group_input_kind_t kind;
@@ -28,12 +29,12 @@
 	pthread_cond_t cond;
 	bool done;
 	status_t st;
-	char message[256]; /* what status_fail said on the group's thread */
+	char message[256]; /* error text set on the group's thread */
 	buf_t data; /* command or message; then the result */
 	group_peer_t peer;
 	void (*fn)(void *ctx, void *arg);
 	void *arg;
-	uint64_t index; /* entry that the item waits for */
+	uint64_t index; /* log index that a proposal waits for */
 	uint64_t term;
 } group_input_t;
 
@@ -45,73 +46,81 @@
 typedef struct {
 	uint64_t id;
 	char addr[64];
-	deadline_t heard;
+	deadline_t last_message;
 } group_sender_t;
 
-struct gr {
-	group_options_t o;
+struct group {
+	group_options_t options;
 	char *addr;
-	store_t *rs;
+	store_t *store;
 
-	pthread_mutex_t lock; /* guards the inbox and the fields up to the core */
-	pthread_cond_t wake; /* the group's thread */
+	pthread_mutex_t lock; /* guards the inbox and the fields down to status */
+	pthread_cond_t wake; /* wakes the group's thread */
 	pthread_cond_t disk_wake;
-	pthread_cond_t idle; /* no caller waits any more */
+	pthread_cond_t idle; /* signalled when no caller waits any more */
 	unsigned callers;
 	group_queue_t inbox;
 	bool stop;
 	bool disk_stop;
 	bool disk_failed;
 	uint64_t synced_seq;
-	bool snap_saved; /* the thread that writes a snapshot has ended */
+	bool snap_saved; /* the snapshot thread has ended */
 	group_status_t status;
 
-	/* The group's thread only. */
-	raft_t *rf;
-	group_queue_t pending; /* proposals by index */
-	group_queue_t orphans; /* proposals of a leadership that has ended */
-	group_queue_t stepping; /* wait for the end of leading */
-	group_sender_t known[GROUP_SENDERS_MAX];
-	deadline_t led_since;
+	/* used by the group's thread only */
+	raft_t *raft;
+	group_queue_t proposals; /* waiting to be applied, by index */
+	group_queue_t old_proposals; /* from before leadership was lost; their outcome is open */
+	group_queue_t step_downs; /* callers that wait until this replica no longer leads */
+	group_sender_t senders[GROUP_SENDERS_MAX];
+	deadline_t leader_since;
 	uint64_t commands;
 	uint64_t applied_bytes; /* since the last snapshot */
-	uint64_t snap_index; /* newest that was begun */
+	uint64_t snap_index; /* newest snapshot that was begun or installed */
 	bool snap_running;
 	buf_t snap_state;
-	buf_t snap_conf;
+	buf_t snap_members;
 	uint64_t snap_term;
-	buf_t encoded;
-	buf_t scratch;
+	buf_t encoded_msg; /* message being sent */
+	buf_t cmd_result; /* of the command being applied */
 
 	pthread_t thread;
 	pthread_t disk_thread;
 	pthread_t snap_thread;
 };
 
-void group_queue_push(group_queue_t *l, group_input_t *it);
-group_input_t *group_queue_pop(group_queue_t *l);
+void group_queue_push(group_queue_t *q, group_input_t *it);
+group_input_t *group_queue_pop(group_queue_t *q);
 
-/* group_thread_main.c */
+/* group_thread.c */
+/** Main function of the group's thread. */
 void *group_thread_main(void *arg);
 
-/* gr_calls.c */
+/* group_calls.c */
+/** Answers the waiting caller with st and drops the reference of the group's thread. */
 void group_input_finish(group_t *g, group_input_t *it, status_t st);
-/** Waits with the lock held, at most so many ms. */
+/** Waits on cond for at most ms; the caller holds the lock. */
 void group_cond_wait(group_t *g, pthread_cond_t *cond, int64_t ms);
 void group_input_unref(group_t *g, group_input_t *it);
 
-/* gr_core.c */
+/* group_raft.c */
 void group_raft_callbacks(group_t *g, raft_callbacks_t *cb);
+/** Returns the address that the replica last sent from, else the one in the members list; NULL if
+ * unknown. */
 const char *group_addr_of(group_t *g, uint64_t id);
+/** Records the address that m was sent from and the time. */
 void group_remember_sender(group_t *g, const raft_msg_t *m);
 
-/* gr_disk.c */
+/* group_disk.c */
+/** Main function of the thread that syncs the log. */
 void *group_disk_thread_main(void *arg);
 void group_disk_wake(group_t *g);
-/** Tells the group's thread, and the log, that the disk has failed; status_message says how. */
+/** Logs that the disk has failed, with the thread's last error text, and notifies the group's
+ * thread. */
 void group_disk_set_failed(group_t *g);
 void group_snapshot_begin(group_t *g);
 void group_snapshot_end(group_t *g);
+/** Waits for the snapshot thread, if one runs. */
 void group_snapshot_join(group_t *g);
 
 #endif
--- a/src/raft/group_raft.c
+++ b/src/raft/group_raft.c
@@ -1,4 +1,5 @@
-/* The core's callbacks: sending, the store, applying, and the answers to waiting callers. */
+/* Callbacks of the Raft core: sending, persisting, applying, and answering the callers that
+ * wait. */
 #include "raft/group_internal.h"
 
 #include <assert.h>
@@ -6,48 +7,47 @@
 #include <string.h>
 #include "proto/wire.h"
 
-static group_sender_t *find_known(group_t *g, uint64_t id)
+static group_sender_t *find_sender(group_t *g, uint64_t id)
 {
 	for (unsigned i = 0; i < GROUP_SENDERS_MAX; i++) {
-		if (g->known[i].id == id)
-			return &g->known[i];
+		if (g->senders[i].id == id)
+			return &g->senders[i];
 	}
 	return NULL;
 }
 
-/* The place of a new sender: a free one, or that of whoever was silent for longest. */
-static group_sender_t *oldest_known(group_t *g)
+/* Returns the record to reuse for a new sender: a free one, else the one silent for longest. */
+static group_sender_t *least_recent_sender(group_t *g)
 {
-	group_sender_t *best = &g->known[0];
+	group_sender_t *best = &g->senders[0];
 
 	for (unsigned i = 1; i < GROUP_SENDERS_MAX; i++) {
-		if (g->known[i].heard < best->heard)
-			best = &g->known[i];
+		if (g->senders[i].last_message < best->last_message)
+			best = &g->senders[i];
 	}
 	return best;
 }
 
 void group_remember_sender(group_t *g, const raft_msg_t *m)
 {
-	group_sender_t *k = find_known(g, m->from);
+	group_sender_t *k = find_sender(g, m->from);
 
 	if (!k)
-		k = oldest_known(g);
+		k = least_recent_sender(g);
 	k->id = m->from;
-	k->heard = clock_now_ms();
+	k->last_message = clock_now_ms();
 	snprintf(k->addr, sizeof(k->addr), "%.*s", (int)m->addr.addr_len, m->addr.addr_val);
 }
 
-/* Where a replica was last heard from, else where the members' list has it. */
 const char *group_addr_of(group_t *g, uint64_t id)
 {
-	const group_sender_t *k = id ? find_known(g, id) : NULL;
+	const group_sender_t *k = id ? find_sender(g, id) : NULL;
 	static _Thread_local raft_status_t v;
 	int at;
 
 	if (k)
 		return k->addr;
-	raft_get_status(g->rf, &v);
+	raft_get_status(g->raft, &v);
 	at = raft_members_find(&v.members, id);
 	if (id == v.self)
 		return g->addr;
@@ -64,51 +64,52 @@
 		return;
 	copy.addr.addr_val = g->addr;
 	copy.addr.addr_len = (u_int)strlen(g->addr);
-	g->encoded.n = 0;
-	wire_encode(&g->encoded, XDR_PROC(raft_msg_t), &copy);
-	g->o.send(g->o.ctx, addr, g->o.group, str_buf(&g->encoded));
+	g->encoded_msg.n = 0;
+	wire_encode(&g->encoded_msg, XDR_PROC(raft_msg_t), &copy);
+	g->options.send(g->options.ctx, addr, g->options.group, str_buf(&g->encoded_msg));
 }
 
-static void on_hard(void *ctx, uint64_t seq, uint64_t term, uint64_t vote)
+static void on_persist_hard_state(void *ctx, uint64_t seq, uint64_t term, uint64_t vote)
 {
 	group_t *g = ctx;
 
-	store_queue_hard_state(g->rs, seq, term, vote);
+	store_queue_hard_state(g->store, seq, term, vote);
 	group_disk_wake(g);
 }
 
-static void on_entries(void *ctx, uint64_t seq, uint64_t from, const raft_entry_t *e, size_t n)
+static void on_persist_entries(void *ctx, uint64_t seq, uint64_t from, const raft_entry_t *e,
+			       size_t n)
 {
 	group_t *g = ctx;
 
-	store_queue_entries(g->rs, seq, from, e, n);
+	store_queue_entries(g->store, seq, from, e, n);
 	group_disk_wake(g);
 }
 
-static void on_reset(void *ctx, uint64_t seq, uint64_t index, uint64_t term)
+static void on_persist_reset(void *ctx, uint64_t seq, uint64_t index, uint64_t term)
 {
 	group_t *g = ctx;
 
-	store_queue_reset(g->rs, seq, index, term);
+	store_queue_reset(g->store, seq, index, term);
 	group_disk_wake(g);
 }
 
-/* Takes the caller who waits for the entry at index, if there is one. */
-static group_input_t *take_waiting(group_t *g, uint64_t index)
+/* Removes and returns the proposal that waits for the entry at index; NULL if there is none. */
+static group_input_t *pop_proposal(group_t *g, uint64_t index)
 {
-	if (g->pending.first && g->pending.first->index == index)
-		return group_queue_pop(&g->pending);
-	assert(!g->pending.first || g->pending.first->index > index);
+	if (g->proposals.first && g->proposals.first->index == index)
+		return group_queue_pop(&g->proposals);
+	assert(!g->proposals.first || g->proposals.first->index > index);
 	return NULL;
 }
 
-/* Answers the callers of ended leaderships who waited for the entry at index. */
-static void answer_orphans(group_t *g, uint64_t index, uint64_t term, str_t result)
+/* Answers the proposals of earlier leaderships that wait for the entry at index. */
+static void finish_old_proposals(group_t *g, uint64_t index, uint64_t term, str_t result)
 {
 	group_queue_t rest = {0};
 	group_input_t *it;
 
-	while ((it = group_queue_pop(&g->orphans))) {
+	while ((it = group_queue_pop(&g->old_proposals))) {
 		if (it->index != index) {
 			group_queue_push(&rest, it);
 		} else if (it->term == term) {
@@ -116,51 +117,53 @@
 			buf_add(&it->data, result);
 			group_input_finish(g, it, STATUS_OK);
 		} else {
-			group_input_finish(g, it,
-					   status_fail(STATUS_NOT_LEADER,
-						       "another leader's entry took the place"));
+			group_input_finish(
+				g, it,
+				status_fail(STATUS_NOT_LEADER,
+					    "overwritten by an entry of another leader"));
 		}
 	}
-	g->orphans = rest;
+	g->old_proposals = rest;
 }
 
 static void on_apply(void *ctx, uint64_t index, const raft_entry_t *e)
 {
 	group_t *g = ctx;
-	group_input_t *it = take_waiting(g, index);
+	group_input_t *it = pop_proposal(g, index);
 
-	g->scratch.n = 0;
+	g->cmd_result.n = 0;
 	g->applied_bytes += e->data.data_len;
 	if (e->kind == RAFT_ENTRY_COMMAND) {
 		g->commands++;
-		g->o.apply(g->o.ctx, index, (str_t){e->data.data_val, e->data.data_len},
-			   &g->scratch);
+		g->options.apply(g->options.ctx, index, (str_t){e->data.data_val, e->data.data_len},
+				 &g->cmd_result);
 	}
 	if (it) {
 		assert(it->term == e->term);
 		it->data.n = 0;
-		buf_add(&it->data, str_buf(&g->scratch));
+		buf_add(&it->data, str_buf(&g->cmd_result));
 		group_input_finish(g, it, STATUS_OK);
 	}
-	if (g->orphans.first)
-		answer_orphans(g, index, e->term, str_buf(&g->scratch));
+	if (g->old_proposals.first)
+		finish_old_proposals(g, index, e->term, str_buf(&g->cmd_result));
 }
 
 static bool on_snap_read(void *ctx, raft_snap_chunk_t *c)
 {
 	group_t *g = ctx;
 
-	return store_read_snapshot(g->rs, c);
+	return store_read_snapshot(g->store, c);
 }
 
-/* Callers whose entry a snapshot jumped over can't learn what became of it. */
-static void finish_unknown(group_t *g, group_queue_t *l)
+/* Fails proposals whose entries a received snapshot replaced: whether these were committed is
+ * unknown. */
+static void fail_with_unknown_outcome(group_t *g, group_queue_t *q)
 {
 	group_input_t *it;
 
-	while ((it = group_queue_pop(l)))
-		group_input_finish(g, it,
-				   status_fail(STATUS_TIMEOUT, "may be done: leadership was lost"));
+	while ((it = group_queue_pop(q)))
+		group_input_finish(
+			g, it, status_fail(STATUS_TIMEOUT, "outcome unknown: leadership was lost"));
 }
 
 static bool on_snap_write(void *ctx, const raft_snap_chunk_t *c)
@@ -171,18 +174,18 @@
 
 	if (c->last)
 		group_snapshot_join(g);
-	st = store_receive_snapshot(g->rs, c);
+	st = store_receive_snapshot(g->store, c);
 	if (st == STATUS_OK && c->last)
-		st = store_load_snapshot(g->rs, c->index, &state);
+		st = store_load_snapshot(g->store, c->index, &state);
 	if (st == STATUS_OK && c->last)
-		st = g->o.restore(g->o.ctx, str_buf(&state));
+		st = g->options.restore(g->options.ctx, str_buf(&state));
 	if (st != STATUS_OK && st != STATUS_INVALID)
 		group_disk_set_failed(g);
 	if (st != STATUS_OK || !c->last)
 		return st == STATUS_OK;
 	g->snap_index = c->index;
 	g->applied_bytes = 0;
-	finish_unknown(g, &g->orphans);
+	fail_with_unknown_outcome(g, &g->old_proposals);
 	return true;
 }
 
@@ -201,22 +204,22 @@
 	bool leader = role == RAFT_LEADER;
 	group_input_t *it;
 
-	g->led_since = leader ? clock_now_ms() : 0;
-	while (!leader && (it = group_queue_pop(&g->pending)))
-		group_queue_push(&g->orphans, it);
-	while (!leader && (it = group_queue_pop(&g->stepping)))
+	g->leader_since = leader ? clock_now_ms() : 0;
+	while (!leader && (it = group_queue_pop(&g->proposals)))
+		group_queue_push(&g->old_proposals, it);
+	while (!leader && (it = group_queue_pop(&g->step_downs)))
 		group_input_finish(g, it, STATUS_OK);
-	if (g->o.role)
-		g->o.role(g->o.ctx, leader, term);
+	if (g->options.role)
+		g->options.role(g->options.ctx, leader, term);
 }
 
 void group_raft_callbacks(group_t *g, raft_callbacks_t *cb)
 {
 	*cb = (raft_callbacks_t){.ctx = g,
 				 .send = on_send,
-				 .persist_hard_state = on_hard,
-				 .persist_entries = on_entries,
-				 .persist_reset = on_reset,
+				 .persist_hard_state = on_persist_hard_state,
+				 .persist_entries = on_persist_entries,
+				 .persist_reset = on_persist_reset,
 				 .apply = on_apply,
 				 .snap_read = on_snap_read,
 				 .snap_write = on_snap_write,
--- a/src/raft/store_file.c
+++ b/src/raft/store_file.c
@@ -9,10 +9,10 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#define READ_BYTES  (1024 * 1024)
-#define PIECE_BYTES (1024 * 1024)
+#define READ_BYTES	    (1024 * 1024)
+#define SYNC_INTERVAL_BYTES (1024 * 1024)
 
-static long fault_value(const char *env, const char *key)
+static long parse_fault(const char *env, const char *key)
 {
 	const char *at = env ? strstr(env, key) : NULL;
 
@@ -23,8 +23,8 @@
 {
 	const char *env = getenv("AUBURN_DISK_FAULT");
 
-	f->fsync_fail_after = fault_value(env, "fsync_fail_after=");
-	f->full_after_bytes = fault_value(env, "full_after_bytes=");
+	f->fsync_fail_after = parse_fault(env, "fsync_fail_after=");
+	f->full_after_bytes = parse_fault(env, "full_after_bytes=");
 }
 
 static status_t io_error(const char *what, const char *name)
@@ -32,8 +32,8 @@
 	return status_fail(STATUS_IO, "%s: %s: %s", name, what, strerror(errno));
 }
 
-/* Takes n bytes from the bound of a disk that is to become full. */
-static bool take_room(store_disk_fault_t *f, size_t n)
+/* Subtracts n bytes from the space left on a simulated full disk; false if there is not enough. */
+static bool fault_allows_write(store_disk_fault_t *f, size_t n)
 {
 	long left = __atomic_load_n(&f->full_after_bytes, __ATOMIC_RELAXED);
 
@@ -47,7 +47,7 @@
 
 status_t store_file_write(store_disk_fault_t *f, int fd, const char *name, str_t data, off_t at)
 {
-	if (!take_room(f, data.n)) {
+	if (!fault_allows_write(f, data.n)) {
 		errno = ENOSPC;
 		return io_error("write", name);
 	}
@@ -65,7 +65,8 @@
 	return STATUS_OK;
 }
 
-static bool sync_may_succeed(store_disk_fault_t *f)
+/* Counts a sync against the injected limit; false once the limit is reached. */
+static bool fault_allows_sync(store_disk_fault_t *f)
 {
 	long left = __atomic_load_n(&f->fsync_fail_after, __ATOMIC_RELAXED);
 
@@ -77,7 +78,7 @@
 
 status_t store_file_sync(store_disk_fault_t *f, int fd, const char *name)
 {
-	if (!sync_may_succeed(f) || fdatasync(fd) != 0)
+	if (!fault_allows_sync(f) || fdatasync(fd) != 0)
 		return io_error("sync", name);
 	return STATUS_OK;
 }
@@ -89,7 +90,7 @@
 
 	if (fd < 0)
 		return io_error("open", dir);
-	st = sync_may_succeed(f) && fsync(fd) == 0 ? STATUS_OK : io_error("sync", dir);
+	st = fault_allows_sync(f) && fsync(fd) == 0 ? STATUS_OK : io_error("sync", dir);
 	close(fd);
 	return st;
 }
@@ -111,16 +112,18 @@
 	return n < 0 ? io_error("read", path) : STATUS_OK;
 }
 
-/* Writes data with a sync after each piece: much unsynced data would hold up the log's syncs. */
-static status_t write_pieces(store_disk_fault_t *f, int fd, const char *name, str_t data, off_t *at)
+/* Writes data with a sync after each piece: a large amount of unsynced data would delay the syncs
+ * of the log. */
+static status_t write_with_syncs(store_disk_fault_t *f, int fd, const char *name, str_t data,
+				 off_t *at)
 {
 	status_t st = STATUS_OK;
 
 	while (data.n > 0 && st == STATUS_OK) {
-		size_t n = data.n < PIECE_BYTES ? data.n : PIECE_BYTES;
+		size_t n = data.n < SYNC_INTERVAL_BYTES ? data.n : SYNC_INTERVAL_BYTES;
 
 		st = store_file_write(f, fd, name, (str_t){data.p, n}, *at);
-		if (st == STATUS_OK && n == PIECE_BYTES)
+		if (st == STATUS_OK && n == SYNC_INTERVAL_BYTES)
 			st = store_file_sync(f, fd, name);
 		data.p += n;
 		data.n -= n;
@@ -136,7 +139,7 @@
 	off_t at = 0;
 
 	for (size_t i = 0; i < n && st == STATUS_OK; i++)
-		st = write_pieces(f, fd, name, parts[i], &at);
+		st = write_with_syncs(f, fd, name, parts[i], &at);
 	return st;
 }
 
@@ -193,7 +196,7 @@
 	return x < y ? -1 : x > y;
 }
 
-static bool read_number(const char *name, const char *prefix, uint64_t *out)
+static bool parse_numbered_name(const char *name, const char *prefix, uint64_t *out)
 {
 	size_t n = strlen(prefix);
 	char *end;
@@ -213,7 +216,7 @@
 	size_t n = 0;
 
 	while (d && (e = readdir(d))) {
-		if (!read_number(e->d_name, prefix, &number))
+		if (!parse_numbered_name(e->d_name, prefix, &number))
 			continue;
 		v = mem_grow(v, (n + 1) * sizeof(*v));
 		v[n++] = number;
--- a/src/raft/store_file.h
+++ b/src/raft/store_file.h
@@ -1,4 +1,4 @@
-/** Files of the store, with faults that a test may ask for. */
+/** File operations of the store, with disk faults that tests can inject. */
 #ifndef AUBURN_STORE_FILE_H
 #define AUBURN_STORE_FILE_H
 
@@ -7,11 +7,11 @@
 #include "base/status.h"
 #include "base/str.h"
 
-/** Read from AUBURN_DISK_FAULT when a store is opened, like "fsync_fail_after=100" or
- *  "full_after_bytes=65536"; several are parted by commas. */
+/** Read from AUBURN_DISK_FAULT when a store is opened: "fsync_fail_after=100",
+ * "full_after_bytes=65536", or both separated by a comma. */
 typedef struct {
 	long fsync_fail_after; /* syncs that succeed; -1: all */
-	long full_after_bytes; /* bytes that can be written; -1: no bound */
+	long full_after_bytes; /* bytes that can be written; -1: no limit */
 } store_disk_fault_t;
 
 void store_disk_fault_from_env(store_disk_fault_t *f);
@@ -19,18 +19,18 @@
 /** Each fails with STATUS_IO and a message that names the file. */
 status_t store_file_write(store_disk_fault_t *f, int fd, const char *name, str_t data, off_t at);
 status_t store_file_sync(store_disk_fault_t *f, int fd, const char *name);
-/** Syncs the folder itself, so that names made or removed in it last. */
+/** Syncs the directory itself, so that files created, renamed or removed in it are durable. */
 status_t store_dir_sync(store_disk_fault_t *f, const char *dir);
 /** Appends the whole file to out. */
 status_t store_file_read(const char *path, buf_t *out);
-/** Writes the parts to a file under a temporary name, syncs it, renames it and syncs the folder. */
+/** Writes the parts to a temporary file, syncs it, renames it and syncs the directory. */
 status_t store_file_replace(store_disk_fault_t *f, const char *dir, const char *name,
 			    const str_t *parts, size_t n);
-/** Makes a folder and those above it. */
+/** Creates a directory and its parents. */
 status_t store_dir_make(store_disk_fault_t *f, const char *dir);
 
-/** Numbers, ascending, of the files named by the prefix and a number in hex; *out is the caller's
- * to free. */
+/** Lists the numbers, ascending, of the files named by the prefix and a hexadecimal number; the
+ * caller frees *out. */
 size_t store_list_numbered_files(const char *dir, const char *prefix, uint64_t **out);
 
 #define STORE_PATH_BYTES 512
--- a/src/raft/store_internal.h
+++ b/src/raft/store_internal.h
@@ -1,4 +1,4 @@
-/** Inner structure and file formats of the store, shared by its files. */
+/** Internal structure and file formats of the store, shared by its files. */
 #ifndef AUBURN_STORE_INTERNAL_H
 #define AUBURN_STORE_INTERNAL_H
 
@@ -15,7 +15,8 @@
 #define STORE_SNAPS_MAX	    2
 #define STORE_CHUNK_BYTES   (256 * 1024)
 
-/** STORE_RECORD_SYNC_MARK holds nothing: it shows that what is before it was synced. */
+/** STORE_RECORD_SYNC_MARK has no data; its synced_len proves that the records before it were
+ * synced. */
 typedef enum {
 	STORE_RECORD_ENTRY = 1,
 	STORE_RECORD_HARD_STATE = 2,
@@ -23,16 +24,16 @@
 	STORE_RECORD_SYNC_MARK = 4
 } store_record_type_t;
 
-/** Starts each record of a segment; data and padding to STORE_RECORD_ALIGN follow. */
+/** Header of each record of a segment; the data and padding to STORE_RECORD_ALIGN follow. */
 typedef struct {
 	uint32_t magic;
-	uint32_t crc; /* of what follows in the header, and of the data */
+	uint32_t crc; /* of the rest of the header and the data */
 	uint32_t len; /* of the data, without padding */
 	uint16_t type;
 	uint16_t entry_kind;
 	uint64_t index; /* STORE_RECORD_HARD_STATE: the vote */
 	uint64_t term;
-	uint64_t synced_len; /* length of the segment that was synced before this was written */
+	uint64_t synced_len; /* length of the segment synced before this record was written */
 } store_record_t;
 
 typedef struct {
@@ -43,12 +44,12 @@
 	uint32_t zero;
 } store_segment_header_t;
 
-/** Snapshot file: this, the members, the state, then store_snap_footer_t. */
+/** Snapshot file: this header, the members, the state, then store_snap_footer_t. */
 typedef struct {
 	uint64_t magic;
 	uint64_t index;
 	uint64_t term;
-	uint32_t conf_len;
+	uint32_t members_len;
 	uint32_t crc; /* of the fields above and the members */
 } store_snap_header_t;
 
@@ -60,38 +61,38 @@
 
 typedef struct {
 	uint64_t number;
-	uint64_t max_index; /* of its entries */
+	uint64_t max_index; /* highest index of its entries */
 } store_segment_t;
 
 typedef struct {
 	uint64_t index;
 	uint64_t term;
 	uint64_t len; /* of the state */
-	uint64_t at; /* offset of the state in the file */
+	uint64_t state_offset; /* of the state in the file */
 	uint32_t crc; /* of the state */
 	int fd;
-	buf_t conf;
+	buf_t members;
 } store_snap_t;
 
-/** A snapshot that arrives in pieces. */
+/** A snapshot that is being received. */
 typedef struct {
 	int fd; /* -1: none */
 	uint64_t index;
-	uint64_t at; /* offset of the state in the file */
+	uint64_t state_offset; /* of the state in the file */
 	uint64_t len;
 	uint32_t crc;
 } store_incoming_snap_t;
 
-struct rs {
+struct store {
 	char dir[STORE_PATH_BYTES - 64];
 	uint64_t id;
 	uint64_t segment_bytes;
 	store_disk_fault_t fault;
-	pthread_mutex_t lock; /* guards what follows, up to the file */
+	pthread_mutex_t lock; /* guards the fields down to counters */
 	buf_t queued;
 	uint64_t queued_seq;
 	uint64_t queued_max; /* highest index among the queued entries */
-	store_record_t hard; /* newest, queued or written */
+	store_record_t hard_state; /* newest term and vote, queued or written */
 	bool failed;
 	store_segment_t *segments; /* the last one is being written */
 	size_t nsegments;
@@ -99,31 +100,37 @@
 	unsigned nsnaps;
 	store_counters_t counters;
 
-	/* Used by the syncing thread only. */
+	/* used by the syncing thread only */
 	buf_t writing;
-	int fd;
+	int segment_fd;
 	uint64_t number; /* of the segment being written */
-	bool marked; /* nothing was written since the newest STORE_RECORD_SYNC_MARK */
-	uint64_t size;
+	bool has_sync_mark; /* nothing was written after the newest STORE_RECORD_SYNC_MARK */
+	uint64_t size; /* bytes written to this segment */
 	buf_t chunk; /* used by the group's thread only */
-	buf_t chunk_conf;
-	store_incoming_snap_t in;
+	buf_t chunk_members;
+	store_incoming_snap_t incoming;
 };
 
 uint32_t store_crc(uint32_t crc, const void *p, size_t n);
 
-/* rs_log.c */
+/* store_log.c */
+/** Creates the segment and continues the log in it. */
 status_t store_segment_begin(store_t *s, uint64_t number);
+/** Opens the last segment, which has this many valid bytes, to append to it. */
 status_t store_segment_continue(store_t *s, uint64_t size);
 void store_segment_path(const store_t *s, uint64_t number, char path[STORE_PATH_BYTES]);
+/** Adds a segment to the list of segments. */
 void store_segment_add(store_t *s, uint64_t number, uint64_t max_index);
+/** Removes the segments without entries after index. */
 void store_segments_remove(store_t *s, uint64_t index);
 
 /* store_replay.c */
-status_t store_replay(store_t *s, store_contents_t *state);
+/** Reads the log from the segments into contents. */
+status_t store_replay(store_t *s, store_contents_t *contents);
 
-/* rs_snap.c */
-status_t store_snaps_find(store_t *s, store_contents_t *state);
+/* store_snapshot.c */
+/** Loads the newest valid snapshot into contents; damaged ones are renamed and skipped. */
+status_t store_snaps_find(store_t *s, store_contents_t *contents);
 void store_snaps_close(store_t *s);
 
 #endif
--- a/src/raft/store_log.c
+++ b/src/raft/store_log.c
@@ -1,4 +1,4 @@
-/* Writing: records are queued by one thread and written with one sync by another. */
+/* Writing the log: one thread queues records, another writes them with one sync. */
 #include "raft/store_internal.h"
 
 #include <assert.h>
@@ -11,16 +11,16 @@
 #include <isa-l.h>
 #include "base/clock.h"
 
-#define CRC_BYTES (1 << 30) /* the library counts in an int */
+#define CRC_CALL_BYTES_MAX (1 << 30) /* crc32_iscsi takes the length as an int */
 
 uint32_t store_crc(uint32_t crc, const void *p, size_t n)
 {
 	unsigned char *at = (unsigned char *)p;
 
-	while (n > CRC_BYTES) {
-		crc = crc32_iscsi(at, CRC_BYTES, crc);
-		at += CRC_BYTES;
-		n -= CRC_BYTES;
+	while (n > CRC_CALL_BYTES_MAX) {
+		crc = crc32_iscsi(at, CRC_CALL_BYTES_MAX, crc);
+		at += CRC_CALL_BYTES_MAX;
+		n -= CRC_CALL_BYTES_MAX;
 	}
 	return crc32_iscsi(at, (int)n, crc);
 }
@@ -38,7 +38,7 @@
 	pthread_mutex_unlock(&s->lock);
 }
 
-static void add_record(buf_t *out, store_record_t rec, str_t data)
+static void append_record(buf_t *out, store_record_t rec, str_t data)
 {
 	static const char zeros[STORE_RECORD_ALIGN];
 	size_t over = data.n % STORE_RECORD_ALIGN;
@@ -54,8 +54,9 @@
 void store_queue_hard_state(store_t *s, uint64_t seq, uint64_t term, uint64_t vote)
 {
 	pthread_mutex_lock(&s->lock);
-	s->hard = (store_record_t){.type = STORE_RECORD_HARD_STATE, .index = vote, .term = term};
-	add_record(&s->queued, s->hard, (str_t){0});
+	s->hard_state =
+		(store_record_t){.type = STORE_RECORD_HARD_STATE, .index = vote, .term = term};
+	append_record(&s->queued, s->hard_state, (str_t){0});
 	s->queued_seq = seq;
 	pthread_mutex_unlock(&s->lock);
 }
@@ -69,7 +70,7 @@
 				      .index = from + i,
 				      .term = e[i].term};
 
-		add_record(&s->queued, rec, (str_t){e[i].data.data_val, e[i].data.data_len});
+		append_record(&s->queued, rec, (str_t){e[i].data.data_val, e[i].data.data_len});
 	}
 	if (s->queued_max < from + n - 1)
 		s->queued_max = from + n - 1;
@@ -80,9 +81,9 @@
 void store_queue_reset(store_t *s, uint64_t seq, uint64_t index, uint64_t term)
 {
 	pthread_mutex_lock(&s->lock);
-	add_record(&s->queued,
-		   (store_record_t){.type = STORE_RECORD_RESET, .index = index, .term = term},
-		   (str_t){0});
+	append_record(&s->queued,
+		      (store_record_t){.type = STORE_RECORD_RESET, .index = index, .term = term},
+		      (str_t){0});
 	s->queued_seq = seq;
 	pthread_mutex_unlock(&s->lock);
 }
@@ -97,8 +98,9 @@
 	return has;
 }
 
-/* Fills in what is known only at the time of writing. */
-static void seal_records(buf_t *b, uint64_t synced)
+/* Sets the fields of queued records that are known only when they are written: synced_len and the
+ * checksum. */
+static void finalize_records(buf_t *b, uint64_t synced)
 {
 	size_t at = 0;
 
@@ -117,22 +119,23 @@
 	assert(at == b->n);
 }
 
-static status_t write_synced(store_t *s, buf_t *b)
+static status_t write_and_sync(store_t *s, buf_t *b)
 {
 	char path[STORE_PATH_BYTES];
 	status_t st;
 
 	store_segment_path(s, s->number, path);
-	seal_records(b, s->size);
-	st = store_file_write(&s->fault, s->fd, path, str_buf(b), (off_t)s->size);
+	finalize_records(b, s->size);
+	st = store_file_write(&s->fault, s->segment_fd, path, str_buf(b), (off_t)s->size);
 	if (st == STATUS_OK)
-		st = store_file_sync(&s->fault, s->fd, path);
+		st = store_file_sync(&s->fault, s->segment_fd, path);
 	if (st == STATUS_OK)
 		s->size += b->n;
 	return st;
 }
 
-/* Makes a segment; its first record repeats term and vote, so that older ones may go. */
+/* Creates a segment. Its first record repeats term and vote, so that older segments can be
+ * removed. */
 status_t store_segment_begin(store_t *s, uint64_t number)
 {
 	store_segment_header_t h = {STORE_SEGMENT_MAGIC, s->id, number, 0, 0};
@@ -143,20 +146,21 @@
 
 	h.crc = store_crc(0, &h, offsetof(store_segment_header_t, crc));
 	store_segment_path(s, number, path);
-	s->fd = open(path, O_CREAT | O_TRUNC | O_RDWR | O_CLOEXEC, 0600);
-	if (s->fd < 0)
+	s->segment_fd = open(path, O_CREAT | O_TRUNC | O_RDWR | O_CLOEXEC, 0600);
+	if (s->segment_fd < 0)
 		return status_fail(STATUS_IO, "%s: open: %s", path, strerror(errno));
 	s->number = number;
 	s->size = sizeof(h);
 	store_segment_add(s, number, 0);
-	st = store_file_write(&s->fault, s->fd, path, (str_t){(const char *)&h, sizeof(h)}, 0);
+	st = store_file_write(&s->fault, s->segment_fd, path, (str_t){(const char *)&h, sizeof(h)},
+			      0);
 	if (st != STATUS_OK)
 		return st;
 	pthread_mutex_lock(&s->lock);
-	hard = s->hard;
+	hard = s->hard_state;
 	pthread_mutex_unlock(&s->lock);
-	add_record(&b, hard, (str_t){0});
-	st = write_synced(s, &b);
+	append_record(&b, hard, (str_t){0});
+	st = write_and_sync(s, &b);
 	return st == STATUS_OK ? store_dir_sync(&s->fault, s->dir) : st;
 }
 
@@ -166,20 +170,20 @@
 
 	s->number = s->segments[s->nsegments - 1].number;
 	store_segment_path(s, s->number, path);
-	s->fd = open(path, O_RDWR | O_CLOEXEC);
-	if (s->fd < 0)
+	s->segment_fd = open(path, O_RDWR | O_CLOEXEC);
+	if (s->segment_fd < 0)
 		return status_fail(STATUS_IO, "%s: open: %s", path, strerror(errno));
 	s->size = size;
 	return STATUS_OK;
 }
 
-static status_t begin_next_segment(store_t *s)
+static status_t rotate_segment(store_t *s)
 {
-	close(s->fd);
+	close(s->segment_fd);
 	return store_segment_begin(s, s->number + 1);
 }
 
-/* Takes what is queued; its number is *seq. */
+/* Takes all queued records for writing; *seq is the sequence number of the newest. */
 static status_t take_queued(store_t *s, uint64_t *seq)
 {
 	store_segment_t *seg;
@@ -188,7 +192,7 @@
 	pthread_mutex_lock(&s->lock);
 	if (s->failed) {
 		pthread_mutex_unlock(&s->lock);
-		return status_fail(STATUS_IO, "%s: the disk failed before", s->dir);
+		return status_fail(STATUS_IO, "%s: an earlier write or sync failed", s->dir);
 	}
 	swap = s->writing;
 	swap.n = 0;
@@ -210,15 +214,15 @@
 
 	if (st != STATUS_OK || s->writing.n == 0)
 		return st;
-	s->marked = false;
-	st = write_synced(s, &s->writing);
+	s->has_sync_mark = false;
+	st = write_and_sync(s, &s->writing);
 	pthread_mutex_lock(&s->lock);
 	s->counters.syncs++;
 	s->counters.sync_us += (uint64_t)(clock_now_us() - start);
 	s->counters.bytes += s->writing.n;
 	pthread_mutex_unlock(&s->lock);
 	if (st == STATUS_OK && s->size >= s->segment_bytes)
-		st = begin_next_segment(s);
+		st = rotate_segment(s);
 	if (st != STATUS_OK) {
 		pthread_mutex_lock(&s->lock);
 		s->failed = true;
@@ -232,18 +236,19 @@
 	AUTO_BUF b = {0};
 	char path[STORE_PATH_BYTES];
 
-	if (s->marked)
+	if (s->has_sync_mark)
 		return;
-	s->marked = true;
-	add_record(&b, (store_record_t){.type = STORE_RECORD_SYNC_MARK}, (str_t){0});
-	seal_records(&b, s->size);
+	s->has_sync_mark = true;
+	append_record(&b, (store_record_t){.type = STORE_RECORD_SYNC_MARK}, (str_t){0});
+	finalize_records(&b, s->size);
 	store_segment_path(s, s->number, path);
-	if (store_file_write(&s->fault, s->fd, path, str_buf(&b), (off_t)s->size) == STATUS_OK)
+	if (store_file_write(&s->fault, s->segment_fd, path, str_buf(&b), (off_t)s->size) ==
+	    STATUS_OK)
 		s->size += b.n;
 }
 
-/* Takes the oldest segment off the list if it holds nothing beyond index. */
-static bool take_oldest(store_t *s, uint64_t index, uint64_t *number)
+/* Removes the oldest segment from the list if it holds no entries after index. */
+static bool pop_oldest_segment(store_t *s, uint64_t index, uint64_t *number)
 {
 	bool take;
 
@@ -263,8 +268,8 @@
 	char path[STORE_PATH_BYTES];
 	uint64_t number;
 
-	/* Without the lock: removing a file may wait for a sync of another. */
-	while (take_oldest(s, index, &number)) {
+	/* Without the lock: unlink may wait for a sync of another file. */
+	while (pop_oldest_segment(s, index, &number)) {
 		store_segment_path(s, number, path);
 		unlink(path);
 	}
--- a/src/raft/store_open.c
+++ b/src/raft/store_open.c
@@ -1,4 +1,5 @@
-/* Opening and closing a folder, and the id that is written when it is first made. */
+/* Opening and closing the directory, and the id file that is written when the directory is
+ * created. */
 #include "raft/store_internal.h"
 
 #include <dirent.h>
@@ -7,7 +8,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define ID_NAME "id"
+#define ID_FILE_NAME "id"
 
 typedef struct {
 	uint64_t magic;
@@ -20,7 +21,7 @@
 {
 	char path[STORE_PATH_BYTES];
 
-	snprintf(path, sizeof(path), "%s/" ID_NAME, dir);
+	snprintf(path, sizeof(path), "%s/" ID_FILE_NAME, dir);
 	return access(path, F_OK) == 0;
 }
 
@@ -31,12 +32,12 @@
 	id_file_t f;
 	status_t st;
 
-	snprintf(path, sizeof(path), "%s/" ID_NAME, s->dir);
+	snprintf(path, sizeof(path), "%s/" ID_FILE_NAME, s->dir);
 	st = store_file_read(path, &b);
 	if (st != STATUS_OK)
 		return st;
 	if (b.n != sizeof(f))
-		return status_fail(STATUS_CORRUPT, "%s: offset %zu: wrong length", path, b.n);
+		return status_fail(STATUS_CORRUPT, "%s: offset %zu: unexpected length", path, b.n);
 	memcpy(&f, b.p, sizeof(f));
 	if (f.magic != STORE_ID_MAGIC || f.crc != store_crc(0, &f, offsetof(id_file_t, crc)))
 		return status_fail(STATUS_CORRUPT, "%s: offset 0: checksum differs", path);
@@ -49,12 +50,13 @@
 	id_file_t f = {STORE_ID_MAGIC, s->id, 0, 0};
 
 	f.crc = store_crc(0, &f, offsetof(id_file_t, crc));
-	return store_file_replace(&s->fault, s->dir, ID_NAME, &(str_t){(const char *)&f, sizeof(f)},
-				  1);
+	return store_file_replace(&s->fault, s->dir, ID_FILE_NAME,
+				  &(str_t){(const char *)&f, sizeof(f)}, 1);
 }
 
-/* Removes what a making that was cut off left behind; a folder with a snapshot is no such. */
-static status_t clear_unfinished(const store_t *s)
+/* Removes the files of an interrupted creation. A directory with a snapshot was complete, so its
+ * missing id is damage. */
+static status_t remove_partial_files(const store_t *s)
 {
 	DIR *d = opendir(s->dir);
 	status_t st = STATUS_OK;
@@ -65,7 +67,7 @@
 
 		if (strncmp(e->d_name, "snap-", 5) == 0)
 			st = status_fail(STATUS_CORRUPT, "%s/%s: offset 0: the file is missing",
-					 s->dir, ID_NAME);
+					 s->dir, ID_FILE_NAME);
 		snprintf(path, sizeof(path), "%s/%s", s->dir, e->d_name);
 		if (st == STATUS_OK && strncmp(e->d_name, "log-", 4) == 0)
 			unlink(path);
@@ -75,68 +77,69 @@
 	return st;
 }
 
-/* Makes the first segment; the id comes last and so marks a folder that is whole. */
-static status_t make_folder(store_t *s, const store_options_t *o)
+/* Creates the first segment. The id file is written last: its presence marks a complete
+ * directory. */
+static status_t create_dir(store_t *s, const store_options_t *o)
 {
-	AUTO_BUF conf = {0};
+	AUTO_BUF members = {0};
 	raft_entry_t e = {.kind = RAFT_ENTRY_MEMBERS};
 	uint64_t seq;
-	status_t st = clear_unfinished(s);
+	status_t st = remove_partial_files(s);
 
 	if (st != STATUS_OK)
 		return st;
 	s->id = o->new_id;
-	s->hard = (store_record_t){.type = STORE_RECORD_HARD_STATE};
+	s->hard_state = (store_record_t){.type = STORE_RECORD_HARD_STATE};
 	st = store_segment_begin(s, 1);
 	if (st == STATUS_OK && o->first_members) {
-		raft_members_encode(o->first_members, &conf);
-		e.data.data_val = conf.p;
-		e.data.data_len = (u_int)conf.n;
+		raft_members_encode(o->first_members, &members);
+		e.data.data_val = members.p;
+		e.data.data_len = (u_int)members.n;
 		store_queue_entries(s, 0, 1, &e, 1);
 		st = store_sync(s, &seq);
 	}
 	if (st == STATUS_OK)
 		st = write_id(s);
-	close(s->fd);
-	s->fd = -1;
+	close(s->segment_fd);
+	s->segment_fd = -1;
 	s->nsegments = 0;
 	return st;
 }
 
-static status_t open_folder(store_t *s, const store_options_t *o, store_contents_t *state)
+static status_t open_dir(store_t *s, const store_options_t *o, store_contents_t *contents)
 {
 	status_t st = store_dir_make(&s->fault, s->dir);
 
-	state->created = !store_exists(s->dir);
-	if (st == STATUS_OK && state->created)
-		st = make_folder(s, o);
+	contents->created = !store_exists(s->dir);
+	if (st == STATUS_OK && contents->created)
+		st = create_dir(s, o);
 	if (st == STATUS_OK)
 		st = read_id(s);
 	if (st == STATUS_OK)
-		st = store_snaps_find(s, state);
+		st = store_snaps_find(s, contents);
 	if (st == STATUS_OK)
-		st = store_replay(s, state);
-	state->id = s->id;
+		st = store_replay(s, contents);
+	contents->id = s->id;
 	return st;
 }
 
-status_t store_open(const store_options_t *o, store_t **out, store_contents_t *state)
+status_t store_open(const store_options_t *o, store_t **out, store_contents_t *contents)
 {
 	store_t *s = mem_new(sizeof(*s));
 	status_t st;
 
-	*state = (store_contents_t){0};
+	*contents = (store_contents_t){0};
 	pthread_mutex_init(&s->lock, NULL);
 	snprintf(s->dir, sizeof(s->dir), "%s", o->dir);
 	s->segment_bytes = o->segment_bytes ? o->segment_bytes : STORE_SEGMENT_BYTES;
-	s->fd = -1;
-	s->in.fd = -1;
+	s->segment_fd = -1;
+	s->incoming.fd = -1;
 	s->chunk.p = mem_new(STORE_CHUNK_BYTES);
 	store_disk_fault_from_env(&s->fault);
-	st = open_folder(s, o, state);
+	st = open_dir(s, o, contents);
 	if (st != STATUS_OK) {
 		store_close(s);
-		store_contents_free(state);
+		store_contents_free(contents);
 		return st;
 	}
 	*out = s;
@@ -147,23 +150,23 @@
 {
 	if (!s)
 		return;
-	if (s->fd >= 0)
-		close(s->fd);
+	if (s->segment_fd >= 0)
+		close(s->segment_fd);
 	store_snaps_close(s);
 	buf_free(&s->queued);
 	buf_free(&s->writing);
 	buf_free(&s->chunk);
-	buf_free(&s->chunk_conf);
+	buf_free(&s->chunk_members);
 	free(s->segments);
 	pthread_mutex_destroy(&s->lock);
 	free(s);
 }
 
-void store_contents_free(store_contents_t *state)
+void store_contents_free(store_contents_t *contents)
 {
-	for (size_t i = 0; i < state->nentries; i++)
-		free(state->entries[i].data.data_val);
-	free(state->entries);
-	buf_free(&state->snap);
-	*state = (store_contents_t){0};
+	for (size_t i = 0; i < contents->nentries; i++)
+		free(contents->entries[i].data.data_val);
+	free(contents->entries);
+	buf_free(&contents->snap);
+	*contents = (store_contents_t){0};
 }
--- a/src/raft/store_replay.c
+++ b/src/raft/store_replay.c
@@ -1,4 +1,4 @@
-/* Reading the segments back when a folder is opened. */
+/* Reading the segments when a directory is opened. */
 #include "raft/store_internal.h"
 
 #include <assert.h>
@@ -9,35 +9,35 @@
 #include <string.h>
 #include <unistd.h>
 
-/* The log while it is put together. */
+/* The log as read so far. */
 typedef struct {
 	store_t *s;
-	store_contents_t *state;
+	store_contents_t *contents;
 	uint64_t base; /* entries[i] is entry base + 1 + i */
-	bool based; /* base is known */
+	bool has_base;
 	uint64_t base_term;
 	raft_entry_t *entries;
 	size_t n;
 	size_t cap;
-	uint64_t max_index; /* of the segment being read */
+	uint64_t max_index; /* highest entry index in the segment being read */
 } replay_t;
 
-static void drop_entries(replay_t *rp, size_t keep)
+static void truncate_entries(replay_t *rp, size_t keep)
 {
 	while (rp->n > keep)
 		free(rp->entries[--rp->n].data.data_val);
 }
 
-static void take_entry(replay_t *rp, const store_record_t *rec, str_t data)
+static void replay_entry(replay_t *rp, const store_record_t *rec, str_t data)
 {
 	raft_entry_t e = {.term = rec->term, .kind = (raft_entry_kind_t)rec->entry_kind};
 
-	if (!rp->based || rec->index <= rp->base) {
-		drop_entries(rp, 0);
+	if (!rp->has_base || rec->index <= rp->base) {
+		truncate_entries(rp, 0);
 		rp->base = rec->index - 1;
-		rp->based = true;
+		rp->has_base = true;
 	}
-	drop_entries(rp, rec->index - rp->base - 1);
+	truncate_entries(rp, rec->index - rp->base - 1);
 	if (rp->n == rp->cap) {
 		rp->cap = rp->cap ? rp->cap * 2 : 64;
 		rp->entries = mem_grow(rp->entries, rp->cap * sizeof(*rp->entries));
@@ -49,38 +49,39 @@
 		rp->max_index = rec->index;
 }
 
-static status_t take_record(replay_t *rp, const store_record_t *rec, str_t data, const char *path,
-			    size_t at)
+static status_t replay_record(replay_t *rp, const store_record_t *rec, str_t data, const char *path,
+			      size_t at)
 {
 	switch (rec->type) {
 	case STORE_RECORD_ENTRY:
-		if (rec->index == 0 || (rp->based && rec->index > rp->base + rp->n + 1))
-			return status_fail(STATUS_CORRUPT, "%s: offset %zu: entry %lu after %lu",
-					   path, at, (unsigned long)rec->index,
-					   (unsigned long)(rp->base + rp->n));
-		take_entry(rp, rec, data);
+		if (rec->index == 0 || (rp->has_base && rec->index > rp->base + rp->n + 1))
+			return status_fail(
+				STATUS_CORRUPT, "%s: offset %zu: entry %lu follows entry %lu", path,
+				at, (unsigned long)rec->index, (unsigned long)(rp->base + rp->n));
+		replay_entry(rp, rec, data);
 		return STATUS_OK;
 	case STORE_RECORD_HARD_STATE:
-		rp->state->term = rec->term;
-		rp->state->vote = rec->index;
-		rp->s->hard = (store_record_t){
+		rp->contents->term = rec->term;
+		rp->contents->vote = rec->index;
+		rp->s->hard_state = (store_record_t){
 			.type = STORE_RECORD_HARD_STATE, .index = rec->index, .term = rec->term};
 		return STATUS_OK;
 	case STORE_RECORD_RESET:
-		drop_entries(rp, 0);
+		truncate_entries(rp, 0);
 		rp->base = rec->index;
 		rp->base_term = rec->term;
-		rp->based = true;
+		rp->has_base = true;
 		return STATUS_OK;
 	case STORE_RECORD_SYNC_MARK:
 		return STATUS_OK;
 	default:
-		return status_fail(STATUS_CORRUPT, "%s: offset %zu: record of type %u", path, at,
-				   rec->type);
+		return status_fail(STATUS_CORRUPT, "%s: offset %zu: unknown record type %u", path,
+				   at, rec->type);
 	}
 }
 
-/* Reads the record at `at`; its length with padding, or 0 when there is no whole one. */
+/* Parses the record at `at`. Returns its length with padding, or 0 if it is incomplete or
+ * damaged. */
 static size_t parse_record(str_t file, size_t at, store_record_t *rec, str_t *data)
 {
 	size_t padded;
@@ -100,7 +101,7 @@
 	return sizeof(*rec) + padded;
 }
 
-/* True when a later record proves that the bytes at `broken` had been synced. */
+/* Returns true if a later record proves that the bytes at `broken` had been synced. */
 static bool was_synced(str_t file, size_t broken)
 {
 	store_record_t rec;
@@ -114,7 +115,7 @@
 	return false;
 }
 
-static bool header_is_whole(const store_t *s, str_t file, uint64_t number)
+static bool header_is_valid(const store_t *s, str_t file, uint64_t number)
 {
 	store_segment_header_t h;
 
@@ -125,7 +126,7 @@
 	       h.crc == store_crc(0, &h, offsetof(store_segment_header_t, crc));
 }
 
-static status_t cut_tail(store_t *s, const char *path, size_t at)
+static status_t truncate_tail(store_t *s, const char *path, size_t at)
 {
 	int fd = open(path, O_RDWR | O_CLOEXEC);
 	status_t st = STATUS_OK;
@@ -139,7 +140,7 @@
 	return st;
 }
 
-/* Reads one segment; *size is the length of its whole records. */
+/* Reads one segment; *size is the length of its valid records. */
 static status_t read_segment(replay_t *rp, uint64_t number, bool is_last, size_t *size)
 {
 	char path[STORE_PATH_BYTES];
@@ -156,19 +157,19 @@
 		return st;
 	file = str_buf(&b);
 	*size = 0;
-	if (!header_is_whole(rp->s, file, number)) {
+	if (!header_is_valid(rp->s, file, number)) {
 		if (is_last && !was_synced(file, 0)) {
-			rp->state->cut_bytes = file.n;
+			rp->contents->cut_bytes = file.n;
 			return STATUS_OK;
 		}
-		return status_fail(STATUS_CORRUPT, "%s: offset 0: broken header", path);
+		return status_fail(STATUS_CORRUPT, "%s: offset 0: damaged header", path);
 	}
 	while (at < file.n) {
 		size_t n = parse_record(file, at, &rec, &data);
 
 		if (n == 0)
 			break;
-		st = take_record(rp, &rec, data, path, at);
+		st = replay_record(rp, &rec, data, path, at);
 		if (st != STATUS_OK)
 			return st;
 		at += n;
@@ -177,9 +178,9 @@
 	if (at == file.n)
 		return STATUS_OK;
 	if (!is_last || was_synced(file, at))
-		return status_fail(STATUS_CORRUPT, "%s: offset %zu: broken record", path, at);
-	rp->state->cut_bytes = file.n - at;
-	return cut_tail(rp->s, path, at);
+		return status_fail(STATUS_CORRUPT, "%s: offset %zu: damaged record", path, at);
+	rp->contents->cut_bytes = file.n - at;
+	return truncate_tail(rp->s, path, at);
 }
 
 static status_t read_segments(replay_t *rp)
@@ -201,37 +202,38 @@
 	if (st != STATUS_OK)
 		return st;
 	if (n == 0)
-		return status_fail(STATUS_CORRUPT, "%s: no segment", rp->s->dir);
-	/* A segment whose header is torn held nothing yet; it is made anew. */
+		return status_fail(STATUS_CORRUPT, "%s: no log segment", rp->s->dir);
+	/* A segment with an incomplete header has no records yet; it is created again. */
 	if (size == 0 && n == 1)
-		return status_fail(STATUS_CORRUPT, "%s: the only segment has no whole header",
+		return status_fail(STATUS_CORRUPT, "%s: the only segment has an incomplete header",
 				   rp->s->dir);
 	if (size == 0)
 		return store_segment_begin(rp->s, numbers[n - 1]);
 	return store_segment_continue(rp->s, size);
 }
 
-/* Hands over what follows the snapshot. */
-static status_t join_snapshot(replay_t *rp)
+/* Drops the entries that the snapshot covers, so that the log starts after it. */
+static status_t drop_entries_in_snapshot(replay_t *rp)
 {
-	store_contents_t *state = rp->state;
-	uint64_t snap = state->snap_index;
+	store_contents_t *contents = rp->contents;
+	uint64_t snap = contents->snap_index;
 	uint64_t last = rp->base + rp->n;
-	uint64_t term = state->snap_term;
+	uint64_t term = contents->snap_term;
 	size_t skip;
 
-	if (rp->based && rp->base > snap)
+	if (rp->has_base && rp->base > snap)
 		return status_fail(STATUS_CORRUPT,
-				   "%s: the log begins after %lu, the snapshot ends at %lu",
+				   "%s: log starts after index %lu, but the snapshot ends at %lu",
 				   rp->s->dir, (unsigned long)rp->base, (unsigned long)snap);
 	skip = last < snap ? rp->n : snap - rp->base;
 	assert(skip == 0 || rp->entries);
 	if (skip)
 		term = rp->entries[skip - 1].term;
-	if (last < snap || term != state->snap_term) {
-		/* The snapshot came from a leader, and the log wasn't yet begun anew. */
-		drop_entries(rp, 0);
-		store_queue_reset(rp->s, 0, snap, state->snap_term);
+	if (last < snap || term != contents->snap_term) {
+		/* The snapshot came from a leader, and the process stopped before the log was reset
+		 * to it. */
+		truncate_entries(rp, 0);
+		store_queue_reset(rp->s, 0, snap, contents->snap_term);
 		return STATUS_OK;
 	}
 	for (size_t i = 0; i < skip; i++)
@@ -242,16 +244,16 @@
 	return STATUS_OK;
 }
 
-status_t store_replay(store_t *s, store_contents_t *state)
+status_t store_replay(store_t *s, store_contents_t *contents)
 {
-	replay_t rp = {.s = s, .state = state};
+	replay_t rp = {.s = s, .contents = contents};
 	status_t st = read_segments(&rp);
 
 	if (st == STATUS_OK)
-		st = join_snapshot(&rp);
+		st = drop_entries_in_snapshot(&rp);
 	if (st != STATUS_OK)
-		drop_entries(&rp, 0);
-	state->entries = rp.entries;
-	state->nentries = rp.n;
+		truncate_entries(&rp, 0);
+	contents->entries = rp.entries;
+	contents->nentries = rp.n;
 	return st;
 }
