--- a/src/state/ledger.c
+++ b/src/state/ledger.c
@@ -1,3 +1,4 @@
+/* Dispatch of commands, sessions, services and keys of the ledger. */
 #include "state/ledger.h"
 
 #include <assert.h>
@@ -97,20 +98,20 @@
 
 void ledger_session_free(ledger_t *l, ledger_session_t *s)
 {
-	assert(!s->requests && !s->holds && !s->cancelled);
-	while (s->leases) {
-		ledger_lease_record_t *next = s->leases->next;
+	assert(!s->requests && !s->job_leases && !s->cancelled_leases);
+	while (s->lease_records) {
+		ledger_lease_record_t *next = s->lease_records->next;
 
-		free(s->leases->refs);
-		free(s->leases);
-		s->leases = next;
+		free(s->lease_records->refs);
+		free(s->lease_records);
+		s->lease_records = next;
 	}
 	HASH_DEL(l->sessions, s);
 	free(s);
 }
 
-/** First place in the list of lost sessions that isn't below id. */
-static size_t lost_place(const ledger_t *l, uint64_t id)
+/** Position of the first lost session whose id is not below id. */
+static size_t lost_session_pos(const ledger_t *l, uint64_t id)
 {
 	size_t lo = 0;
 	size_t hi = l->nlost;
@@ -128,14 +129,14 @@
 
 bool ledger_session_is_lost(const ledger_t *l, uint64_t session)
 {
-	size_t i = lost_place(l, session);
+	size_t i = lost_session_pos(l, session);
 
 	return i < l->nlost && l->lost[i] == session;
 }
 
 void ledger_mark_session_lost(ledger_t *l, uint64_t session)
 {
-	size_t i = lost_place(l, session);
+	size_t i = lost_session_pos(l, session);
 
 	if (i < l->nlost && l->lost[i] == session)
 		return;
@@ -156,7 +157,7 @@
 static void free_sessions(ledger_t *l)
 {
 	while (l->sessions)
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 		ledger_session_free(l, l->sessions);
 }
 
@@ -165,7 +166,7 @@
 	while (l->services) {
 		ledger_service_t *s = l->services;
 
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 		HASH_DEL(l->services, s);
 		ledger_heap_free(&s->bands);
 		ledger_heap_free(&s->overdue);
--- a/src/state/ledger_done.c
+++ b/src/state/ledger_done.c
@@ -1,8 +1,9 @@
+/* The commands DONE and SESSIONS_LOST. */
 #include "state/ledger_internal.h"
 
-/** Books an item's failed run and puts it back, or ends it when its bounds are used up. */
-static void item_failed(ledger_t *l, ledger_job_t *j, uint32_t index, wire_blame_t blame,
-			str_t reason)
+/** Counts a failed run against the item and queues it again, or ends it as failed at its limits. */
+static void handle_item_failure(ledger_t *l, ledger_job_t *j, uint32_t index, wire_blame_t blame,
+				str_t reason)
 {
 	ledger_item_t *it = &j->items[index];
 	bool suspect = blame == WIRE_BLAME_ITEM;
@@ -20,12 +21,12 @@
 	}
 	it->state = LEDGER_ITEM_WAITING;
 	j->waiting++;
-	ledger_item_queue_push(j, suspect ? &j->retry : &j->back, index);
+	ledger_item_queue_push(j, suspect ? &j->retry : &j->returned, index);
 	ledger_job_enqueue(j);
 }
 
-/** Takes a leased item's end; the item is off its hold. */
-static void item_result(ledger_t *l, ledger_job_t *j, const wire_item_result_t *r)
+/** Applies the result of an item that is no longer leased. */
+static void apply_item_result(ledger_t *l, ledger_job_t *j, const wire_item_result_t *r)
 {
 	if (j->cancelled) {
 		ledger_item_finalize(l, j, r->index, LEDGER_ITEM_DROPPED, (str_t){0});
@@ -33,14 +34,15 @@
 		return;
 	}
 	if (!r->done) {
-		item_failed(l, j, r->index, r->blame, wire_str(r->body));
+		handle_item_failure(l, j, r->index, r->blame, wire_str(r->body));
 		return;
 	}
 	ledger_item_finalize(l, j, r->index, LEDGER_ITEM_DONE, wire_str(r->body));
 	j->done++;
 }
 
-static bool holds(const ledger_job_t *j, uint64_t session, const wire_item_result_t *r)
+/** Returns true if the session holds the item under the attempt of the result. */
+static bool is_leased_to(const ledger_job_t *j, uint64_t session, const wire_item_result_t *r)
 {
 	const ledger_item_t *it;
 
@@ -48,10 +50,11 @@
 		return false;
 	it = &j->items[r->index];
 	return it->state == LEDGER_ITEM_LEASED && it->attempts == r->attempt &&
-	       j->holds[it->hold]->session->id == session;
+	       j->job_leases[it->job_lease]->session->id == session;
 }
 
-static bool take_result(ledger_t *l, uint64_t session, int64_t now_ms, const wire_item_result_t *r)
+/** Applies one result; returns false if it must be counted as dropped. */
+static bool apply_result(ledger_t *l, uint64_t session, int64_t now_ms, const wire_item_result_t *r)
 {
 	ledger_job_t *j;
 	bool cancelled;
@@ -59,11 +62,11 @@
 	if (r->job.wire_bytes_t_len == 0)
 		return ledger_request_take_result(l, session, now_ms, r);
 	j = ledger_job_find(l, wire_str(r->caller), wire_str(r->job));
-	if (!holds(j, session, r))
+	if (!is_leased_to(j, session, r))
 		return false;
 	cancelled = j->cancelled;
 	ledger_job_lease_remove_item(l, j, r->index);
-	item_result(l, j, r);
+	apply_item_result(l, j, r);
 	ledger_job_check_end(l, j, now_ms);
 	return !cancelled;
 }
@@ -79,7 +82,7 @@
 		return;
 	}
 	for (uint32_t i = 0; i < c->results.results_len; i++) {
-		if (take_result(l, c->session, c->now_wall_ms, &c->results.results_val[i]))
+		if (apply_result(l, c->session, c->now_wall_ms, &c->results.results_val[i]))
 			res->count++;
 		else
 			l->late_dropped++;
@@ -89,16 +92,17 @@
 		ledger_fill_cancelled_jobs(s, res);
 }
 
-/** Gives a lost session's items of one job back, in the order they were leased. */
-static void hold_lost(ledger_t *l, ledger_job_lease_t *h, int64_t now_ms)
+/** Puts the items of one job that a lost session held back to waiting, in the order in which they
+ * were leased. */
+static void return_job_lease(ledger_t *l, ledger_job_lease_t *jl, int64_t now_ms)
 {
-	ledger_job_t *j = h->job;
-	wire_item_result_t back = {.blame = WIRE_BLAME_NONE};
+	ledger_job_t *j = jl->job;
+	wire_item_result_t unrun = {.blame = WIRE_BLAME_NONE};
 
-	for (uint32_t left = h->n; left > 0; left--) {
-		back.index = h->items.head;
-		ledger_job_lease_remove_item(l, j, back.index);
-		item_result(l, j, &back);
+	for (uint32_t left = jl->n; left > 0; left--) {
+		unrun.index = jl->items.head;
+		ledger_job_lease_remove_item(l, j, unrun.index);
+		apply_item_result(l, j, &unrun);
 	}
 	ledger_job_check_end(l, j, now_ms);
 }
@@ -113,10 +117,10 @@
 		if (!s)
 			continue;
 		ledger_requests_lost(l, s, c->now_wall_ms);
-		while (s->holds)
-			hold_lost(l, s->holds, c->now_wall_ms);
-		while (s->cancelled)
-			hold_lost(l, s->cancelled, c->now_wall_ms);
+		while (s->job_leases)
+			return_job_lease(l, s->job_leases, c->now_wall_ms);
+		while (s->cancelled_leases)
+			return_job_lease(l, s->cancelled_leases, c->now_wall_ms);
 		ledger_session_free(l, s);
 	}
 }
--- a/src/state/ledger_heap.h
+++ b/src/state/ledger_heap.h
@@ -9,18 +9,18 @@
 typedef struct {
 	int64_t key;
 	uint64_t serial;
-	uint32_t pos; /* place in the heap, from 1; 0 = in none */
+	uint32_t pos; /* position in the heap, from 1; 0: in no heap */
 } ledger_heap_node_t;
 
 typedef struct {
-	ledger_heap_node_t **v;
+	ledger_heap_node_t **nodes;
 	uint32_t n;
 	uint32_t cap;
 } ledger_heap_t;
 
 void ledger_heap_push(ledger_heap_t *h, ledger_heap_node_t *node);
 void ledger_heap_remove(ledger_heap_t *h, ledger_heap_node_t *node);
-/** The smallest, or NULL. */
+/** Returns the smallest node, or NULL. */
 ledger_heap_node_t *ledger_heap_min(const ledger_heap_t *h);
 void ledger_heap_free(ledger_heap_t *h);
 
--- a/src/state/ledger_job.c
+++ b/src/state/ledger_job.c
@@ -1,3 +1,4 @@
+/* Jobs and items: tables, lanes and bands, storage of bodies and results. */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -32,7 +33,7 @@
 	out->dropped = j->dropped;
 }
 
-static ledger_caller_t *caller_get(ledger_t *l, str_t name)
+static ledger_caller_t *get_caller(ledger_t *l, str_t name)
 {
 	ledger_caller_t *c;
 
@@ -53,17 +54,17 @@
 
 void ledger_job_add(ledger_t *l, ledger_job_t *j)
 {
-	j->caller = caller_get(l, ledger_id_caller(&j->id));
+	j->caller = get_caller(l, ledger_id_caller(&j->id));
 	DL_APPEND2(j->caller->jobs, j, caller_prev, caller_next);
 	HASH_ADD_KEYPTR(hh, l->jobs, j->id.p, j->id.n, j);
 	HASH_ADD(hh_serial, l->jobs_by_serial, serial, sizeof(j->serial), j);
-	j->back = (ledger_item_queue_t){LEDGER_NO_ITEM, LEDGER_NO_ITEM};
+	j->returned = (ledger_item_queue_t){LEDGER_NO_ITEM, LEDGER_NO_ITEM};
 	j->retry = (ledger_item_queue_t){LEDGER_NO_ITEM, LEDGER_NO_ITEM};
 	l->items += j->count;
 	l->bytes += job_bytes(j);
 }
 
-static ledger_band_t *band_get(ledger_service_t *s, int64_t key)
+static ledger_band_t *get_band(ledger_service_t *s, int64_t key)
 {
 	ledger_band_t *b;
 
@@ -79,7 +80,7 @@
 
 void ledger_job_join_lane(ledger_job_t *j)
 {
-	ledger_band_t *b = band_get(j->service, j->deadline_ms / LEDGER_BAND_MS);
+	ledger_band_t *b = get_band(j->service, j->deadline_ms / LEDGER_BAND_MS);
 	ledger_lane_t *lane;
 
 	assert(!j->lane);
@@ -94,7 +95,8 @@
 	j->lane = lane;
 }
 
-static void delist(ledger_job_t *j)
+/** Removes the job from its lane, and frees the lane and the band if they are empty then. */
+static void leave_lane(ledger_job_t *j)
 {
 	ledger_lane_t *lane = j->lane;
 	ledger_band_t *b;
@@ -119,16 +121,16 @@
 	ledger_lane_t *lane = j->lane;
 	ledger_band_t *b;
 
-	if (!lane || j->ready || j->waiting == 0)
+	if (!lane || j->queued || j->waiting == 0)
 		return;
 	b = lane->band;
-	if (!lane->ready) {
+	if (!lane->ready_jobs) {
 		if (!b->ring)
 			ledger_heap_push(&b->service->bands, &b->node);
 		DL_APPEND(b->ring, lane);
 	}
-	DL_APPEND(lane->ready, j);
-	j->ready = true;
+	DL_APPEND(lane->ready_jobs, j);
+	j->queued = true;
 }
 
 void ledger_job_dequeue(ledger_job_t *j)
@@ -136,27 +138,27 @@
 	ledger_lane_t *lane = j->lane;
 	ledger_band_t *b;
 
-	if (!j->ready)
+	if (!j->queued)
 		return;
 	b = lane->band;
-	DL_DELETE(lane->ready, j);
-	j->ready = false;
-	if (lane->ready)
+	DL_DELETE(lane->ready_jobs, j);
+	j->queued = false;
+	if (lane->ready_jobs)
 		return;
-	lane->taken = 0;
+	lane->turn_taken = 0;
 	DL_DELETE(b->ring, lane);
 	if (b->ring)
 		return;
-	ledger_heap_remove(b->late ? &b->service->overdue : &b->service->bands, &b->node);
-	b->late = false;
+	ledger_heap_remove(b->overdue ? &b->service->overdue : &b->service->bands, &b->node);
+	b->overdue = false;
 }
 
 void ledger_band_mark_overdue(ledger_band_t *b)
 {
-	assert(!b->late);
+	assert(!b->overdue);
 	ledger_heap_remove(&b->service->bands, &b->node);
 	ledger_heap_push(&b->service->overdue, &b->node);
-	b->late = true;
+	b->overdue = true;
 }
 
 static void free_bodies(ledger_t *l, ledger_job_t *j)
@@ -184,22 +186,23 @@
 	}
 }
 
-static void free_holds(ledger_job_t *j)
+static void free_job_leases(ledger_job_t *j)
 {
-	for (uint16_t i = 0; i < j->nholds; i++) {
-		ledger_job_lease_t *h = j->holds[i];
+	for (uint16_t i = 0; i < j->njob_leases; i++) {
+		ledger_job_lease_t *jl = j->job_leases[i];
 
-		if (!h)
+		if (!jl)
 			continue;
 		if (j->cancelled)
-			DL_DELETE(h->session->cancelled, h);
+			DL_DELETE(jl->session->cancelled_leases, jl);
 		else
-			DL_DELETE(h->session->holds, h);
-		free(h);
+			DL_DELETE(jl->session->job_leases, jl);
+		free(jl);
 	}
-	free(j->holds);
+	free(j->job_leases);
 }
 
+/** Removes the job from its caller's jobs, and frees the caller if it has none left. */
 static void leave_caller(ledger_t *l, ledger_job_t *j)
 {
 	ledger_caller_t *c = j->caller;
@@ -214,11 +217,11 @@
 
 void ledger_job_free(ledger_t *l, ledger_job_t *j)
 {
-	delist(j);
+	leave_lane(j);
 	leave_caller(l, j);
-	if (j->end.pos)
+	if (j->end_node.pos)
 		ledger_heap_remove(j->sealed || j->cancelled ? &l->ended_jobs : &l->unsealed_jobs,
-				   &j->end);
+				   &j->end_node);
 	HASH_DELETE(hh, l->jobs, j);
 	HASH_DELETE(hh_serial, l->jobs_by_serial, j);
 	l->items -= j->count;
@@ -228,7 +231,7 @@
 		l->bytes -= j->count * sizeof(*j->items);
 	free_bodies(l, j);
 	free_arena(l, j);
-	free_holds(j);
+	free_job_leases(j);
 	free(j->items);
 	free(j->id.p);
 	free(j->trace);
@@ -246,14 +249,14 @@
 
 	assert(sum == j->count);
 	assert(j->received <= j->count);
-	assert(j->ready == (j->lane && j->waiting > 0));
-	if (!job_ended(j) || j->end.pos)
+	assert(j->queued == (j->lane && j->waiting > 0));
+	if (!job_ended(j) || j->end_node.pos)
 		return;
 	free_bodies(l, j);
-	delist(j);
-	j->end.key = now_ms;
-	j->end.serial = j->serial;
-	ledger_heap_push(&l->ended_jobs, &j->end);
+	leave_lane(j);
+	j->end_node.key = now_ms;
+	j->end_node.serial = j->serial;
+	ledger_heap_push(&l->ended_jobs, &j->end_node);
 }
 
 static ledger_body_block_t *add_block(ledger_t *l, ledger_job_t *j, size_t bytes)
@@ -305,7 +308,8 @@
 	return st == LEDGER_ITEM_WAITING && j->cancelled ? LEDGER_ITEM_DROPPED : st;
 }
 
-static ledger_body_block_t *block_of(ledger_job_t *j, uint32_t index)
+/** Returns the block with the body of an item. */
+static ledger_body_block_t *find_block(ledger_job_t *j, uint32_t index)
 {
 	uint32_t lo = 0;
 	uint32_t hi = j->nblocks;
@@ -324,7 +328,8 @@
 #define ARENA_BYTES_MIN 256
 #define ARENA_BYTES_MAX 65536
 
-static char *arena_copy(ledger_t *l, ledger_job_t *j, str_t s)
+/** Copies a result into the job's arena; NULL if empty. */
+static char *copy_to_arena(ledger_t *l, ledger_job_t *j, str_t s)
 {
 	ledger_arena_t *a = j->arena;
 	char *p;
@@ -354,11 +359,11 @@
 			  str_t data)
 {
 	ledger_item_t *it = &j->items[index];
-	ledger_body_block_t *b = block_of(j, index);
+	ledger_body_block_t *b = find_block(j, index);
 
 	assert(it->state < LEDGER_ITEM_DONE && state >= LEDGER_ITEM_DONE);
 	it->state = (uint8_t)state;
-	it->data = arena_copy(l, j, data);
+	it->data = copy_to_arena(l, j, data);
 	it->len = (uint32_t)data.n;
 	assert(b->live > 0);
 	if (--b->live)
--- a/src/state/ledger_job_cmd.c
+++ b/src/state/ledger_job_cmd.c
@@ -1,16 +1,17 @@
+/* The commands JOB_OPEN, JOB_ITEMS, JOB_SEAL, JOB_CANCEL and EXPIRE. */
 #include <assert.h>
 #include <stdlib.h>
 #include <utlist.h>
 #include "state/ledger_internal.h"
 
-/** Fills the job of an answer whose status is set. */
-static void fill_job(wire_ledger_res_t *res, const ledger_job_t *j, bool fresh)
+/** Fills in the job of an answer. */
+static void fill_job_result(wire_ledger_res_t *res, const ledger_job_t *j, bool fresh)
 {
 	ledger_job_fill_status(j, &res->job);
 	res->job.fresh = fresh;
 }
 
-static status_t check_open(const wire_job_open_t *c)
+static status_t check_job_open(const wire_job_open_t *c)
 {
 	if (c->caller.wire_bytes_t_len == 0 || c->job.wire_bytes_t_len == 0 ||
 	    c->service.wire_bytes_t_len == 0)
@@ -21,7 +22,7 @@
 	return STATUS_OK;
 }
 
-static ledger_job_t *make_job(ledger_t *l, const wire_job_open_t *c)
+static ledger_job_t *create_job(ledger_t *l, const wire_job_open_t *c)
 {
 	ledger_job_t *j = mem_new(sizeof(*j));
 
@@ -36,12 +37,13 @@
 	j->count = c->count;
 	j->waiting = c->count;
 	ledger_job_add(l, j);
-	j->end.key = c->now_wall_ms;
-	j->end.serial = j->serial;
-	ledger_heap_push(&l->unsealed_jobs, &j->end);
+	j->end_node.key = c->now_wall_ms;
+	j->end_node.serial = j->serial;
+	ledger_heap_push(&l->unsealed_jobs, &j->end_node);
 	return j;
 }
 
+/** Returns true if JOB_OPEN names the items of this job, so that the command is a resend. */
 static bool same_job(const ledger_job_t *j, const wire_job_open_t *c)
 {
 	str_t service = {j->service->name, j->service->name_n};
@@ -53,23 +55,24 @@
 void ledger_job_open(ledger_t *l, const wire_job_open_t *c, wire_ledger_res_t *res)
 {
 	ledger_job_t *j = ledger_job_find(l, wire_str(c->caller), wire_str(c->job));
-	status_t st = check_open(c);
+	status_t st = check_job_open(c);
 
 	if (st == STATUS_OK && j && !same_job(j, c))
-		st = status_fail(STATUS_CONFLICT, "the job id stands for other items");
+		st = status_fail(STATUS_CONFLICT, "the job id is in use for other items");
 	if (st != STATUS_OK) {
 		ledger_set_status(res, st);
 		return;
 	}
 	if (j) {
-		fill_job(res, j, false);
+		fill_job_result(res, j, false);
 		return;
 	}
-	fill_job(res, make_job(l, c), true);
+	fill_job_result(res, create_job(l, c), true);
 }
 
-/** The job that a command names; sets the answer's status when there is none. */
-static ledger_job_t *named_job(const ledger_t *l, str_t caller, str_t name, wire_ledger_res_t *res)
+/** Returns the job named in a command; if there is none, sets STATUS_NOT_FOUND and returns NULL. */
+static ledger_job_t *find_job_or_fail(const ledger_t *l, str_t caller, str_t name,
+				      wire_ledger_res_t *res)
 {
 	ledger_job_t *j = ledger_job_find(l, caller, name);
 
@@ -78,14 +81,15 @@
 	return j;
 }
 
-static status_t take_items(ledger_t *l, ledger_job_t *j, const wire_job_items_t *c)
+/** Adds the items that were not received yet. */
+static status_t receive_items(ledger_t *l, ledger_job_t *j, const wire_job_items_t *c)
 {
 	uint64_t end = (uint64_t)c->first + c->bodies.bodies_len;
 	uint32_t skip;
 
 	if (end > j->count)
-		return status_fail(STATUS_INVALID, "items %u to %llu of a job of %u", c->first,
-				   (unsigned long long)end, j->count);
+		return status_fail(STATUS_INVALID, "items %u to %llu are outside a job of %u items",
+				   c->first, (unsigned long long)end, j->count);
 	if (end <= j->received)
 		return STATUS_OK;
 	if (j->cancelled)
@@ -102,86 +106,87 @@
 
 void ledger_job_add_items(ledger_t *l, const wire_job_items_t *c, wire_ledger_res_t *res)
 {
-	ledger_job_t *j = named_job(l, wire_str(c->caller), wire_str(c->job), res);
+	ledger_job_t *j = find_job_or_fail(l, wire_str(c->caller), wire_str(c->job), res);
 
 	if (!j)
 		return;
-	ledger_set_status(res, take_items(l, j, c));
-	fill_job(res, j, false);
+	ledger_set_status(res, receive_items(l, j, c));
+	fill_job_result(res, j, false);
 }
 
 void ledger_job_seal(ledger_t *l, const wire_job_ref_t *c, wire_ledger_res_t *res)
 {
-	ledger_job_t *j = named_job(l, wire_str(c->caller), wire_str(c->job), res);
+	ledger_job_t *j = find_job_or_fail(l, wire_str(c->caller), wire_str(c->job), res);
 
 	if (!j)
 		return;
 	if (j->sealed) {
-		fill_job(res, j, false);
+		fill_job_result(res, j, false);
 		return;
 	}
 	if (j->cancelled) {
 		ledger_set_status(res, status_fail(STATUS_CANCELLED, "the job is cancelled"));
-		fill_job(res, j, false);
+		fill_job_result(res, j, false);
 		return;
 	}
 	if (j->received < j->count) {
 		ledger_set_status(res, status_fail(STATUS_INVALID, "%u of %u items were received",
 						   j->received, j->count));
-		fill_job(res, j, false);
+		fill_job_result(res, j, false);
 		return;
 	}
 	if (j->running_digest != j->digest) {
 		ledger_job_free(l, j);
-		ledger_set_status(
-			res, status_fail(STATUS_INVALID, "the digest is not that of the items"));
+		ledger_set_status(res,
+				  status_fail(STATUS_INVALID, "digest does not match the items"));
 		return;
 	}
-	ledger_heap_remove(&l->unsealed_jobs, &j->end);
+	ledger_heap_remove(&l->unsealed_jobs, &j->end_node);
 	j->sealed = true;
 	ledger_job_join_lane(j);
 	ledger_job_enqueue(j);
 	ledger_job_check_end(l, j, c->now_wall_ms);
-	fill_job(res, j, true);
+	fill_job_result(res, j, true);
 }
 
-static void cancel_holds(ledger_job_t *j)
+/** Moves the leases of the job to the cancelled leases of their sessions. */
+static void cancel_job_leases(ledger_job_t *j)
 {
-	for (uint16_t i = 0; i < j->nholds; i++) {
-		ledger_job_lease_t *h = j->holds[i];
+	for (uint16_t i = 0; i < j->njob_leases; i++) {
+		ledger_job_lease_t *jl = j->job_leases[i];
 
-		if (!h)
+		if (!jl)
 			continue;
-		DL_DELETE(h->session->holds, h);
-		DL_APPEND(h->session->cancelled, h);
+		DL_DELETE(jl->session->job_leases, jl);
+		DL_APPEND(jl->session->cancelled_leases, jl);
 	}
 }
 
 void ledger_job_cancel(ledger_t *l, const wire_job_ref_t *c, wire_ledger_res_t *res)
 {
-	ledger_job_t *j = named_job(l, wire_str(c->caller), wire_str(c->job), res);
+	ledger_job_t *j = find_job_or_fail(l, wire_str(c->caller), wire_str(c->job), res);
 	bool ended;
 
 	if (!j)
 		return;
 	ended = j->waiting == 0 && j->leased == 0;
 	if (j->cancelled || ended) {
-		fill_job(res, j, false);
+		fill_job_result(res, j, false);
 		return;
 	}
 	if (!j->sealed)
-		ledger_heap_remove(&l->unsealed_jobs, &j->end);
-	cancel_holds(j);
+		ledger_heap_remove(&l->unsealed_jobs, &j->end_node);
+	cancel_job_leases(j);
 	ledger_job_dequeue(j);
 	j->cancelled = true;
 	j->dropped += j->waiting;
 	j->waiting = 0;
 	ledger_job_check_end(l, j, c->now_wall_ms);
-	fill_job(res, j, true);
+	fill_job_result(res, j, true);
 }
 
-/** True when the heap's smallest node is older than the bound. */
-static ledger_heap_node_t *older(const ledger_heap_t *h, int64_t before_ms)
+/** Returns the heap's smallest node if its time is at or before before_ms, else NULL. */
+static ledger_heap_node_t *oldest_before(const ledger_heap_t *h, int64_t before_ms)
 {
 	ledger_heap_node_t *n = ledger_heap_min(h);
 
@@ -194,16 +199,18 @@
 	int64_t unsealed_ms = c->now_wall_ms - LEDGER_UNSEALED_MAX_MS;
 	ledger_heap_node_t *n;
 
-	while (res->count < LEDGER_EXPIRE_MAX && (n = older(&l->ended_requests, before_ms))) {
-		ledger_request_free(l, LEDGER_CONTAINER_OF(n, ledger_request_t, end));
+	while (res->count < LEDGER_EXPIRE_MAX &&
+	       (n = oldest_before(&l->ended_requests, before_ms))) {
+		ledger_request_free(l, LEDGER_CONTAINER_OF(n, ledger_request_t, end_node));
 		res->count++;
 	}
-	while (res->count < LEDGER_EXPIRE_MAX && (n = older(&l->ended_jobs, before_ms))) {
-		ledger_job_free(l, LEDGER_CONTAINER_OF(n, ledger_job_t, end));
+	while (res->count < LEDGER_EXPIRE_MAX && (n = oldest_before(&l->ended_jobs, before_ms))) {
+		ledger_job_free(l, LEDGER_CONTAINER_OF(n, ledger_job_t, end_node));
 		res->count++;
 	}
-	while (res->count < LEDGER_EXPIRE_MAX && (n = older(&l->unsealed_jobs, unsealed_ms))) {
-		ledger_job_free(l, LEDGER_CONTAINER_OF(n, ledger_job_t, end));
+	while (res->count < LEDGER_EXPIRE_MAX &&
+	       (n = oldest_before(&l->unsealed_jobs, unsealed_ms))) {
+		ledger_job_free(l, LEDGER_CONTAINER_OF(n, ledger_job_t, end_node));
 		res->count++;
 	}
 }
--- a/src/state/ledger_job_lease.c
+++ b/src/state/ledger_job_lease.c
@@ -1,3 +1,4 @@
+/* Item queues, and the items of a job that are leased to a session. */
 #include <assert.h>
 #include <stdlib.h>
 #include <utlist.h>
@@ -39,60 +40,62 @@
 	return index;
 }
 
-static uint16_t free_slot(ledger_job_t *j)
+/** Returns a free position in job_leases, which grows if needed. */
+static uint16_t free_index(ledger_job_t *j)
 {
-	for (uint16_t i = 0; i < j->nholds; i++)
-		if (!j->holds[i])
+	for (uint16_t i = 0; i < j->njob_leases; i++)
+		if (!j->job_leases[i])
 			return i;
-	assert(j->nholds < UINT16_MAX);
-	j->holds = mem_grow(j->holds, (j->nholds + 1) * sizeof(ledger_job_lease_t *));
-	return j->nholds++;
+	assert(j->njob_leases < UINT16_MAX);
+	j->job_leases =
+		mem_grow(j->job_leases, (j->njob_leases + 1) * sizeof(ledger_job_lease_t *));
+	return j->njob_leases++;
 }
 
 ledger_job_lease_t *ledger_job_lease_get(ledger_job_t *j, ledger_session_t *s)
 {
-	ledger_job_lease_t *h;
+	ledger_job_lease_t *jl;
 
-	for (uint16_t i = 0; i < j->nholds; i++)
-		if (j->holds[i] && j->holds[i]->session == s)
-			return j->holds[i];
-	h = mem_new(sizeof(*h));
-	h->session = s;
-	h->job = j;
-	h->items = (ledger_item_queue_t){LEDGER_NO_ITEM, LEDGER_NO_ITEM};
-	h->slot = free_slot(j);
-	j->holds[h->slot] = h;
+	for (uint16_t i = 0; i < j->njob_leases; i++)
+		if (j->job_leases[i] && j->job_leases[i]->session == s)
+			return j->job_leases[i];
+	jl = mem_new(sizeof(*jl));
+	jl->session = s;
+	jl->job = j;
+	jl->items = (ledger_item_queue_t){LEDGER_NO_ITEM, LEDGER_NO_ITEM};
+	jl->index = free_index(j);
+	j->job_leases[jl->index] = jl;
 	if (j->cancelled)
-		DL_APPEND(s->cancelled, h);
+		DL_APPEND(s->cancelled_leases, jl);
 	else
-		DL_APPEND(s->holds, h);
-	return h;
+		DL_APPEND(s->job_leases, jl);
+	return jl;
 }
 
-void ledger_job_lease_add_item(ledger_job_lease_t *h, uint32_t index)
+void ledger_job_lease_add_item(ledger_job_lease_t *jl, uint32_t index)
 {
-	ledger_item_t *it = &h->job->items[index];
+	ledger_item_t *it = &jl->job->items[index];
 
 	it->state = LEDGER_ITEM_LEASED;
-	it->hold = h->slot;
-	ledger_item_queue_push(h->job, &h->items, index);
-	h->n++;
+	it->job_lease = jl->index;
+	ledger_item_queue_push(jl->job, &jl->items, index);
+	jl->n++;
 }
 
 void ledger_job_lease_remove_item(ledger_t *l, ledger_job_t *j, uint32_t index)
 {
-	ledger_job_lease_t *h = j->holds[j->items[index].hold];
+	ledger_job_lease_t *jl = j->job_leases[j->items[index].job_lease];
 
-	queue_remove(j, &h->items, index);
-	assert(h->n > 0 && j->leased > 0 && l->leased > 0);
+	queue_remove(j, &jl->items, index);
+	assert(jl->n > 0 && j->leased > 0 && l->leased > 0);
 	j->leased--;
 	l->leased--;
-	if (--h->n)
+	if (--jl->n)
 		return;
 	if (j->cancelled)
-		DL_DELETE(h->session->cancelled, h);
+		DL_DELETE(jl->session->cancelled_leases, jl);
 	else
-		DL_DELETE(h->session->holds, h);
-	j->holds[h->slot] = NULL;
-	free(h);
+		DL_DELETE(jl->session->job_leases, jl);
+	j->job_leases[jl->index] = NULL;
+	free(jl);
 }
--- a/src/state/ledger_lease.c
+++ b/src/state/ledger_lease.c
@@ -1,3 +1,4 @@
+/* The command LEASE. */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -36,65 +37,68 @@
 	};
 }
 
-/** Items of an answer while it is filled. */
+/** The items of an answer while it is filled. */
 typedef struct {
 	wire_ledger_res_t *res;
 	uint32_t max;
 	size_t bytes;
-} chunk_t;
+} reply_t;
 
-static bool chunk_full(const chunk_t *ch)
+static bool reply_is_full(const reply_t *reply)
 {
-	return ch->res->items.items_len >= ch->max || ch->bytes >= LEDGER_LEASE_BYTES_MAX;
+	return reply->res->items.items_len >= reply->max || reply->bytes >= LEDGER_LEASE_BYTES_MAX;
 }
 
-static wire_item_t *chunk_next(chunk_t *ch)
+static wire_item_t *reply_next_item(reply_t *reply)
 {
-	return &ch->res->items.items_val[ch->res->items.items_len++];
+	return &reply->res->items.items_val[reply->res->items.items_len++];
 }
 
-static void chunk_booked(chunk_t *ch)
+/** Counts the body of the item filled in last. */
+static void reply_count_bytes(reply_t *reply)
 {
-	const wire_item_t *it = &ch->res->items.items_val[ch->res->items.items_len - 1];
+	const wire_item_t *it = &reply->res->items.items_val[reply->res->items.items_len - 1];
 
-	ch->bytes += it->body.wire_bytes_t_len;
+	reply->bytes += it->body.wire_bytes_t_len;
 }
 
-/** The session's lease record of a service, made if need be. */
-static ledger_lease_record_t *lease_record(ledger_session_t *s, ledger_service_t *service)
+/** Returns the session's lease record for a service, created if needed. */
+static ledger_lease_record_t *get_lease_record(ledger_session_t *s, ledger_service_t *service)
 {
-	ledger_lease_record_t *le = s->leases;
-
-	while (le && le->service != service)
-		le = le->next;
-	if (le)
-		return le;
-	le = mem_new(sizeof(*le));
-	le->service = service;
-	le->next = s->leases;
-	s->leases = le;
-	return le;
+	ledger_lease_record_t *rec = s->lease_records;
+
+	while (rec && rec->service != service)
+		rec = rec->next;
+	if (rec)
+		return rec;
+	rec = mem_new(sizeof(*rec));
+	rec->service = service;
+	rec->next = s->lease_records;
+	s->lease_records = rec;
+	return rec;
 }
 
-static void take_orphans(ledger_session_t *s, ledger_lease_record_t *le, chunk_t *ch)
+/** Leases requests whose entry was lost, by deadline. */
+static void lease_requests(ledger_session_t *s, ledger_lease_record_t *rec, reply_t *reply)
 {
 	ledger_heap_node_t *n;
 
-	while (!chunk_full(ch) && (n = ledger_heap_min(&le->service->orphans))) {
-		ledger_request_t *r = LEDGER_CONTAINER_OF(n, ledger_request_t, wait);
+	while (!reply_is_full(reply) && (n = ledger_heap_min(&rec->service->orphans))) {
+		ledger_request_t *r = LEDGER_CONTAINER_OF(n, ledger_request_t, wait_node);
 
-		ledger_heap_remove(&le->service->orphans, n);
+		ledger_heap_remove(&rec->service->orphans, n);
 		r->attempts++;
-		r->lease_seq = le->seq;
+		r->lease_seq = rec->seq;
 		ledger_request_assign(r, s);
-		fill_request(r, chunk_next(ch));
-		chunk_booked(ch);
+		fill_request(r, reply_next_item(reply));
+		reply_count_bytes(reply);
 	}
 }
 
-static uint32_t next_waiting(ledger_job_t *j)
+/** Takes the next waiting item of a job: returned ones first, then new ones, then retries. */
+static uint32_t pop_waiting_item(ledger_job_t *j)
 {
-	uint32_t index = ledger_item_queue_pop(j, &j->back);
+	uint32_t index = ledger_item_queue_pop(j, &j->returned);
 
 	if (index != LEDGER_NO_ITEM)
 		return index;
@@ -103,29 +107,29 @@
 	return ledger_item_queue_pop(j, &j->retry);
 }
 
-/** Moves a job behind its caller's others, and the caller behind the others once its share of items
- * is taken. */
+/** Moves the job behind its caller's other jobs and, once the caller's share of items is taken, the
+ * caller behind the other callers of the band. */
 static void end_turn(ledger_job_t *j)
 {
 	ledger_lane_t *lane = j->lane;
 	ledger_band_t *b = lane->band;
 
-	DL_DELETE(lane->ready, j);
-	DL_APPEND(lane->ready, j);
-	if (++lane->taken < j->share)
+	DL_DELETE(lane->ready_jobs, j);
+	DL_APPEND(lane->ready_jobs, j);
+	if (++lane->turn_taken < j->share)
 		return;
-	lane->taken = 0;
+	lane->turn_taken = 0;
 	DL_DELETE(b->ring, lane);
 	DL_APPEND(b->ring, lane);
 }
 
 /** Leases one item of the caller and job whose turn it is. */
-static void take_item(ledger_t *l, ledger_session_t *s, ledger_lease_record_t *le,
-		      const ledger_heap_node_t *band, chunk_t *ch)
+static void lease_item(ledger_t *l, ledger_session_t *s, ledger_lease_record_t *rec,
+		       const ledger_heap_node_t *band, reply_t *reply)
 {
 	ledger_band_t *b = LEDGER_CONTAINER_OF(band, ledger_band_t, node);
-	ledger_job_t *j = b->ring->ready;
-	uint32_t index = next_waiting(j);
+	ledger_job_t *j = b->ring->ready_jobs;
+	uint32_t index = pop_waiting_item(j);
 	ledger_item_t *it;
 
 	assert(index != LEDGER_NO_ITEM && j->sealed && !j->cancelled);
@@ -136,16 +140,17 @@
 	j->leased++;
 	l->leased++;
 	ledger_job_lease_add_item(ledger_job_lease_get(j, s), index);
-	le->refs[le->n++] = (ledger_item_ref_t){j->serial, index, it->attempts};
+	rec->refs[rec->n++] = (ledger_item_ref_t){j->serial, index, it->attempts};
 	end_turn(j);
 	if (j->waiting == 0)
 		ledger_job_dequeue(j);
 	ledger_job_check_end(l, j, 0);
-	fill_item(j, index, chunk_next(ch));
-	chunk_booked(ch);
+	fill_item(j, index, reply_next_item(reply));
+	reply_count_bytes(reply);
 }
 
-static void mark_overdue(ledger_service_t *s, int64_t now_ms)
+/** Marks the bands whose last deadline has passed. */
+static void mark_overdue_bands(ledger_service_t *s, int64_t now_ms)
 {
 	ledger_heap_node_t *n;
 
@@ -153,34 +158,35 @@
 		ledger_band_mark_overdue(LEDGER_CONTAINER_OF(n, ledger_band_t, node));
 }
 
-/** The band whose turn it is: overdue work and work that can be in time alternate. */
+/** Returns the band whose turn it is: overdue bands and bands that can be in time alternate. */
 static ledger_heap_node_t *next_band(ledger_service_t *s)
 {
-	ledger_heap_node_t *late = ledger_heap_min(&s->overdue);
-	ledger_heap_node_t *due = ledger_heap_min(&s->bands);
+	ledger_heap_node_t *overdue = ledger_heap_min(&s->overdue);
+	ledger_heap_node_t *in_time = ledger_heap_min(&s->bands);
 
-	if (!late || !due)
-		return late ? late : due;
+	if (!overdue || !in_time)
+		return overdue ? overdue : in_time;
 	s->overdue_next = !s->overdue_next;
-	return s->overdue_next ? due : late;
+	return s->overdue_next ? in_time : overdue;
 }
 
-static void lease_new(ledger_t *l, ledger_session_t *s, ledger_lease_record_t *le,
-		      const wire_lease_t *c, chunk_t *ch)
+/** Leases new work: requests first, then items. */
+static void handle_new_lease(ledger_t *l, ledger_session_t *s, ledger_lease_record_t *rec,
+			     const wire_lease_t *c, reply_t *reply)
 {
 	ledger_heap_node_t *band;
 
-	mark_overdue(le->service, c->now_wall_ms);
-	le->seq = c->seq;
-	le->n = 0;
-	free(le->refs);
-	le->refs = mem_new(ch->max * sizeof(*le->refs));
-	take_orphans(s, le, ch);
-	while (!chunk_full(ch) && (band = next_band(le->service)))
-		take_item(l, s, le, band, ch);
+	mark_overdue_bands(rec->service, c->now_wall_ms);
+	rec->seq = c->seq;
+	rec->n = 0;
+	free(rec->refs);
+	rec->refs = mem_new(reply->max * sizeof(*rec->refs));
+	lease_requests(s, rec, reply);
+	while (!reply_is_full(reply) && (band = next_band(rec->service)))
+		lease_item(l, s, rec, band, reply);
 }
 
-static void drop_leased(ledger_t *l, ledger_job_t *j, uint32_t index, int64_t now_ms)
+static void drop_leased_item(ledger_t *l, ledger_job_t *j, uint32_t index, int64_t now_ms)
 {
 	ledger_job_lease_remove_item(l, j, index);
 	ledger_item_finalize(l, j, index, LEDGER_ITEM_DROPPED, (str_t){0});
@@ -188,7 +194,7 @@
 	ledger_job_check_end(l, j, now_ms);
 }
 
-static int by_deadline(const void *a, const void *b)
+static int compare_by_deadline(const void *a, const void *b)
 {
 	const ledger_request_t *x = *(ledger_request_t *const *)a;
 	const ledger_request_t *y = *(ledger_request_t *const *)b;
@@ -198,29 +204,31 @@
 	return x->serial < y->serial ? -1 : 1;
 }
 
-/** The requests that a lease command gave out, in the order of then. */
-static void orphans_again(const ledger_session_t *s, const ledger_lease_record_t *le, chunk_t *ch)
+/** Fills in again the requests that a LEASE handed out and the session still holds, in the same
+ * order. */
+static void refill_requests(const ledger_session_t *s, const ledger_lease_record_t *rec,
+			    reply_t *reply)
 {
 	ledger_request_t *found[LEDGER_LEASE_ITEMS_MAX];
 	size_t n = 0;
 
 	for (ledger_request_t *r = s->requests; r && n < LEDGER_LEASE_ITEMS_MAX; r = r->next)
-		if (r->lease_seq == le->seq && r->service == le->service)
+		if (r->lease_seq == rec->seq && r->service == rec->service)
 			found[n++] = r;
 	if (n)
-		qsort(found, n, sizeof(ledger_request_t *), by_deadline);
+		qsort(found, n, sizeof(ledger_request_t *), compare_by_deadline);
 	for (size_t i = 0; i < n; i++)
-		fill_request(found[i], chunk_next(ch));
+		fill_request(found[i], reply_next_item(reply));
 }
 
-/** Answers a resend with the items that the session still holds under that lease. The items of jobs
- * cancelled since then are dropped: the session has not begun them. */
-static void lease_again(ledger_t *l, ledger_session_t *s, ledger_lease_record_t *le, int64_t now_ms,
-			chunk_t *ch)
+/** Answers a resend with the items of the first answer that the session still holds. Items of jobs
+ * cancelled since then are dropped: the session has not received them, so it has not begun them. */
+static void resend_lease(ledger_t *l, ledger_session_t *s, ledger_lease_record_t *rec,
+			 int64_t now_ms, reply_t *reply)
 {
-	orphans_again(s, le, ch);
-	for (uint32_t i = 0; i < le->n && ch->res->items.items_len < ch->max; i++) {
-		ledger_item_ref_t *ref = &le->refs[i];
+	refill_requests(s, rec, reply);
+	for (uint32_t i = 0; i < rec->n && reply->res->items.items_len < reply->max; i++) {
+		ledger_item_ref_t *ref = &rec->refs[i];
 		ledger_job_t *j;
 		ledger_item_t *it;
 
@@ -229,27 +237,27 @@
 		if (!it || it->state != LEDGER_ITEM_LEASED || it->attempts != ref->attempt)
 			continue;
 		if (j->cancelled)
-			drop_leased(l, j, ref->index, now_ms);
+			drop_leased_item(l, j, ref->index, now_ms);
 		else
-			fill_item(j, ref->index, chunk_next(ch));
+			fill_item(j, ref->index, reply_next_item(reply));
 	}
 }
 
 void ledger_fill_cancelled_jobs(const ledger_session_t *s, wire_ledger_res_t *res)
 {
-	const ledger_job_lease_t *h;
+	const ledger_job_lease_t *jl;
 	uint32_t n = 0;
 
-	for (h = s->cancelled; h; h = h->next)
+	for (jl = s->cancelled_leases; jl; jl = jl->next)
 		n++;
 	if (n == 0)
 		return;
 	res->cancelled.cancelled_val = mem_new(n * sizeof(wire_job_ref_t));
-	for (h = s->cancelled; h; h = h->next) {
+	for (jl = s->cancelled_leases; jl; jl = jl->next) {
 		wire_job_ref_t *ref = &res->cancelled.cancelled_val[res->cancelled.cancelled_len++];
 
-		ref->caller = wire_copy(ledger_id_caller(&h->job->id));
-		ref->job = wire_copy(ledger_id_name(&h->job->id));
+		ref->caller = wire_copy(ledger_id_caller(&jl->job->id));
+		ref->job = wire_copy(ledger_id_name(&jl->job->id));
 	}
 }
 
@@ -266,30 +274,31 @@
 void ledger_lease(ledger_t *l, const wire_lease_t *c, wire_ledger_res_t *res)
 {
 	status_t st = ledger_check_session(l, c->session);
-	chunk_t ch = {res, c->max < LEDGER_LEASE_ITEMS_MAX ? c->max : LEDGER_LEASE_ITEMS_MAX, 0};
+	reply_t reply = {res, c->max < LEDGER_LEASE_ITEMS_MAX ? c->max : LEDGER_LEASE_ITEMS_MAX, 0};
 	ledger_session_t *s;
-	ledger_lease_record_t *le;
+	ledger_lease_record_t *rec;
 
 	if (st == STATUS_OK && c->seq == 0)
-		st = status_fail(STATUS_INVALID, "lease commands are counted from 1");
+		st = status_fail(STATUS_INVALID, "lease sequence number must not be 0");
 	if (st != STATUS_OK) {
 		ledger_set_status(res, st);
 		return;
 	}
 	s = ledger_get_session(l, c->session);
-	le = lease_record(s, ledger_get_service(l, wire_str(c->service)));
-	if (c->seq < le->seq) {
-		ledger_set_status(res, status_fail(STATUS_CONFLICT, "lease %llu came after %llu",
+	rec = get_lease_record(s, ledger_get_service(l, wire_str(c->service)));
+	if (c->seq < rec->seq) {
+		ledger_set_status(res, status_fail(STATUS_CONFLICT,
+						   "lease %llu is older than the newest, %llu",
 						   (unsigned long long)c->seq,
-						   (unsigned long long)le->seq));
+						   (unsigned long long)rec->seq));
 		return;
 	}
 	res->items.items_val = mem_new(LEDGER_LEASE_ITEMS_MAX * sizeof(wire_item_t));
-	if (c->seq == le->seq) {
-		ch.max = LEDGER_LEASE_ITEMS_MAX;
-		lease_again(l, s, le, c->now_wall_ms, &ch);
+	if (c->seq == rec->seq) {
+		reply.max = LEDGER_LEASE_ITEMS_MAX;
+		resend_lease(l, s, rec, c->now_wall_ms, &reply);
 	} else {
-		lease_new(l, s, le, c, &ch);
+		handle_new_lease(l, s, rec, c, &reply);
 	}
 	ledger_fill_cancelled_jobs(s, res);
 }
--- a/src/state/ledger_request.c
+++ b/src/state/ledger_request.c
@@ -1,3 +1,4 @@
+/* Requests, and the commands ACCEPT, ATTEMPT and FINISH. */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
@@ -46,34 +47,35 @@
 
 void ledger_request_assign(ledger_request_t *r, ledger_session_t *s)
 {
-	assert(!r->session && !is_final(r) && r->wait.pos == 0);
+	assert(!r->session && !is_final(r) && r->wait_node.pos == 0);
 	r->session = s;
 	DL_APPEND(s->requests, r);
 }
 
-static void release(ledger_request_t *r)
+/** Takes the request from its session or from the queue of waiting requests. */
+static void detach_request(ledger_request_t *r)
 {
 	if (r->session)
 		DL_DELETE(r->session->requests, r);
 	r->session = NULL;
-	if (r->wait.pos)
-		ledger_heap_remove(&r->service->orphans, &r->wait);
+	if (r->wait_node.pos)
+		ledger_heap_remove(&r->service->orphans, &r->wait_node);
 }
 
 void ledger_request_enqueue(ledger_request_t *r)
 {
 	assert(!r->session && r->state == WIRE_ACCEPTED);
-	r->wait.key = r->deadline_ms;
-	r->wait.serial = r->serial;
-	ledger_heap_push(&r->service->orphans, &r->wait);
+	r->wait_node.key = r->deadline_ms;
+	r->wait_node.serial = r->serial;
+	ledger_heap_push(&r->service->orphans, &r->wait_node);
 }
 
 void ledger_request_free(ledger_t *l, ledger_request_t *r)
 {
 	l->bytes -= ledger_request_bytes(r);
-	release(r);
-	if (r->end.pos)
-		ledger_heap_remove(&l->ended_requests, &r->end);
+	detach_request(r);
+	if (r->end_node.pos)
+		ledger_heap_remove(&l->ended_requests, &r->end_node);
 	HASH_DEL(l->requests, r);
 	free(r->id.p);
 	free(r->input);
@@ -81,30 +83,31 @@
 	free(r);
 }
 
-/** How a request ends. */
+/** Final state of a request. */
 typedef struct {
 	wire_state_t state;
 	int verdict;
 	int http_status;
 	str_t result;
 	int64_t now_ms;
-} ending_t;
+} outcome_t;
 
-static void end_request(ledger_t *l, ledger_request_t *r, const ending_t *e)
+/** Makes a request final. */
+static void finish_request(ledger_t *l, ledger_request_t *r, const outcome_t *o)
 {
-	assert(!is_final(r) && e->state >= WIRE_DONE);
+	assert(!is_final(r) && o->state >= WIRE_DONE);
 	l->bytes -= ledger_request_bytes(r);
-	release(r);
-	r->state = e->state;
-	r->verdict = e->verdict;
-	r->http_status = e->http_status;
-	r->result = ledger_copy_bytes(e->result);
-	r->result_n = (uint32_t)e->result.n;
+	detach_request(r);
+	r->state = o->state;
+	r->verdict = o->verdict;
+	r->http_status = o->http_status;
+	r->result = ledger_copy_bytes(o->result);
+	r->result_n = (uint32_t)o->result.n;
 	free(r->input);
 	r->input = NULL;
-	r->end.key = e->now_ms;
-	r->end.serial = r->serial;
-	ledger_heap_push(&l->ended_requests, &r->end);
+	r->end_node.key = o->now_ms;
+	r->end_node.serial = r->serial;
+	ledger_heap_push(&l->ended_requests, &r->end_node);
 	l->bytes += ledger_request_bytes(r);
 }
 
@@ -116,7 +119,8 @@
 	return ledger_check_session(l, c->session);
 }
 
-static char *join_input(const wire_accept_t *c)
+/** Joins path, body and trace in one block. */
+static char *concat_input(const wire_accept_t *c)
 {
 	size_t path = c->path.wire_bytes_t_len;
 	size_t body = c->body.wire_bytes_t_len;
@@ -132,7 +136,7 @@
 	return p;
 }
 
-static ledger_request_t *make_request(ledger_t *l, const wire_accept_t *c)
+static ledger_request_t *create_request(ledger_t *l, const wire_accept_t *c)
 {
 	ledger_request_t *r = mem_new(sizeof(*r));
 
@@ -147,7 +151,7 @@
 	r->path_n = c->path.wire_bytes_t_len;
 	r->body_n = c->body.wire_bytes_t_len;
 	r->trace_n = c->trace.wire_bytes_t_len;
-	r->input = join_input(c);
+	r->input = concat_input(c);
 	ledger_request_assign(r, ledger_get_session(l, c->session));
 	ledger_request_add(l, r);
 	return r;
@@ -159,8 +163,8 @@
 	status_t st;
 
 	if (r && r->digest != c->digest) {
-		ledger_set_status(res,
-				  status_fail(STATUS_CONFLICT, "the key stands for another body"));
+		ledger_set_status(
+			res, status_fail(STATUS_CONFLICT, "the key is in use for another body"));
 		return;
 	}
 	if (r) {
@@ -172,11 +176,12 @@
 		ledger_set_status(res, st);
 		return;
 	}
-	r = make_request(l, c);
+	r = create_request(l, c);
 	ledger_request_fill_record(r, &res->record);
 	res->record.fresh = true;
 }
 
+/** Starts the only attempt of a call that must not run twice. */
 static status_t begin_attempt(const ledger_t *l, ledger_request_t *r, const wire_attempt_t *c)
 {
 	status_t st = ledger_check_session(l, c->session);
@@ -185,15 +190,15 @@
 		return st;
 	if (r->repeatable)
 		return status_fail(STATUS_INVALID,
-				   "the request may be repeated; it needs no attempt");
+				   "the request is repeatable and needs no attempt");
 	if (is_final(r))
 		return status_fail(STATUS_CONFLICT, "the request has ended");
 	if (r->state == WIRE_ATTEMPTED && r->token == c->token)
 		return STATUS_OK;
 	if (r->state == WIRE_ATTEMPTED)
-		return status_fail(STATUS_CONFLICT, "another attempt was begun");
+		return status_fail(STATUS_CONFLICT, "another attempt has begun");
 	if (!r->session || r->session->id != c->session)
-		return status_fail(STATUS_CONFLICT, "another session works on the request");
+		return status_fail(STATUS_CONFLICT, "another session holds the request");
 	r->state = WIRE_ATTEMPTED;
 	r->verdict = VERDICT_MAY_HAVE_RUN;
 	r->token = c->token;
@@ -215,16 +220,16 @@
 	res->record.fresh = r->state != before;
 }
 
-/** True when the request ended just so: the command is a resend. */
-static bool ended_so(const ledger_request_t *r, const ending_t *e)
+/** Returns true if the request has ended with this outcome, so that the command is a resend. */
+static bool has_outcome(const ledger_request_t *r, const outcome_t *o)
 {
-	return r->state == e->state && r->verdict == e->verdict &&
-	       r->http_status == e->http_status &&
-	       str_eq((str_t){r->result, r->result_n}, e->result);
+	return r->state == o->state && r->verdict == o->verdict &&
+	       r->http_status == o->http_status &&
+	       str_eq((str_t){r->result, r->result_n}, o->result);
 }
 
-/** An entry that doesn't hold the request may still deliver the result of a call that may be
- * repeated, but it can't know that the request failed. */
+/** A session that does not hold the request may still deliver the result of a repeatable call, but
+ * it cannot know that the call failed. Session 0 is not checked. */
 static bool may_finish(const ledger_request_t *r, const wire_finish_t *c)
 {
 	bool holder = r->session && r->session->id == c->session;
@@ -232,21 +237,21 @@
 	return c->session == 0 || holder || (r->repeatable && c->state == WIRE_DONE);
 }
 
-static status_t finish(ledger_t *l, ledger_request_t *r, const wire_finish_t *c, bool *fresh)
+static status_t apply_finish(ledger_t *l, ledger_request_t *r, const wire_finish_t *c, bool *fresh)
 {
-	ending_t e = {c->state, c->verdict, c->http_status, wire_str(c->result), c->now_wall_ms};
+	outcome_t o = {c->state, c->verdict, c->http_status, wire_str(c->result), c->now_wall_ms};
 
 	if (c->state < WIRE_DONE || c->state > WIRE_CANCELLED)
 		return status_fail(STATUS_INVALID, "state %d is not final", (int)c->state);
-	if (is_final(r) && ended_so(r, &e))
+	if (is_final(r) && has_outcome(r, &o))
 		return STATUS_OK;
 	if (is_final(r) || !may_finish(r, c)) {
 		l->late_dropped++;
-		return status_fail(STATUS_CONFLICT, is_final(r)
-							    ? "the request has ended otherwise"
-							    : "another session holds the request");
+		return status_fail(STATUS_CONFLICT,
+				   is_final(r) ? "the request has ended with another outcome"
+					       : "another session holds the request");
 	}
-	end_request(l, r, &e);
+	finish_request(l, r, &o);
 	*fresh = true;
 	return STATUS_OK;
 }
@@ -260,22 +265,23 @@
 		ledger_set_status(res, status_fail(STATUS_NOT_FOUND, "no such request"));
 		return;
 	}
-	ledger_set_status(res, finish(l, r, c, &fresh));
+	ledger_set_status(res, apply_finish(l, r, c, &fresh));
 	ledger_request_fill_record(r, &res->record);
 	res->record.fresh = fresh;
 }
 
-/** An attempt of a call that may not be repeated has an unknown end. */
-static void end_unknown(ledger_t *l, ledger_request_t *r, int64_t now_ms)
+/** Ends a request whose entry was lost during a call that must not run twice: whether the call ran
+ * is unknown. */
+static void finish_with_unknown_outcome(ledger_t *l, ledger_request_t *r, int64_t now_ms)
 {
-	ending_t e = {WIRE_FAILED, VERDICT_MAY_HAVE_RUN, 0,
-		      STR("the entry was lost while the call ran"), now_ms};
+	outcome_t o = {WIRE_FAILED, VERDICT_MAY_HAVE_RUN, 0,
+		       STR("the entry was lost while the call ran"), now_ms};
 
-	end_request(l, r, &e);
+	finish_request(l, r, &o);
 }
 
-/** Books a failed run; true when the request may be tried again. */
-static bool charge(ledger_request_t *r, wire_blame_t blame)
+/** Counts a failed run; returns true if the request may run again. */
+static bool count_failure(ledger_request_t *r, wire_blame_t blame)
 {
 	if (blame == WIRE_BLAME_ITEM)
 		r->fails++;
@@ -288,22 +294,22 @@
 				const wire_item_result_t *c)
 {
 	ledger_request_t *r = ledger_request_find(l, wire_str(c->caller), wire_str(c->key));
-	ending_t e = {WIRE_FAILED, VERDICT_MAY_HAVE_RUN, 0, wire_str(c->body), now_ms};
+	outcome_t o = {WIRE_FAILED, VERDICT_MAY_HAVE_RUN, 0, wire_str(c->body), now_ms};
 
 	if (!r || !r->session || r->session->id != session || r->lease_seq == 0 ||
 	    r->attempts != c->attempt)
 		return false;
 	if (c->done) {
-		e.state = WIRE_DONE;
-		e.verdict = VERDICT_RAN;
-		e.http_status = HTTP_OK;
-		end_request(l, r, &e);
+		o.state = WIRE_DONE;
+		o.verdict = VERDICT_RAN;
+		o.http_status = HTTP_OK;
+		finish_request(l, r, &o);
 	} else if (r->state == WIRE_ATTEMPTED) {
-		end_unknown(l, r, now_ms);
-	} else if (!charge(r, c->blame)) {
-		end_request(l, r, &e);
+		finish_with_unknown_outcome(l, r, now_ms);
+	} else if (!count_failure(r, c->blame)) {
+		finish_request(l, r, &o);
 	} else {
-		release(r);
+		detach_request(r);
 		ledger_request_enqueue(r);
 	}
 	return true;
@@ -315,10 +321,10 @@
 		ledger_request_t *r = s->requests;
 
 		if (r->state == WIRE_ATTEMPTED) {
-			end_unknown(l, r, now_ms);
+			finish_with_unknown_outcome(l, r, now_ms);
 			continue;
 		}
-		release(r);
+		detach_request(r);
 		ledger_request_enqueue(r);
 	}
 }
--- a/src/state/ledger_snapshot.c
+++ b/src/state/ledger_snapshot.c
@@ -1,13 +1,14 @@
+/* Writes a snapshot of the ledger. */
 #include "state/ledger_internal.h"
 #include "state/pack.h"
 
-static void put_node(buf_t *out, const ledger_heap_node_t *n)
+static void pack_heap_node(buf_t *out, const ledger_heap_node_t *n)
 {
 	pack_u64(out, n->pos ? 1 : 0);
 	pack_i64(out, n->key);
 }
 
-static void put_request(buf_t *out, const ledger_request_t *r)
+static void pack_request(buf_t *out, const ledger_request_t *r)
 {
 	pack_str(out, ledger_id_caller(&r->id));
 	pack_str(out, ledger_id_name(&r->id));
@@ -30,11 +31,11 @@
 	pack_u64(out, r->fails);
 	pack_u64(out, r->deaths);
 	pack_u64(out, r->repeatable);
-	put_node(out, &r->wait);
-	put_node(out, &r->end);
+	pack_heap_node(out, &r->wait_node);
+	pack_heap_node(out, &r->end_node);
 }
 
-static void put_item(buf_t *out, const ledger_job_t *j, uint32_t index)
+static void pack_item(buf_t *out, const ledger_job_t *j, uint32_t index)
 {
 	const ledger_item_t *it = &j->items[index];
 	str_t data = {it->data, it->len};
@@ -48,14 +49,15 @@
 	pack_str(out, data);
 }
 
-static void put_queue(buf_t *out, const ledger_job_t *j, const ledger_item_queue_t *q)
+/** Writes the indices of the queue, each plus 1, then 0. */
+static void pack_item_queue(buf_t *out, const ledger_job_t *j, const ledger_item_queue_t *q)
 {
 	for (uint32_t i = q->head; i != LEDGER_NO_ITEM; i = j->items[i].next)
 		pack_u64(out, (uint64_t)i + 1);
 	pack_u64(out, 0);
 }
 
-static void put_job(buf_t *out, const ledger_job_t *j)
+static void pack_job(buf_t *out, const ledger_job_t *j)
 {
 	pack_str(out, ledger_id_caller(&j->id));
 	pack_str(out, ledger_id_name(&j->id));
@@ -74,80 +76,81 @@
 	pack_u64(out, j->cancelled);
 	pack_u64(out, j->cursor);
 	pack_u64(out, j->received);
-	put_node(out, &j->end);
+	pack_heap_node(out, &j->end_node);
 	for (uint32_t i = 0; i < j->received; i++)
-		put_item(out, j, i);
+		pack_item(out, j, i);
 	if (j->cancelled)
 		return;
-	put_queue(out, j, &j->back);
-	put_queue(out, j, &j->retry);
+	pack_item_queue(out, j, &j->returned);
+	pack_item_queue(out, j, &j->retry);
 }
 
-static void put_hold(buf_t *out, const ledger_job_lease_t *h)
+static void pack_job_lease(buf_t *out, const ledger_job_lease_t *jl)
 {
-	pack_u64(out, h->job->serial);
-	put_queue(out, h->job, &h->items);
+	pack_u64(out, jl->job->serial);
+	pack_item_queue(out, jl->job, &jl->items);
 }
 
-static void put_lease(buf_t *out, const ledger_lease_record_t *le)
+static void pack_lease_record(buf_t *out, const ledger_lease_record_t *rec)
 {
 	pack_u64(out, 1);
-	pack_str(out, (str_t){le->service->name, le->service->name_n});
-	pack_u64(out, le->seq);
-	pack_u64(out, le->n);
-	for (uint32_t i = 0; i < le->n; i++) {
-		pack_u64(out, le->refs[i].job);
-		pack_u64(out, le->refs[i].index);
-		pack_u64(out, le->refs[i].attempt);
+	pack_str(out, (str_t){rec->service->name, rec->service->name_n});
+	pack_u64(out, rec->seq);
+	pack_u64(out, rec->n);
+	for (uint32_t i = 0; i < rec->n; i++) {
+		pack_u64(out, rec->refs[i].job);
+		pack_u64(out, rec->refs[i].index);
+		pack_u64(out, rec->refs[i].attempt);
 	}
 }
 
-static void put_session(buf_t *out, const ledger_session_t *s)
+static void pack_session(buf_t *out, const ledger_session_t *s)
 {
-	const ledger_job_lease_t *h;
-	const ledger_lease_record_t *le;
+	const ledger_job_lease_t *jl;
+	const ledger_lease_record_t *rec;
 
 	pack_u64(out, s->id);
-	for (h = s->holds; h; h = h->next)
-		put_hold(out, h);
+	for (jl = s->job_leases; jl; jl = jl->next)
+		pack_job_lease(out, jl);
 	pack_u64(out, 0);
-	for (h = s->cancelled; h; h = h->next)
-		put_hold(out, h);
+	for (jl = s->cancelled_leases; jl; jl = jl->next)
+		pack_job_lease(out, jl);
 	pack_u64(out, 0);
-	for (le = s->leases; le; le = le->next)
-		put_lease(out, le);
+	for (rec = s->lease_records; rec; rec = rec->next)
+		pack_lease_record(out, rec);
 	pack_u64(out, 0);
 }
 
-/** Ready jobs of a heap's bands in the order in which their turns come. */
-static void put_bands(buf_t *out, const ledger_heap_t *bands)
+/** Jobs with waiting items, in order of turns. */
+static void pack_bands(buf_t *out, const ledger_heap_t *bands)
 {
 	const ledger_lane_t *lane;
 	const ledger_job_t *j;
 
 	for (uint32_t i = 0; i < bands->n; i++) {
-		const ledger_band_t *b = LEDGER_CONTAINER_OF(bands->v[i], ledger_band_t, node);
+		const ledger_band_t *b = LEDGER_CONTAINER_OF(bands->nodes[i], ledger_band_t, node);
 
 		for (lane = b->ring; lane; lane = lane->next) {
-			for (j = lane->ready; j; j = j->next) {
+			for (j = lane->ready_jobs; j; j = j->next) {
 				pack_u64(out, j->serial);
-				pack_u64(out, lane->taken);
+				pack_u64(out, lane->turn_taken);
 			}
 		}
 	}
 	pack_u64(out, 0);
 }
 
-static void put_turns(buf_t *out, const ledger_service_t *s)
+/** Writes the order of turns of one service. */
+static void pack_turns(buf_t *out, const ledger_service_t *s)
 {
 	pack_str(out, (str_t){s->name, s->name_n});
 	pack_u64(out, s->overdue_next);
-	put_bands(out, &s->overdue);
-	put_bands(out, &s->bands);
+	pack_bands(out, &s->overdue);
+	pack_bands(out, &s->bands);
 }
 
-/** Services and sessions, so that restore makes them in the same order. */
-static void put_names(buf_t *out, const ledger_t *l)
+/** Names of services and ids of sessions, so that restore creates them in the same order. */
+static void pack_names(buf_t *out, const ledger_t *l)
 {
 	pack_u64(out, HASH_COUNT(l->services));
 	for (const ledger_service_t *s = l->services; s; s = s->hh.next)
@@ -166,17 +169,17 @@
 	pack_u64(out, l->nlost);
 	for (size_t i = 0; i < l->nlost; i++)
 		pack_u64(out, l->lost[i]);
-	put_names(out, l);
+	pack_names(out, l);
 	pack_u64(out, HASH_COUNT(l->requests));
 	for (const ledger_request_t *r = l->requests; r; r = r->hh.next)
-		put_request(out, r);
+		pack_request(out, r);
 	pack_u64(out, HASH_COUNT(l->jobs));
 	for (const ledger_job_t *j = l->jobs; j; j = j->hh.next)
-		put_job(out, j);
+		pack_job(out, j);
 	pack_u64(out, HASH_COUNT(l->sessions));
 	for (const ledger_session_t *s = l->sessions; s; s = s->hh.next)
-		put_session(out, s);
+		pack_session(out, s);
 	pack_u64(out, HASH_COUNT(l->services));
 	for (const ledger_service_t *s = l->services; s; s = s->hh.next)
-		put_turns(out, s);
+		pack_turns(out, s);
 }
