--- a/src/state/config.c
+++ b/src/state/config.c
@@ -1,3 +1,4 @@
+/* Parsing and checking of the operators' config, except its routes. */
 #include "state/config.h"
 
 #include <stdlib.h>
@@ -146,13 +147,13 @@
 		const toml_table_t *at = toml_table_at(toml_root(c), "service", i);
 		config_service_t *s = &t->services[i];
 		status_t st = read_service(c, at, s);
-		const config_service_t *twin =
+		const config_service_t *duplicate =
 			s->name ? config_find_service(t, str_c(s->name)) : NULL;
 
 		t->nservices = i + 1;
 		if (st != STATUS_OK)
 			return st;
-		if (twin)
+		if (duplicate)
 			return fail_at(c, at, "name", "a second service", s->name);
 	}
 	return STATUS_OK;
@@ -176,8 +177,8 @@
 	return strcmp(l->caller, "*") == 0;
 }
 
-/** Moves the limit of all other callers out of the list. */
-static void take_default(config_t *t)
+/** Moves the limit of caller "*" out of the list; it applies to all other callers. */
+static void extract_default_limit(config_t *t)
 {
 	for (size_t i = 0; i < t->nlimits; i++) {
 		if (!is_default(&t->limits[i]))
@@ -189,7 +190,7 @@
 	}
 }
 
-static bool limit_twice(const config_t *t, const config_limit_t *l)
+static bool is_duplicate_limit(const config_t *t, const config_limit_t *l)
 {
 	for (const config_limit_t *at = t->limits; at < l; at++)
 		if (strcmp(at->caller, l->caller) == 0)
@@ -197,7 +198,7 @@
 	return false;
 }
 
-/** Limits start from the default one, wherever it stands in the text. */
+/** Reads the [[limit]] tables; keys that a table does not set get the built-in defaults. */
 static status_t read_limits(const toml_doc_t *c, config_t *t)
 {
 	size_t n = toml_table_count(toml_root(c), "limit");
@@ -211,24 +212,26 @@
 		*l = (config_limit_t){NULL, RATE_DEFAULT, BURST_DEFAULT, 1};
 		st = read_limit(c, at, l);
 		t->nlimits = i + 1;
-		if (st == STATUS_OK && limit_twice(t, l))
+		if (st == STATUS_OK && is_duplicate_limit(t, l))
 			st = fail_at(c, at, "caller", "a second limit for", l->caller);
 	}
 	if (st == STATUS_OK)
-		take_default(t);
+		extract_default_limit(t);
 	return st;
 }
 
-/** Search for circular dependencies, depth first. */
+/** Depth-first search for circular dependencies. */
 typedef struct {
 	const toml_doc_t *c;
 	const config_t *t;
-	enum { NEW, OPEN, CLEAR } * marks;
-	const config_service_t **path; /* open services from the first visited on */
+	enum { UNVISITED, ON_PATH, VISITED } * visit_states;
+	const config_service_t **path; /* services being visited, from the root down */
 	size_t depth;
-} search_t;
+} cycle_search_t;
 
-static status_t circular(const search_t *s, const toml_table_t *table, const config_service_t *to)
+/** Fails with the names of the services in the cycle. */
+static status_t fail_circular(const cycle_search_t *s, const toml_table_t *table,
+			      const config_service_t *to)
 {
 	AUTO_BUF cycle = {0};
 	size_t i = 0;
@@ -241,13 +244,14 @@
 	return fail_at(s->c, table, "depends", "circular:", cycle.p);
 }
 
-static status_t visit(search_t *s, size_t at)
+/** Visits a service and all that it depends on, directly or not. */
+static status_t visit_service(cycle_search_t *s, size_t at)
 {
 	const config_service_t *service = &s->t->services[at];
 	const toml_table_t *table = toml_table_at(toml_root(s->c), "service", at);
 	status_t st = STATUS_OK;
 
-	s->marks[at] = OPEN;
+	s->visit_states[at] = ON_PATH;
 	s->path[s->depth++] = service;
 	for (size_t i = 0; i < service->ndepends && st == STATUS_OK; i++) {
 		const config_service_t *to = config_find_service(s->t, str_c(service->depends[i]));
@@ -255,32 +259,32 @@
 
 		if (!to)
 			st = fail_at(s->c, table, "depends", "no service", service->depends[i]);
-		else if (s->marks[next] == OPEN)
-			st = circular(s, table, to);
-		else if (s->marks[next] == NEW)
-			st = visit(s, next);
+		else if (s->visit_states[next] == ON_PATH)
+			st = fail_circular(s, table, to);
+		else if (s->visit_states[next] == UNVISITED)
+			st = visit_service(s, next);
 	}
 	s->depth--;
-	s->marks[at] = CLEAR;
+	s->visit_states[at] = VISITED;
 	return st;
 }
 
 static status_t check_dependencies(const toml_doc_t *c, const config_t *t)
 {
-	search_t s = {.c = c, .t = t};
+	cycle_search_t s = {.c = c, .t = t};
 	status_t st = STATUS_OK;
 
-	s.marks = mem_new(t->nservices * sizeof(*s.marks));
+	s.visit_states = mem_new(t->nservices * sizeof(*s.visit_states));
 	s.path = mem_new(t->nservices * sizeof(config_service_t *));
 	for (size_t i = 0; i < t->nservices && st == STATUS_OK; i++)
-		if (s.marks[i] == NEW)
-			st = visit(&s, i);
-	free(s.marks);
+		if (s.visit_states[i] == UNVISITED)
+			st = visit_service(&s, i);
+	free(s.visit_states);
 	free(s.path);
 	return st;
 }
 
-static status_t read_text(const toml_doc_t *c, config_t *t)
+static status_t read_config(const toml_doc_t *c, config_t *t)
 {
 	const toml_key_t keys[] = {
 		{"retention_s", TOML_INT, false, 1, RETENTION_S_MAX, &t->retention_s},
@@ -316,7 +320,7 @@
 	t->address_ttl_s = ADDRESS_TTL_S_DEFAULT;
 	t->weight_loads_per_min = WEIGHT_LOADS_DEFAULT;
 	t->default_limit = (config_limit_t){str_dup(STR("*")), RATE_DEFAULT, BURST_DEFAULT, 1};
-	st = read_text(c, t);
+	st = read_config(c, t);
 	if (st == STATUS_OK)
 		*out = t;
 	else
--- a/src/state/config_internal.h
+++ b/src/state/config_internal.h
@@ -1,11 +1,11 @@
-/** What the files of the operators' text share. */
+/** Shared by the files that read the operators' config. */
 #ifndef AUBURN_CONFIG_INTERNAL_H
 #define AUBURN_CONFIG_INTERNAL_H
 
 #include "base/toml.h"
 #include "state/config.h"
 
-/** Reads the [[route]] tables into t->routes, once the services are read. */
+/** Reads the [[route]] tables into t->routes; the services must have been read. */
 status_t config_read_routes(const toml_doc_t *c, config_t *t);
 
 #endif
--- a/src/state/config_routes.c
+++ b/src/state/config_routes.c
@@ -1,4 +1,4 @@
-/* Routes of the operators' text. */
+/* Routes of the operators' config. */
 #include <stdlib.h>
 #include <string.h>
 #include "state/config_internal.h"
@@ -12,7 +12,7 @@
 #define PRIORITY_MAX	   9
 #define TOKENS_MAX	   (1LL << 50)
 #define TIMEOUT_DEFAULT_MS 30000
-/** Bounds on what clients send where the text names none: the usual ones of HTTP servers. */
+/** Limits on what clients send, for configs that set none: usual values of HTTP servers. */
 #define HEADER_BYTES 16384
 #define BODY_BYTES   (8LL << 20)
 #define HEADER_MS    5000
@@ -87,7 +87,7 @@
 	return st;
 }
 
-static void add_services(const config_t *t, route_table_t *r)
+static void copy_services(const config_t *t, route_table_t *r)
 {
 	r->services = mem_new((t->nservices + 1) * sizeof(*r->services));
 	for (; r->nservices < t->nservices; r->nservices++) {
@@ -108,7 +108,7 @@
 	status_t st = STATUS_OK;
 
 	r->limits = (route_client_limits_t){HEADER_BYTES, BODY_BYTES, HEADER_MS, IDLE_MS};
-	add_services(t, r);
+	copy_services(t, r);
 	r->routes = mem_new((n + 1) * sizeof(*r->routes));
 	for (size_t i = 0; i < n && st == STATUS_OK; i++) {
 		r->nroutes = i + 1;
--- a/src/state/fleet.c
+++ b/src/state/fleet.c
@@ -1,3 +1,4 @@
+/* Commands of the fleet's state machine. */
 #include "state/fleet.h"
 
 #include <stdlib.h>
@@ -7,7 +8,7 @@
 
 #define LIST_CAP_MIN 16
 
-static void answer(wire_fleet_res_t *res, status_t st)
+static void set_status(wire_fleet_res_t *res, status_t st)
 {
 	res->status = (int)st;
 	if (st != STATUS_OK)
@@ -40,7 +41,7 @@
 
 void fleet_member_add(fleet_state_t *f, fleet_member_t *m)
 {
-	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 	HASH_ADD(hh, f->members, session, sizeof(m->session), m);
 }
 
@@ -73,15 +74,15 @@
 {
 	if (!f)
 		return;
-	for (uint64_t i = 0; i < f->nconfs; i++) {
-		free(f->confs[i].operator_name);
-		free(f->confs[i].text);
+	for (uint64_t i = 0; i < f->nconfigs; i++) {
+		free(f->configs[i].operator_name);
+		free(f->configs[i].text);
 	}
 	while (f->members)
 		member_free(f, f->members);
 	while (f->upstreams)
 		fleet_upstream_free(f, f->upstreams);
-	free(f->confs);
+	free(f->configs);
 	for (size_t i = 0; i < f->nretired; i++)
 		free(f->retired[i].name);
 	free(f->retired);
@@ -89,15 +90,15 @@
 	free(f);
 }
 
-/* ---- the operators' text ---- */
+/* ---- configs ---- */
 
 void fleet_config_add(fleet_state_t *f, uint64_t digest, str_t operator_name, str_t text)
 {
-	if (f->nconfs == f->confs_cap) {
-		f->confs_cap = f->confs_cap ? f->confs_cap * 2 : LIST_CAP_MIN;
-		f->confs = mem_grow(f->confs, f->confs_cap * sizeof(*f->confs));
+	if (f->nconfigs == f->configs_cap) {
+		f->configs_cap = f->configs_cap ? f->configs_cap * 2 : LIST_CAP_MIN;
+		f->configs = mem_grow(f->configs, f->configs_cap * sizeof(*f->configs));
 	}
-	f->confs[f->nconfs++] = (fleet_config_t){
+	f->configs[f->nconfigs++] = (fleet_config_t){
 		.digest = digest,
 		.operator_name = str_dup(operator_name),
 		.operator_n = (uint32_t)operator_name.n,
@@ -108,40 +109,42 @@
 
 void fleet_config_drop_text(fleet_state_t *f, uint64_t number)
 {
-	fleet_config_t *c = &f->confs[number - 1];
+	fleet_config_t *c = &f->configs[number - 1];
 
 	free(c->text);
 	c->text = NULL;
 	c->text_n = 0;
 }
 
-/** Answers a submit under a number that is taken. */
-static status_t submit_again(const fleet_state_t *f, uint64_t number, uint64_t digest,
-			     wire_fleet_res_t *res)
+/** Handles the submission of a config under a number that is already napplied. */
+static status_t resubmit_config(const fleet_state_t *f, uint64_t number, uint64_t digest,
+				wire_fleet_res_t *res)
 {
-	uint64_t winner = f->confs[number - 1].digest;
+	uint64_t winner = f->configs[number - 1].digest;
 
 	res->winner_digest = winner;
 	if (winner != digest)
-		return status_fail(STATUS_CONFLICT, "number %llu holds another text",
+		return status_fail(STATUS_CONFLICT, "config %llu already exists with another text",
 				   (unsigned long long)number);
 	res->number = number;
 	return STATUS_OK;
 }
 
-static status_t submit(fleet_state_t *f, const wire_config_submit_t *c, wire_fleet_res_t *res)
+/** Accepts a config whose number is the next one. */
+static status_t submit_config(fleet_state_t *f, const wire_config_submit_t *c,
+			      wire_fleet_res_t *res)
 {
 	uint64_t digest = config_digest(wire_str(c->text));
 
-	res->number = f->nconfs;
-	if (c->number == 0 || c->number > f->nconfs + 1)
-		return status_fail(STATUS_INVALID, "number %llu can't follow %llu",
-				   (unsigned long long)c->number, (unsigned long long)f->nconfs);
-	if (c->number <= f->nconfs)
-		return submit_again(f, c->number, digest, res);
+	res->number = f->nconfigs;
+	if (c->number == 0 || c->number > f->nconfigs + 1)
+		return status_fail(STATUS_INVALID, "config number %llu does not follow %llu",
+				   (unsigned long long)c->number, (unsigned long long)f->nconfigs);
+	if (c->number <= f->nconfigs)
+		return resubmit_config(f, c->number, digest, res);
 	fleet_config_add(f, digest, wire_str(c->operator_name), wire_str(c->text));
-	if (f->nconfs > FLEET_CONFIG_TEXTS_MAX)
-		fleet_config_drop_text(f, f->nconfs - FLEET_CONFIG_TEXTS_MAX);
+	if (f->nconfigs > FLEET_CONFIG_TEXTS_MAX)
+		fleet_config_drop_text(f, f->nconfigs - FLEET_CONFIG_TEXTS_MAX);
 	res->number = c->number;
 	res->winner_digest = digest;
 	return STATUS_OK;
@@ -149,7 +152,7 @@
 
 /* ---- sessions ---- */
 
-static fleet_member_t *member_named(const fleet_state_t *f, str_t name)
+static fleet_member_t *find_member_by_name(const fleet_state_t *f, str_t name)
 {
 	for (fleet_member_t *m = f->members; m; m = m->hh.next)
 		if (str_eq(str_c(m->name), name))
@@ -166,25 +169,26 @@
 	f->closed[f->nclosed++] = session;
 }
 
-static void close_member(fleet_state_t *f, fleet_member_t *m)
+static void close_session(fleet_state_t *f, fleet_member_t *m)
 {
 	fleet_closed_add(f, m->session);
 	member_free(f, m);
 	f->view_version++;
 }
 
-static status_t session_open(fleet_state_t *f, const wire_member_t *c, wire_fleet_res_t *res)
+/** Opens a session, unless one of the same name and boot is open. Closes one of an earlier boot. */
+static status_t open_session(fleet_state_t *f, const wire_member_t *c, wire_fleet_res_t *res)
 {
-	fleet_member_t *m = member_named(f, wire_str(c->name));
+	fleet_member_t *m = find_member_by_name(f, wire_str(c->name));
 
 	if (c->name.wire_bytes_t_len == 0)
-		return status_fail(STATUS_INVALID, "a session needs a name");
+		return status_fail(STATUS_INVALID, "session has no name");
 	if (m && m->boot == c->boot) {
 		res->number = m->session;
 		return STATUS_OK;
 	}
 	if (m)
-		close_member(f, m);
+		close_session(f, m);
 	m = mem_new(sizeof(*m));
 	m->name = str_dup(wire_str(c->name));
 	m->addr = str_dup(wire_str(c->addr));
@@ -199,8 +203,8 @@
 	return STATUS_OK;
 }
 
-/** Status for a session that isn't open. */
-static status_t not_open(const fleet_state_t *f, uint64_t session)
+/** Returns the status for a session that is not open: never opened, or closed. */
+static status_t not_open_status(const fleet_state_t *f, uint64_t session)
 {
 	if (session == 0 || session > f->last_session)
 		return status_fail(STATUS_NOT_FOUND, "no session %llu",
@@ -208,30 +212,30 @@
 	return status_fail(STATUS_CANCELLED, "session %llu is closed", (unsigned long long)session);
 }
 
-static status_t session_drain(fleet_state_t *f, uint64_t session)
+static status_t drain_session(fleet_state_t *f, uint64_t session)
 {
 	fleet_member_t *m = fleet_find_member(f, session);
 
 	if (!m)
-		return not_open(f, session);
+		return not_open_status(f, session);
 	if (!m->draining)
 		f->view_version++;
 	m->draining = true;
 	return STATUS_OK;
 }
 
-static status_t session_close(fleet_state_t *f, const wire_session_close_t *c)
+static status_t handle_session_close(fleet_state_t *f, const wire_session_close_t *c)
 {
 	fleet_member_t *m = fleet_find_member(f, c->session);
 
 	if (m)
-		close_member(f, m);
+		close_session(f, m);
 	else if (c->session == 0 || c->session > f->last_session)
-		return not_open(f, c->session);
+		return not_open_status(f, c->session);
 	return STATUS_OK;
 }
 
-/* ---- control processes that are emptied ---- */
+/* ---- retired control processes ---- */
 
 void fleet_retired_add(fleet_state_t *f, str_t name, uint64_t replica)
 {
@@ -242,16 +246,17 @@
 	f->retired[f->nretired++] = (fleet_retired_t){str_dup(name), replica};
 }
 
-static status_t retire(fleet_state_t *f, const wire_retire_t *c)
+/** Records that a control process must hold no replica any more. */
+static status_t retire_control(fleet_state_t *f, const wire_retire_t *c)
 {
 	if (c->name.wire_bytes_t_len == 0 || c->replica == 0)
-		return status_fail(STATUS_INVALID, "no control process is named");
+		return status_fail(STATUS_INVALID, "control process has no name or replica");
 	if (!fleet_is_retired(f, c->replica))
 		fleet_retired_add(f, wire_str(c->name), c->replica);
 	return STATUS_OK;
 }
 
-static bool listed(const u_quad_t *v, u_int n, uint64_t session)
+static bool contains_session(const u_quad_t *v, u_int n, uint64_t session)
 {
 	for (u_int i = 0; i < n; i++)
 		if (v[i] == session)
@@ -259,18 +264,20 @@
 	return false;
 }
 
-static void forget(fleet_state_t *f, const u_quad_t *v, u_int n)
+/** Removes sessions from the list of those to report to the ledgers. */
+static void forget_closed_sessions(fleet_state_t *f, const u_quad_t *v, u_int n)
 {
-	size_t kept = 0;
+	size_t nleft = 0;
 
 	for (size_t i = 0; i < f->nclosed; i++)
-		if (!listed(v, n, f->closed[i]))
-			f->closed[kept++] = f->closed[i];
-	f->nclosed = kept;
+		if (!contains_session(v, n, f->closed[i]))
+			f->closed[nleft++] = f->closed[i];
+	f->nclosed = nleft;
 }
 
 /* ---- upstreams and owners ---- */
 
+/** Returns true if the session may own the upstream; session 0 releases it. */
 static bool may_own(const fleet_state_t *f, const fleet_upstream_t *u, uint64_t session)
 {
 	const fleet_member_t *m = fleet_find_member(f, session);
@@ -280,7 +287,8 @@
 	return m && !m->draining && u->state != WIRE_UPSTREAM_GONE;
 }
 
-static bool own(fleet_state_t *f, const wire_owner_change_t *c)
+/** Changes the owner if the fencing token is still the one that the change was planned with. */
+static bool change_owner(fleet_state_t *f, const wire_owner_change_t *c)
 {
 	fleet_upstream_t *u = fleet_find_upstream(f, wire_str(c->id));
 
@@ -297,21 +305,21 @@
 	return true;
 }
 
-static status_t apply_own(fleet_state_t *f, const wire_owner_change_t *v, u_int n,
-			  wire_fleet_res_t *res)
+static status_t change_owners(fleet_state_t *f, const wire_owner_change_t *v, u_int n,
+			      wire_fleet_res_t *res)
 {
-	u_int taken = 0;
+	u_int napplied = 0;
 
 	for (u_int i = 0; i < n; i++)
-		taken += own(f, &v[i]);
-	if (taken)
+		napplied += change_owner(f, &v[i]);
+	if (napplied)
 		f->view_version++;
-	res->number = taken;
+	res->number = napplied;
 	return STATUS_OK;
 }
 
-/** Replaces a string that differs; true when it did. */
-static bool set_text(char **p, wire_bytes_t b)
+/** Replaces a string if it differs; returns true if it did. */
+static bool replace_string(char **p, wire_bytes_t b)
 {
 	if (*p && str_eq(str_c(*p), wire_str(b)))
 		return false;
@@ -320,7 +328,8 @@
 	return true;
 }
 
-static bool list_upstream(fleet_state_t *f, const wire_upstream_t *c)
+/** Adds or updates an upstream of the new list. Returns true if the view changed. */
+static bool update_listed_upstream(fleet_state_t *f, const wire_upstream_t *c)
 {
 	fleet_upstream_t *u = fleet_find_upstream(f, wire_str(c->id));
 	wire_upstream_state_t state =
@@ -335,16 +344,17 @@
 	if (u->listed)
 		return false;
 	u->listed = true;
-	changed |= set_text(&u->addr, c->addr);
-	changed |= set_text(&u->zone, c->zone);
-	changed |= set_text(&u->service, c->service);
+	changed |= replace_string(&u->addr, c->addr);
+	changed |= replace_string(&u->zone, c->zone);
+	changed |= replace_string(&u->service, c->service);
 	changed |= u->state != state;
 	u->state = state;
 	return changed;
 }
 
-/** Marks an upstream that left the list; true when the view changed. */
-static bool unlist(fleet_state_t *f, fleet_upstream_t *u)
+/** Marks an upstream that is no longer listed as gone, and frees it if it has no owner. Returns
+ * true if the view changed. */
+static bool mark_unlisted_gone(fleet_state_t *f, fleet_upstream_t *u)
 {
 	bool changed = u->state != WIRE_UPSTREAM_GONE;
 
@@ -362,11 +372,11 @@
 
 	for (u_int i = 0; i < n; i++)
 		if (v[i].state != WIRE_UPSTREAM_GONE && v[i].id.wire_bytes_t_len)
-			changed |= list_upstream(f, &v[i]);
+			changed |= update_listed_upstream(f, &v[i]);
 	for (fleet_upstream_t *u = f->upstreams; u; u = next) {
 		next = u->hh.next;
 		if (!u->listed)
-			changed |= unlist(f, u);
+			changed |= mark_unlisted_gone(f, u);
 		else
 			u->listed = false;
 	}
@@ -378,34 +388,34 @@
 	memset(res, 0, sizeof(*res));
 	switch (cmd->kind) {
 	case WIRE_FLEET_CONFIG_SUBMIT:
-		answer(res, submit(f, &cmd->wire_fleet_cmd_t_u.submit, res));
+		set_status(res, submit_config(f, &cmd->wire_fleet_cmd_t_u.submit, res));
 		break;
 	case WIRE_FLEET_SESSION_OPEN:
-		answer(res, session_open(f, &cmd->wire_fleet_cmd_t_u.open, res));
+		set_status(res, open_session(f, &cmd->wire_fleet_cmd_t_u.open, res));
 		break;
 	case WIRE_FLEET_SESSION_DRAIN:
-		answer(res, session_drain(f, cmd->wire_fleet_cmd_t_u.drain));
+		set_status(res, drain_session(f, cmd->wire_fleet_cmd_t_u.drain));
 		break;
 	case WIRE_FLEET_SESSION_CLOSE:
-		answer(res, session_close(f, &cmd->wire_fleet_cmd_t_u.close));
+		set_status(res, handle_session_close(f, &cmd->wire_fleet_cmd_t_u.close));
 		break;
 	case WIRE_FLEET_OWNERS:
-		answer(res, apply_own(f, cmd->wire_fleet_cmd_t_u.own.own_val,
-				      cmd->wire_fleet_cmd_t_u.own.own_len, res));
+		set_status(res, change_owners(f, cmd->wire_fleet_cmd_t_u.own.own_val,
+					      cmd->wire_fleet_cmd_t_u.own.own_len, res));
 		break;
 	case WIRE_FLEET_UPSTREAMS:
 		replace_upstreams(f, cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val,
 				  cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len);
 		break;
 	case WIRE_FLEET_FORGET:
-		forget(f, cmd->wire_fleet_cmd_t_u.forget.forget_val,
-		       cmd->wire_fleet_cmd_t_u.forget.forget_len);
+		forget_closed_sessions(f, cmd->wire_fleet_cmd_t_u.forget.forget_val,
+				       cmd->wire_fleet_cmd_t_u.forget.forget_len);
 		break;
 	case WIRE_FLEET_RETIRE:
-		answer(res, retire(f, &cmd->wire_fleet_cmd_t_u.retire));
+		set_status(res, retire_control(f, &cmd->wire_fleet_cmd_t_u.retire));
 		break;
 	default:
-		answer(res,
-		       status_fail(STATUS_INVALID, "unknown fleet command %d", (int)cmd->kind));
+		set_status(res,
+			   status_fail(STATUS_INVALID, "unknown fleet command %d", (int)cmd->kind));
 	}
 }
--- a/src/state/fleet.h
+++ b/src/state/fleet.h
@@ -1,13 +1,14 @@
 /**
- * State machine of group 0: the operators' text, sessions of entries, upstreams and their owners.
- * Pure: no clock, no I/O; the same commands give the same state and answers on every replica.
+ * State machine of group 0: the operators' configs, sessions of entries, upstreams and their
+ * owners. Pure: no clock, no I/O; the same commands give the same state and answers on every
+ * replica.
  */
 #ifndef AUBURN_FLEET_H
 #define AUBURN_FLEET_H
 
 #include "proto/wire.h"
 
-typedef struct fl fleet_state_t;
+typedef struct fleet_state fleet_state_t;
 
 fleet_state_t *fleet_new(unsigned ledger_groups);
 void fleet_free(fleet_state_t *f);
@@ -18,39 +19,45 @@
 void fleet_snapshot(const fleet_state_t *f, buf_t *out);
 status_t fleet_restore(fleet_state_t *f, str_t snap);
 
-/** Replica that WIRE_FLEET_RETIRE named last under this name; 0 when it named none. */
+/** Returns the replica last retired (WIRE_FLEET_RETIRE) under this name, or 0. */
 uint64_t fleet_retired_replica(const fleet_state_t *f, str_t name);
-/** True when this replica is to hold nothing any more. */
+/** Returns true if the control process with this replica of group 0 is retired: it must hold no
+ * replica of any group any more. */
 bool fleet_is_retired(const fleet_state_t *f, uint64_t replica);
 
+/** Returns the number of the newest config; 0: there is none. */
 uint64_t fleet_config_number(const fleet_state_t *f);
 uint64_t fleet_view_version(const fleet_state_t *f);
-/** Session with this name and boot, or 0. */
+/** Returns the open session with this name and boot number, or 0. */
 uint64_t fleet_find_session(const fleet_state_t *f, str_t name, uint64_t boot);
 bool fleet_session_is_open(const fleet_state_t *f, uint64_t session);
-/** Live sessions; returns how many were written, at most max. */
+/** Writes at most max ids of open sessions to out and returns how many. */
 size_t fleet_open_sessions(const fleet_state_t *f, uint64_t *out, size_t max);
 
-/** Closed sessions, oldest first, that WIRE_FLEET_FORGET has not named yet: the control leader
- * tells every ledger group of them (WIRE_LEDGER_SESSIONS_LOST) before it forgets them. Returns how
- * many were written, at most max. */
+/** Writes at most max closed sessions, oldest first, that WIRE_FLEET_FORGET has not named yet, and
+ * returns how many. The control leader reports them to every ledger group
+ * (WIRE_LEDGER_SESSIONS_LOST) before it forgets them. */
 size_t fleet_closed_sessions(const fleet_state_t *f, uint64_t *out, size_t max);
 
-/** Plans ownership: every live or leaving upstream gets an owner, spread within one of even for
- * each service over the members that aren't draining, its own zone first, with few moves. Those of
- * a closed session get a new owner at once, so close a session only once its lease has certainly
- * ended. Those of an open session are moved in two steps: a first plan releases them (owner 0), a
- * later one gives them to another. Those that are gone are released. Makes cmd an
- * WIRE_FLEET_OWNERS, which wire_free frees, and returns the count of its changes. */
+/** Plans ownership: each upstream that is live or leaving gets an owner among the members that are
+ * not draining. For each service the counts of the members differ by at most one; owners in the
+ * upstream's own zone are preferred, and few upstreams move. Upstreams of a closed session get a
+ * new owner at once, so close a session only once its lease has certainly ended. Upstreams of an
+ * open session move in two steps: one plan releases them (owner 0), a later plan assigns them.
+ * Upstreams that are gone are released. Sets cmd to a WIRE_FLEET_OWNERS, which wire_free frees,
+ * and returns the number of its changes. */
 size_t fleet_plan_owners(const fleet_state_t *f, size_t max_changes, wire_fleet_cmd_t *cmd);
 
-/** The same, but a released upstream waits until `seen` says that the session which owned it knows
- * of the view in which it was released, or is closed. */
+/** Options of a plan. session_saw returns whether a session has received a view; a released
+ * upstream is assigned only once its former owner has received the view in which it was released,
+ * or once that session is closed. */
 typedef struct {
 	size_t max_changes;
-	bool (*session_saw)(void *ctx, uint64_t session, uint64_t view_version); /* NULL: always */
+	bool (*session_saw)(void *ctx, uint64_t session,
+			    uint64_t view_version); /* NULL: always true */
 	void *ctx;
 } fleet_plan_options_t;
+/** Like fleet_plan_owners, with options. */
 size_t fleet_plan_owners_with(const fleet_state_t *f, const fleet_plan_options_t *plan,
 			      wire_fleet_cmd_t *cmd);
 
--- a/src/state/fleet_internal.h
+++ b/src/state/fleet_internal.h
@@ -1,60 +1,61 @@
-/** Inside of the fleet's state machine. */
+/** Internal structure of the fleet's state machine, shared by its files. */
 #ifndef AUBURN_FLEET_INTERNAL_H
 #define AUBURN_FLEET_INTERNAL_H
 
 #include <uthash.h>
 #include "state/fleet.h"
 
-/** Texts of the newest numbers that are kept whole. */
+/** Number of newest configs whose text is stored; older ones are stored without their text. */
 #define FLEET_CONFIG_TEXTS_MAX 50
 
-/** What stands under one number of the operators' text, for ever. */
+/** One numbered config. Numbers and digests are stored for ever. */
 typedef struct {
 	uint64_t digest;
 	char *operator_name;
 	uint32_t operator_n;
-	char *text; /* NULL once dropped */
+	char *text; /* NULL if dropped */
 	uint32_t text_n;
 } fleet_config_t;
 
-typedef struct fleet_find_member {
+/** An entry with an open session. */
+typedef struct fleet_member {
 	char *name;
-	char *addr;
-	char *peer;
+	char *addr; /* for callers (HTTP) */
+	char *peer; /* for other entries (RPC) */
 	char *zone;
-	uint64_t boot;
+	uint64_t boot; /* random, new at each start of the entry */
 	uint64_t session;
 	bool draining;
 	UT_hash_handle hh; /* by session */
 } fleet_member_t;
 
-typedef struct fleet_find_upstream {
+typedef struct fleet_upstream {
 	char *id;
 	char *addr;
 	char *zone;
 	char *service;
 	wire_upstream_state_t state;
-	uint64_t owner;
-	uint64_t fence;
-	uint64_t last_owner; /* who owned it before it was released */
-	uint64_t released_view; /* view version of that release */
-	bool listed; /* in the list that is being applied */
+	uint64_t owner; /* session; 0: none */
+	uint64_t fence; /* fencing token of this ownership */
+	uint64_t last_owner; /* owner before the release; 0: none */
+	uint64_t released_view; /* version of the view in which it was released */
+	bool listed; /* in the upstream list that is being applied */
 	UT_hash_handle hh; /* by id */
 } fleet_upstream_t;
 
-/** A control process that is to hold nothing any more. */
+/** A control process that must hold no replica any more. */
 typedef struct {
 	char *name;
-	uint64_t replica;
+	uint64_t replica; /* id of its replica of group 0 */
 } fleet_retired_t;
 
-struct fl {
+struct fleet_state {
 	unsigned ledger_groups;
-	fleet_config_t *confs; /* number n at n - 1 */
-	uint64_t nconfs;
-	uint64_t confs_cap;
+	fleet_config_t *configs; /* number n at n - 1 */
+	uint64_t nconfigs;
+	uint64_t configs_cap;
 	fleet_member_t *members; /* open sessions */
-	uint64_t *closed; /* sessions to tell the ledgers of, oldest first */
+	uint64_t *closed; /* sessions to report to the ledgers, oldest first */
 	size_t nclosed;
 	size_t closed_cap;
 	fleet_upstream_t *upstreams;
@@ -66,6 +67,7 @@
 	uint64_t view_version;
 };
 
+/** Returns the member with this open session, or NULL. */
 fleet_member_t *fleet_find_member(const fleet_state_t *f, uint64_t session);
 fleet_upstream_t *fleet_find_upstream(const fleet_state_t *f, str_t id);
 void fleet_config_add(fleet_state_t *f, uint64_t digest, str_t operator_name, str_t text);
@@ -74,6 +76,7 @@
 void fleet_upstream_add(fleet_state_t *f, fleet_upstream_t *u);
 void fleet_upstream_free(fleet_state_t *f, fleet_upstream_t *u);
 void fleet_retired_add(fleet_state_t *f, str_t name, uint64_t replica);
+/** Adds a closed session that must be reported to the ledgers. */
 void fleet_closed_add(fleet_state_t *f, uint64_t session);
 
 #endif
--- a/src/state/fleet_plan.c
+++ b/src/state/fleet_plan.c
@@ -1,34 +1,35 @@
+/* Plans which entry owns which upstream. */
 #include <assert.h>
 #include <stdlib.h>
 #include <string.h>
 #include "state/fleet_internal.h"
 
-/** A member that may own upstreams, with its load while the plan is made. */
+/** A member that may own upstreams, with its load as planned so far. */
 typedef struct {
 	const fleet_member_t *m;
-	size_t total; /* upstreams of all services */
-	size_t load; /* upstreams of the service at hand */
-	size_t cap; /* its share of the service at hand */
-} place_t;
+	size_t total; /* upstreams owned, of all services */
+	size_t load; /* upstreams owned, of the current service */
+	size_t quota; /* upstreams that it should own, of the current service */
+} candidate_t;
 
 typedef struct {
 	const fleet_state_t *f;
 	const fleet_plan_options_t *options;
-	place_t *places;
-	size_t nplaces;
+	candidate_t *candidates;
+	size_t ncandidates;
 	wire_owner_change_t *changes;
 	size_t nchanges;
-} planner_t;
+} plan_state_t;
 
-static place_t *place_of(const planner_t *p, uint64_t session)
+static candidate_t *find_candidate(const plan_state_t *p, uint64_t session)
 {
-	for (size_t i = 0; i < p->nplaces; i++)
-		if (p->places[i].m->session == session)
-			return &p->places[i];
+	for (size_t i = 0; i < p->ncandidates; i++)
+		if (p->candidates[i].m->session == session)
+			return &p->candidates[i];
 	return NULL;
 }
 
-static void change(planner_t *p, const fleet_upstream_t *u, uint64_t session)
+static void add_change(plan_state_t *p, const fleet_upstream_t *u, uint64_t session)
 {
 	if (p->nchanges == p->options->max_changes)
 		return;
@@ -39,7 +40,7 @@
 	};
 }
 
-static int by_service(const void *a, const void *b)
+static int compare_by_service(const void *a, const void *b)
 {
 	const fleet_upstream_t *x = *(fleet_upstream_t *const *)a;
 	const fleet_upstream_t *y = *(fleet_upstream_t *const *)b;
@@ -48,11 +49,12 @@
 	return c ? c : strcmp(x->id, y->id);
 }
 
-/** Most of the service first, so that who has more keeps more; then who has least in all. */
-static int by_load(const void *a, const void *b)
+/** Members with the most upstreams of the service first, so that they get the larger quotas and
+ * release fewer; then those with the fewest upstreams in all. */
+static int compare_by_load(const void *a, const void *b)
 {
-	const place_t *x = a;
-	const place_t *y = b;
+	const candidate_t *x = a;
+	const candidate_t *y = b;
 
 	if (x->load != y->load)
 		return x->load > y->load ? -1 : 1;
@@ -61,27 +63,28 @@
 	return x->m->session < y->m->session ? -1 : 1;
 }
 
-/** Shares n upstreams between the places. */
-static void set_caps(planner_t *p, size_t n)
+/** Divides n upstreams evenly among the candidates. */
+static void set_quotas(plan_state_t *p, size_t n)
 {
 	size_t base;
 	size_t extra;
 
-	assert(p->nplaces > 0);
-	base = n / p->nplaces;
-	extra = n % p->nplaces;
-	qsort(p->places, p->nplaces, sizeof(*p->places), by_load);
-	for (size_t i = 0; i < p->nplaces; i++)
-		p->places[i].cap = base + (i < extra);
+	assert(p->ncandidates > 0);
+	base = n / p->ncandidates;
+	extra = n % p->ncandidates;
+	qsort(p->candidates, p->ncandidates, sizeof(*p->candidates), compare_by_load);
+	for (size_t i = 0; i < p->ncandidates; i++)
+		p->candidates[i].quota = base + (i < extra);
 }
 
-static bool better(const place_t *a, const place_t *b, const char *zone)
+/** Prefers the zone, then the lower load; the lower session number decides between equals. */
+static bool is_better_candidate(const candidate_t *a, const candidate_t *b, const char *zone)
 {
-	bool a_near = strcmp(a->m->zone, zone) == 0;
-	bool b_near = strcmp(b->m->zone, zone) == 0;
+	bool a_in_zone = strcmp(a->m->zone, zone) == 0;
+	bool b_in_zone = strcmp(b->m->zone, zone) == 0;
 
-	if (a_near != b_near)
-		return a_near;
+	if (a_in_zone != b_in_zone)
+		return a_in_zone;
 	if (a->load != b->load)
 		return a->load < b->load;
 	if (a->total != b->total)
@@ -89,25 +92,26 @@
 	return a->m->session < b->m->session;
 }
 
-static void give(planner_t *p, const fleet_upstream_t *u)
+/** Assigns the upstream to the best member below its quota, if there is one. */
+static void assign_owner(plan_state_t *p, const fleet_upstream_t *u)
 {
-	place_t *best = NULL;
+	candidate_t *best = NULL;
 
-	for (size_t i = 0; i < p->nplaces; i++) {
-		place_t *at = &p->places[i];
+	for (size_t i = 0; i < p->ncandidates; i++) {
+		candidate_t *cand = &p->candidates[i];
 
-		if (at->load < at->cap && (!best || better(at, best, u->zone)))
-			best = at;
+		if (cand->load < cand->quota && (!best || is_better_candidate(cand, best, u->zone)))
+			best = cand;
 	}
 	if (!best)
 		return;
-	change(p, u, best->m->session);
+	add_change(p, u, best->m->session);
 	best->load++;
 	best->total++;
 }
 
-/** True when nobody may still act as the upstream's owner. */
-static bool is_free(const planner_t *p, const fleet_upstream_t *u)
+/** Returns true if no entry can still act as the upstream's owner. */
+static bool is_assignable(const plan_state_t *p, const fleet_upstream_t *u)
 {
 	if (u->owner)
 		return !fleet_find_member(p->f, u->owner);
@@ -116,98 +120,102 @@
 	return p->options->session_saw(p->options->ctx, u->last_owner, u->released_view);
 }
 
-/** Releases what a place holds over its share, upstreams of other zones first. */
-static void shed(planner_t *p, place_t *at, fleet_upstream_t *const *us, size_t n, bool near_too)
+/** Releases upstreams that a member owns over its quota: those in its own zone, or those in other
+ * zones, which go first. */
+static void release_over_quota(plan_state_t *p, candidate_t *cand,
+			       fleet_upstream_t *const *upstreams, size_t n, bool same_zone)
 {
-	for (size_t i = 0; i < n && at->load > at->cap; i++) {
-		bool near = strcmp(us[i]->zone, at->m->zone) == 0;
+	for (size_t i = 0; i < n && cand->load > cand->quota; i++) {
+		bool in_zone = strcmp(upstreams[i]->zone, cand->m->zone) == 0;
 
-		if (us[i]->owner != at->m->session || near != near_too)
+		if (upstreams[i]->owner != cand->m->session || in_zone != same_zone)
 			continue;
-		change(p, us[i], 0);
-		at->load--;
-		at->total--;
+		add_change(p, upstreams[i], 0);
+		cand->load--;
+		cand->total--;
 	}
 }
 
-static void plan_service(planner_t *p, fleet_upstream_t *const *us, size_t n)
+/** Plans the n upstreams of one service. */
+static void plan_service(plan_state_t *p, fleet_upstream_t *const *upstreams, size_t n)
 {
-	for (size_t i = 0; i < p->nplaces; i++)
-		p->places[i].load = 0;
+	for (size_t i = 0; i < p->ncandidates; i++)
+		p->candidates[i].load = 0;
 	for (size_t i = 0; i < n; i++) {
-		place_t *at = place_of(p, us[i]->owner);
+		candidate_t *cand = find_candidate(p, upstreams[i]->owner);
 
-		if (at)
-			at->load++;
+		if (cand)
+			cand->load++;
 	}
-	set_caps(p, n);
+	set_quotas(p, n);
 	for (size_t i = 0; i < n; i++) {
-		if (is_free(p, us[i]))
-			give(p, us[i]);
-		else if (us[i]->owner && !place_of(p, us[i]->owner))
-			change(p, us[i], 0);
+		if (is_assignable(p, upstreams[i]))
+			assign_owner(p, upstreams[i]);
+		else if (upstreams[i]->owner && !find_candidate(p, upstreams[i]->owner))
+			add_change(p, upstreams[i], 0);
 	}
-	for (size_t i = 0; i < p->nplaces; i++) {
-		shed(p, &p->places[i], us, n, false);
-		shed(p, &p->places[i], us, n, true);
+	for (size_t i = 0; i < p->ncandidates; i++) {
+		release_over_quota(p, &p->candidates[i], upstreams, n, false);
+		release_over_quota(p, &p->candidates[i], upstreams, n, true);
 	}
 }
 
-/** Releases upstreams that are gone, or whose owner is when nobody else may own them. */
-static void release_dead(planner_t *p)
+/** Releases upstreams that are gone and, if no member may own any, those of closed sessions. */
+static void release_unownable(plan_state_t *p)
 {
 	for (const fleet_upstream_t *u = p->f->upstreams; u; u = u->hh.next) {
-		bool orphaned = p->nplaces == 0 && !fleet_find_member(p->f, u->owner);
+		bool orphaned = p->ncandidates == 0 && !fleet_find_member(p->f, u->owner);
 
 		if (u->owner && (u->state == WIRE_UPSTREAM_GONE || orphaned))
-			change(p, u, 0);
+			add_change(p, u, 0);
 	}
 }
 
-static void find_places(planner_t *p)
+static void find_candidates(plan_state_t *p)
 {
-	p->places = mem_new(HASH_COUNT(p->f->members) * sizeof(*p->places));
+	p->candidates = mem_new(HASH_COUNT(p->f->members) * sizeof(*p->candidates));
 	for (const fleet_member_t *m = p->f->members; m; m = m->hh.next)
 		if (!m->draining)
-			p->places[p->nplaces++].m = m;
+			p->candidates[p->ncandidates++].m = m;
 }
 
-static void plan_all(planner_t *p)
+static void plan_services(plan_state_t *p)
 {
-	fleet_upstream_t **us = mem_new(HASH_COUNT(p->f->upstreams) * sizeof(fleet_upstream_t *));
+	fleet_upstream_t **upstreams =
+		mem_new(HASH_COUNT(p->f->upstreams) * sizeof(fleet_upstream_t *));
 	size_t n = 0;
-	size_t from = 0;
+	size_t first = 0;
 
 	for (fleet_upstream_t *u = p->f->upstreams; u; u = u->hh.next) {
-		place_t *at = place_of(p, u->owner);
+		candidate_t *cand = find_candidate(p, u->owner);
 
 		if (u->state == WIRE_UPSTREAM_GONE)
 			continue;
-		us[n++] = u;
-		if (at)
-			at->total++;
+		upstreams[n++] = u;
+		if (cand)
+			cand->total++;
 	}
 	if (n)
-		qsort(us, n, sizeof(fleet_upstream_t *), by_service);
-	for (size_t i = 1; i <= n && p->nplaces; i++) {
-		if (i < n && strcmp(us[i]->service, us[from]->service) == 0)
+		qsort(upstreams, n, sizeof(fleet_upstream_t *), compare_by_service);
+	for (size_t i = 1; i <= n && p->ncandidates; i++) {
+		if (i < n && strcmp(upstreams[i]->service, upstreams[first]->service) == 0)
 			continue;
-		plan_service(p, us + from, i - from);
-		from = i;
+		plan_service(p, upstreams + first, i - first);
+		first = i;
 	}
-	free(us);
+	free(upstreams);
 }
 
 size_t fleet_plan_owners_with(const fleet_state_t *f, const fleet_plan_options_t *plan,
 			      wire_fleet_cmd_t *cmd)
 {
-	planner_t p = {.f = f, .options = plan};
+	plan_state_t p = {.f = f, .options = plan};
 
 	p.changes = mem_new(plan->max_changes * sizeof(*p.changes));
-	find_places(&p);
-	release_dead(&p);
-	plan_all(&p);
-	free(p.places);
+	find_candidates(&p);
+	release_unownable(&p);
+	plan_services(&p);
+	free(p.candidates);
 	memset(cmd, 0, sizeof(*cmd));
 	cmd->kind = WIRE_FLEET_OWNERS;
 	cmd->wire_fleet_cmd_t_u.own.own_val = p.changes;
--- a/src/state/fleet_query.c
+++ b/src/state/fleet_query.c
@@ -1,3 +1,4 @@
+/* Queries of the fleet's state. */
 #include <string.h>
 #include "state/fleet_internal.h"
 
@@ -19,7 +20,7 @@
 
 uint64_t fleet_config_number(const fleet_state_t *f)
 {
-	return f->nconfs;
+	return f->nconfigs;
 }
 
 uint64_t fleet_view_version(const fleet_state_t *f)
@@ -58,21 +59,21 @@
 	return n;
 }
 
-static status_t query_conf(const fleet_state_t *f, uint64_t number, wire_config_t *out)
+static status_t query_config(const fleet_state_t *f, uint64_t number, wire_config_t *out)
 {
 	const fleet_config_t *c;
 
 	if (number == 0)
-		number = f->nconfs;
-	if (number == 0 || number > f->nconfs)
-		return status_fail(STATUS_NOT_FOUND, "no text with number %llu",
+		number = f->nconfigs;
+	if (number == 0 || number > f->nconfigs)
+		return status_fail(STATUS_NOT_FOUND, "no config with number %llu",
 				   (unsigned long long)number);
-	c = &f->confs[number - 1];
+	c = &f->configs[number - 1];
 	out->number = number;
 	out->digest = c->digest;
 	out->operator_name = wire_copy((str_t){c->operator_name, c->operator_n});
 	if (!c->text)
-		return status_fail(STATUS_NOT_FOUND, "text %llu is no longer kept",
+		return status_fail(STATUS_NOT_FOUND, "text of config %llu is no longer stored",
 				   (unsigned long long)number);
 	out->text = wire_copy((str_t){c->text, c->text_n});
 	return STATUS_OK;
@@ -103,7 +104,7 @@
 static void query_view(const fleet_state_t *f, wire_view_t *v)
 {
 	v->view_version = f->view_version;
-	v->conf_number = f->nconfs;
+	v->conf_number = f->nconfigs;
 	v->ledger_groups = f->ledger_groups;
 	v->members.members_val = mem_new(HASH_COUNT(f->members) * sizeof(wire_member_t));
 	for (const fleet_member_t *m = f->members; m; m = m->hh.next)
@@ -119,7 +120,7 @@
 
 	memset(res, 0, sizeof(*res));
 	if (q->kind == WIRE_QUERY_CONFIG)
-		st = query_conf(f, q->wire_query_t_u.number, &res->conf);
+		st = query_config(f, q->wire_query_t_u.number, &res->conf);
 	else if (q->kind == WIRE_QUERY_VIEW)
 		query_view(f, &res->view);
 	else
--- a/src/state/fleet_snapshot.c
+++ b/src/state/fleet_snapshot.c
@@ -1,12 +1,13 @@
+/* Snapshots of the fleet's state. */
 #include "state/fleet_internal.h"
 #include "state/pack.h"
 
 #define SNAPSHOT_MAGIC	 0x464cU
 #define SNAPSHOT_VERSION 2U
-/** Without the list of control processes that are emptied. */
+/** First version, without the list of retired control processes. */
 #define SNAPSHOT_VERSION_1 1U
 
-static void put_conf(buf_t *out, const fleet_config_t *c)
+static void pack_config(buf_t *out, const fleet_config_t *c)
 {
 	pack_u64(out, c->digest);
 	pack_str(out, (str_t){c->operator_name, c->operator_n});
@@ -14,7 +15,7 @@
 	pack_str(out, (str_t){c->text, c->text_n});
 }
 
-static void put_member(buf_t *out, const fleet_member_t *m)
+static void pack_member(buf_t *out, const fleet_member_t *m)
 {
 	pack_str(out, str_c(m->name));
 	pack_str(out, str_c(m->addr));
@@ -25,7 +26,7 @@
 	pack_u64(out, m->draining);
 }
 
-static void put_upstream(buf_t *out, const fleet_upstream_t *u)
+static void pack_upstream(buf_t *out, const fleet_upstream_t *u)
 {
 	pack_str(out, str_c(u->id));
 	pack_str(out, str_c(u->addr));
@@ -46,18 +47,18 @@
 	pack_u64(out, f->last_session);
 	pack_u64(out, f->last_fence);
 	pack_u64(out, f->view_version);
-	pack_u64(out, f->nconfs);
-	for (uint64_t i = 0; i < f->nconfs; i++)
-		put_conf(out, &f->confs[i]);
+	pack_u64(out, f->nconfigs);
+	for (uint64_t i = 0; i < f->nconfigs; i++)
+		pack_config(out, &f->configs[i]);
 	pack_u64(out, HASH_COUNT(f->members));
 	for (const fleet_member_t *m = f->members; m; m = m->hh.next)
-		put_member(out, m);
+		pack_member(out, m);
 	pack_u64(out, f->nclosed);
 	for (size_t i = 0; i < f->nclosed; i++)
 		pack_u64(out, f->closed[i]);
 	pack_u64(out, HASH_COUNT(f->upstreams));
 	for (const fleet_upstream_t *u = f->upstreams; u; u = u->hh.next)
-		put_upstream(out, u);
+		pack_upstream(out, u);
 	pack_u64(out, f->nretired);
 	for (size_t i = 0; i < f->nretired; i++) {
 		pack_str(out, str_c(f->retired[i].name));
@@ -65,19 +66,19 @@
 	}
 }
 
-static void get_conf(unpacker_t *in, fleet_state_t *f)
+static void unpack_config(unpacker_t *in, fleet_state_t *f)
 {
 	uint64_t digest = unpack_u64(in);
 	str_t operator_name = unpack_str(in);
-	bool kept = unpack_u64_max(in, 1) == 1;
+	bool has_text = unpack_u64_max(in, 1) == 1;
 	str_t text = unpack_str(in);
 
 	fleet_config_add(f, digest, operator_name, text);
-	if (!kept)
-		fleet_config_drop_text(f, f->nconfs);
+	if (!has_text)
+		fleet_config_drop_text(f, f->nconfigs);
 }
 
-static void get_member(unpacker_t *in, fleet_state_t *f)
+static void unpack_member(unpacker_t *in, fleet_state_t *f)
 {
 	fleet_member_t *m = mem_new(sizeof(*m));
 
@@ -91,7 +92,7 @@
 	fleet_member_add(f, m);
 }
 
-static void get_upstream(unpacker_t *in, fleet_state_t *f)
+static void unpack_upstream(unpacker_t *in, fleet_state_t *f)
 {
 	fleet_upstream_t *u = mem_new(sizeof(*u));
 
@@ -107,7 +108,7 @@
 	fleet_upstream_add(f, u);
 }
 
-static status_t read_all(fleet_state_t *f, str_t snap)
+static status_t unpack_all(fleet_state_t *f, str_t snap)
 {
 	unpacker_t in = {snap, false};
 	uint64_t version;
@@ -123,13 +124,13 @@
 	f->last_fence = unpack_u64(&in);
 	f->view_version = unpack_u64(&in);
 	for (n = unpack_u64(&in); n > 0 && !in.bad; n--)
-		get_conf(&in, f);
+		unpack_config(&in, f);
 	for (n = unpack_u64(&in); n > 0 && !in.bad; n--)
-		get_member(&in, f);
+		unpack_member(&in, f);
 	for (n = unpack_u64(&in); n > 0 && !in.bad; n--)
 		fleet_closed_add(f, unpack_u64(&in));
 	for (n = unpack_u64(&in); n > 0 && !in.bad; n--)
-		get_upstream(&in, f);
+		unpack_upstream(&in, f);
 	if (version >= SNAPSHOT_VERSION) {
 		for (n = unpack_u64(&in); n > 0 && !in.bad; n--) {
 			str_t name = unpack_str(&in);
@@ -143,7 +144,7 @@
 status_t fleet_restore(fleet_state_t *f, str_t snap)
 {
 	fleet_state_t *fresh = fleet_new(0);
-	status_t st = read_all(fresh, snap);
+	status_t st = unpack_all(fresh, snap);
 	fleet_state_t old = *f;
 
 	if (st == STATUS_OK) {
--- a/src/state/lots.c
+++ b/src/state/lots.c
@@ -7,38 +7,37 @@
 
 #define SNAPSHOT_MAGIC	 0x4c4fU
 #define SNAPSHOT_VERSION 2U
-/** Versions from this on can be read; before version 2 ends of unknown lots weren't kept. */
+/** Oldest version that can be read; version 1 has no early ends. */
 #define SNAPSHOT_OLDEST 1U
-/** An end of a lot that isn't known is kept this long, in ms: several times as long as a caller
- * sends an opening again. */
+/** Time for which an early end is stored; several times as long as a caller resends an opening. */
 #define EARLY_END_MS 60000
-/** Most of them that are kept; the oldest are dropped first. */
+/** Most early ends stored; the oldest is dropped first. */
 #define EARLY_ENDS_MAX 8192U
-/** Most bytes that numbers and lengths take in a snapshot: of an item with its place among those
- * listed, of a lot, and beside the lots. */
-#define ITEM_BYTES 64
-#define LOT_BYTES  96
-#define LOTS_BYTES 64
-/** Most bytes that an early end takes beside its id. */
-#define END_BYTES 16
-
-/** Tokens that wait on one route. */
+/** Upper bounds of the bytes that numbers and lengths take in a snapshot: for an item and its
+ * position in `finished`, for a lot, and for the rest. */
+#define ITEM_OVERHEAD_BYTES	64
+#define LOT_OVERHEAD_BYTES	96
+#define SNAPSHOT_OVERHEAD_BYTES 64
+/** Upper bound for an early end, without its id. */
+#define EARLY_END_OVERHEAD_BYTES 16
+
+/** Tokens of unfinished items on one route, counted against its quota. */
 typedef struct {
 	char *name;
 	uint64_t waiting;
 	UT_hash_handle hh;
-} route_t;
+} route_backlog_t;
 
-/** An end that came before the opening of its lot. */
+/** A client's end of a lot that has not been opened yet. */
 typedef struct {
 	char *id;
 	int64_t forget_wall_ms;
-	UT_hash_handle hh; /* in the order in which they came */
+	UT_hash_handle hh; /* in order of arrival */
 } early_end_t;
 
-struct lo {
+struct lots {
 	lot_t *lots;
-	route_t *routes;
+	route_backlog_t *backlogs;
 	early_end_t *early_ends;
 	uint64_t serial;
 };
@@ -68,25 +67,25 @@
 
 static void early_end_free(lots_t *l, early_end_t *e)
 {
-	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 	HASH_DEL(l->early_ends, e);
 	free(e->id);
 	free(e);
 }
 
-static void clear(lots_t *l)
+static void free_contents(lots_t *l)
 {
-	route_t *r;
+	route_backlog_t *r;
 
 	while (l->early_ends)
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 		early_end_free(l, l->early_ends);
 	while (l->lots)
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 		lot_free(l, l->lots);
-	while ((r = l->routes)) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
-		HASH_DEL(l->routes, r);
+	while ((r = l->backlogs)) {
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
+		HASH_DEL(l->backlogs, r);
 		free(r->name);
 		free(r);
 	}
@@ -96,11 +95,11 @@
 {
 	if (!l)
 		return;
-	clear(l);
+	free_contents(l);
 	free(l);
 }
 
-static lot_t *find(const lots_t *l, str_t id)
+static lot_t *find_lot(const lots_t *l, str_t id)
 {
 	lot_t *t;
 
@@ -110,7 +109,7 @@
 
 const lot_t *lots_find(const lots_t *l, str_t id)
 {
-	return find(l, id);
+	return find_lot(l, id);
 }
 
 const lot_t *lots_first(const lots_t *l)
@@ -127,27 +126,29 @@
 	return -1;
 }
 
-static route_t *route_of(lots_t *l, str_t name)
+/* Returns the backlog of a route, created if needed. */
+static route_backlog_t *get_route_backlog(lots_t *l, str_t name)
 {
-	route_t *r;
+	route_backlog_t *r;
 
-	HASH_FIND(hh, l->routes, name.p, name.n, r);
+	HASH_FIND(hh, l->backlogs, name.p, name.n, r);
 	if (r)
 		return r;
 	r = mem_new(sizeof(*r));
 	r->name = str_dup(name);
-	HASH_ADD_KEYPTR(hh, l->routes, r->name, name.n, r);
+	HASH_ADD_KEYPTR(hh, l->backlogs, r->name, name.n, r);
 	return r;
 }
 
 uint64_t lots_waiting_tokens(const lots_t *l, str_t route)
 {
-	route_t *r;
+	route_backlog_t *r;
 
-	HASH_FIND(hh, l->routes, route.p, route.n, r);
+	HASH_FIND(hh, l->backlogs, route.p, route.n, r);
 	return r ? r->waiting : 0;
 }
 
+/* Tokens of the lot's open items. */
 static uint64_t open_tokens(const lot_t *t)
 {
 	uint64_t n = 0;
@@ -159,6 +160,7 @@
 	return n;
 }
 
+/* Replaces the body or result text of an item. */
 static void set_data(lot_item_t *it, str_t data)
 {
 	free(it->data);
@@ -166,7 +168,7 @@
 	it->data_n = (uint32_t)data.n;
 }
 
-static void item_init(lot_item_t *it, const wire_lot_item_t *c)
+static void init_item(lot_item_t *it, const wire_lot_item_t *c)
 {
 	it->id = str_dup(wire_str(c->id));
 	it->path = str_dup(wire_str(c->path));
@@ -176,7 +178,7 @@
 	set_data(it, wire_str(c->body));
 }
 
-static void drop_made(lot_item_t *it)
+static void clear_partial_text(lot_item_t *it)
 {
 	free(it->partial_text);
 	it->partial_text = NULL;
@@ -184,13 +186,14 @@
 	it->partial_events = 0;
 }
 
-static void end_items(lot_t *t)
+/* Drops the bodies of open items and all partial texts. */
+static void mark_ended(lot_t *t)
 {
 	t->ended = true;
 	for (uint32_t i = 0; i < t->nitems; i++) {
 		if (t->items[i].state == LOT_ITEM_OPEN)
 			set_data(&t->items[i], (str_t){NULL, 0});
-		drop_made(&t->items[i]);
+		clear_partial_text(&t->items[i]);
 	}
 }
 
@@ -213,23 +216,24 @@
 	e = mem_new(sizeof(*e));
 	e->id = str_dup(id);
 	e->forget_wall_ms = forget_wall_ms;
-	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+	/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 	HASH_ADD_KEYPTR(hh, l->early_ends, e->id, id.n, e);
 }
 
 static status_t open_lot(lots_t *l, const wire_lot_open_t *c)
 {
 	early_end_t *ended = find_early_end(l, wire_str(c->lot));
-	route_t *r = route_of(l, wire_str(c->route));
+	route_backlog_t *r = get_route_backlog(l, wire_str(c->route));
 	uint64_t tokens = 0;
 	lot_t *t;
 
-	if (find(l, wire_str(c->lot)))
+	if (find_lot(l, wire_str(c->lot)))
 		return STATUS_OK;
 	for (u_int i = 0; i < c->items.items_len; i++)
 		tokens += c->items.items_val[i].tokens;
 	if (!ended && c->quota && r->waiting + tokens > c->quota)
-		return status_fail(STATUS_LIMIT, "%llu tokens wait on the route",
+		return status_fail(STATUS_LIMIT,
+				   "quota exceeded: %llu tokens are waiting on the route",
 				   (unsigned long long)r->waiting);
 	t = mem_new(sizeof(*t));
 	t->id = str_dup(wire_str(c->lot));
@@ -243,19 +247,20 @@
 	t->items = mem_new((t->nitems + 1) * sizeof(*t->items));
 	t->finished = mem_new((t->nitems + 1) * sizeof(*t->finished));
 	for (uint32_t i = 0; i < t->nitems; i++)
-		item_init(&t->items[i], &c->items.items_val[i]);
+		init_item(&t->items[i], &c->items.items_val[i]);
 	HASH_ADD_KEYPTR(hh, l->lots, t->id, wire_str(c->lot).n, t);
 	if (ended) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 		early_end_free(l, ended);
-		end_items(t);
+		mark_ended(t);
 	} else {
 		r->waiting += tokens;
 	}
 	return STATUS_OK;
 }
 
-static void set_made(lot_item_t *it, str_t text, uint32_t events)
+/* Appends text; the item then holds this many events. */
+static void append_partial_text(lot_item_t *it, str_t text, uint32_t events)
 {
 	it->partial_text = mem_grow(it->partial_text, it->partial_n + text.n + 1);
 	if (text.n)
@@ -264,28 +269,30 @@
 	it->partial_events = events;
 }
 
-static void take_progress(lots_t *l, const wire_lot_progress_t *c)
+/* Appends events to an item if it holds all events before them. */
+static void apply_progress(lots_t *l, const wire_lot_progress_t *c)
 {
-	lot_t *t = find(l, wire_str(c->lot));
+	lot_t *t = find_lot(l, wire_str(c->lot));
 	lot_item_t *it;
 
 	if (!t || t->ended || c->item >= t->nitems)
 		return;
 	it = &t->items[c->item];
 	if (it->state == LOT_ITEM_OPEN && it->partial_events == c->from && c->events > c->from)
-		set_made(it, wire_str(c->text), c->events);
+		append_partial_text(it, wire_str(c->text), c->events);
 }
 
-/* An item of a lot that has ended no longer counts for the quota. */
-static void list_item(lots_t *l, lot_t *t, uint32_t i, lot_item_state_t state, str_t text)
+/* Makes an item final and appends it to `finished`. Items of a lot that has ended no longer count
+ * against the quota. */
+static void finish_item(lots_t *l, lot_t *t, uint32_t i, lot_item_state_t state, str_t text)
 {
 	lot_item_t *it = &t->items[i];
 
 	assert(it->state == LOT_ITEM_OPEN && t->nfinished < t->nitems);
 	if (!t->ended)
-		route_of(l, str_c(t->route))->waiting -= it->tokens;
+		get_route_backlog(l, str_c(t->route))->waiting -= it->tokens;
 	it->state = state;
-	drop_made(it);
+	clear_partial_text(it);
 	set_data(it, text);
 	free(it->headers);
 	it->headers = NULL;
@@ -293,28 +300,31 @@
 	t->finished[t->nfinished++] = i;
 }
 
-static void take_result(lots_t *l, const wire_lot_result_t *c)
+/* Finishes an item, unless it has finished or its lot has ended. */
+static void apply_result(lots_t *l, const wire_lot_result_t *c)
 {
-	lot_t *t = find(l, wire_str(c->lot));
+	lot_t *t = find_lot(l, wire_str(c->lot));
 
 	if (!t || c->item >= t->nitems || t->items[c->item].state != LOT_ITEM_OPEN || t->ended)
 		return;
-	list_item(l, t, c->item, c->dead ? LOT_ITEM_DEAD : LOT_ITEM_DONE, wire_str(c->text));
+	finish_item(l, t, c->item, c->dead ? LOT_ITEM_DEAD : LOT_ITEM_DONE, wire_str(c->text));
 }
 
+/* Ends a lot at the request of its client. */
 static void end_lot(lots_t *l, str_t id, int64_t now)
 {
-	lot_t *t = find(l, id);
+	lot_t *t = find_lot(l, id);
 
 	if (!t)
 		add_early_end(l, id, now + EARLY_END_MS);
 	if (!t || t->ended)
 		return;
-	route_of(l, str_c(t->route))->waiting -= open_tokens(t);
-	end_items(t);
+	get_route_backlog(l, str_c(t->route))->waiting -= open_tokens(t);
+	mark_ended(t);
 }
 
-static void expire(lots_t *l, int64_t now)
+/* Gives up open items and removes lots and early ends when their time has come. */
+static void expire_lots(lots_t *l, int64_t now)
 {
 	lot_t *t;
 	lot_t *next;
@@ -322,7 +332,7 @@
 	HASH_ITER (hh, l->lots, t, next) {
 		for (uint32_t i = 0; !t->ended && now >= t->drop_wall_ms && i < t->nitems; i++) {
 			if (t->items[i].state == LOT_ITEM_OPEN)
-				list_item(l, t, i, LOT_ITEM_DEAD, (str_t){NULL, 0});
+				finish_item(l, t, i, LOT_ITEM_DEAD, (str_t){NULL, 0});
 		}
 		if (now >= t->forget_wall_ms)
 			lot_free(l, t);
@@ -336,12 +346,12 @@
 	u_int n = cmd->opens.opens_len;
 
 	for (u_int i = 0; i < cmd->progress.progress_len; i++)
-		take_progress(l, &cmd->progress.progress_val[i]);
+		apply_progress(l, &cmd->progress.progress_val[i]);
 	for (u_int i = 0; i < cmd->results.results_len; i++)
-		take_result(l, &cmd->results.results_val[i]);
+		apply_result(l, &cmd->results.results_val[i]);
 	for (u_int i = 0; i < cmd->ends.ends_len; i++)
 		end_lot(l, wire_str(cmd->ends.ends_val[i]), cmd->now_wall_ms);
-	expire(l, cmd->now_wall_ms);
+	expire_lots(l, cmd->now_wall_ms);
 	res->opened.opened_val = n ? mem_new(n * sizeof(int)) : NULL;
 	res->opened.opened_len = n;
 	for (u_int i = 0; i < n; i++)
@@ -353,20 +363,20 @@
 static size_t item_bytes(const lot_item_t *it)
 {
 	return strlen(it->id) + strlen(it->path) + it->headers_n + it->data_n + it->partial_n +
-	       ITEM_BYTES;
+	       ITEM_OVERHEAD_BYTES;
 }
 
 size_t lots_bytes(const lots_t *l)
 {
-	size_t n = LOTS_BYTES;
+	size_t n = SNAPSHOT_OVERHEAD_BYTES;
 
 	for (const lot_t *t = l->lots; t; t = t->hh.next) {
-		n += strlen(t->id) + strlen(t->route) + strlen(t->host) + LOT_BYTES;
+		n += strlen(t->id) + strlen(t->route) + strlen(t->host) + LOT_OVERHEAD_BYTES;
 		for (uint32_t i = 0; i < t->nitems; i++)
 			n += item_bytes(&t->items[i]);
 	}
 	for (const early_end_t *e = l->early_ends; e; e = e->hh.next)
-		n += strlen(e->id) + END_BYTES;
+		n += strlen(e->id) + EARLY_END_OVERHEAD_BYTES;
 	return n;
 }
 
@@ -426,7 +436,7 @@
 	}
 }
 
-static void get_item(unpacker_t *in, lot_item_t *it)
+static void unpack_item(unpacker_t *in, lot_item_t *it)
 {
 	str_t s;
 
@@ -439,10 +449,10 @@
 	it->tokens = (uint32_t)unpack_u64_max(in, UINT32_MAX);
 	it->state = (lot_item_state_t)unpack_u64_max(in, LOT_ITEM_DEAD);
 	s = unpack_str(in);
-	set_made(it, s, (uint32_t)unpack_u64_max(in, UINT32_MAX));
+	append_partial_text(it, s, (uint32_t)unpack_u64_max(in, UINT32_MAX));
 }
 
-static void get_lot(unpacker_t *in, lots_t *l)
+static void unpack_lot(unpacker_t *in, lots_t *l)
 {
 	lot_t *t = mem_new(sizeof(*t));
 	uint64_t n;
@@ -460,13 +470,13 @@
 	t->finished = mem_new((n + 1) * sizeof(*t->finished));
 	t->nitems = (uint32_t)n;
 	for (uint32_t i = 0; i < t->nitems; i++)
-		get_item(in, &t->items[i]);
+		unpack_item(in, &t->items[i]);
 	n = unpack_u64_max(in, t->nitems);
 	for (uint32_t i = 0; i < n && t->nitems; i++)
 		t->finished[t->nfinished++] = (uint32_t)unpack_u64_max(in, t->nitems - 1);
 	HASH_ADD_KEYPTR(hh, l->lots, t->id, strlen(t->id), t);
 	if (!t->ended)
-		route_of(l, str_c(t->route))->waiting += open_tokens(t);
+		get_route_backlog(l, str_c(t->route))->waiting += open_tokens(t);
 }
 
 status_t lots_restore(lots_t *l, str_t snap)
@@ -480,12 +490,12 @@
 
 	if (magic != SNAPSHOT_MAGIC || version < SNAPSHOT_OLDEST || version > SNAPSHOT_VERSION) {
 		lots_free(fresh);
-		return status_fail(STATUS_CORRUPT, "not a snapshot of lots of version %u to %u",
+		return status_fail(STATUS_CORRUPT, "not a lots snapshot of version %u to %u",
 				   SNAPSHOT_OLDEST, SNAPSHOT_VERSION);
 	}
 	fresh->serial = unpack_u64(&in);
 	for (uint64_t n = unpack_u64(&in); n > 0 && !in.bad; n--)
-		get_lot(&in, fresh);
+		unpack_lot(&in, fresh);
 	for (uint64_t n = version > SNAPSHOT_OLDEST ? unpack_u64(&in) : 0; n > 0 && !in.bad; n--) {
 		str_t id = unpack_str(&in);
 
--- a/src/state/pack.c
+++ b/src/state/pack.c
@@ -30,19 +30,20 @@
 	buf_add(out, s);
 }
 
-/* The length gets the most bytes that one takes, as it isn't known yet; zeros fill them up. */
+/* Reserves the longest encoding of the length, since the length is not known yet; pack_end_str pads
+ * it with continuation bytes. */
 size_t pack_begin_str(buf_t *out)
 {
-	static const char room[VARINT_BYTES_MAX];
+	static const char reserved[VARINT_BYTES_MAX];
 
-	buf_add(out, (str_t){room, sizeof(room)});
+	buf_add(out, (str_t){reserved, sizeof(reserved)});
 	return out->n;
 }
 
-void pack_end_str(buf_t *out, size_t begun)
+void pack_end_str(buf_t *out, size_t start)
 {
-	uint64_t n = out->n - begun;
-	char *at = out->p + begun - VARINT_BYTES_MAX;
+	uint64_t n = out->n - start;
+	char *at = out->p + start - VARINT_BYTES_MAX;
 
 	for (int i = 0; i < VARINT_BYTES_MAX - 1; i++, n >>= VARINT_BITS)
 		at[i] = (char)(n | VARINT_MORE);
@@ -104,6 +105,6 @@
 status_t unpack_end(const unpacker_t *r, const char *what)
 {
 	if (r->bad || r->left.n)
-		return status_fail(STATUS_CORRUPT, "%s snapshot can't be read", what);
+		return status_fail(STATUS_CORRUPT, "%s snapshot is malformed", what);
 	return STATUS_OK;
 }
--- a/src/state/pack.h
+++ b/src/state/pack.h
@@ -1,4 +1,4 @@
-/** Writing and reading of snapshots: variable-length integers and length-counted strings. */
+/** Binary encoding of state snapshots: variable-length integers and length-prefixed strings. */
 #ifndef AUBURN_PACK_H
 #define AUBURN_PACK_H
 
@@ -10,11 +10,11 @@
 void pack_i64(buf_t *out, int64_t v);
 void pack_str(buf_t *out, str_t s);
 
-/** Begins a string that is written piece by piece behind it; returns what pack_end_str is given. */
+/** Starts a string that is appended piece by piece; pack_end_str takes the value returned. */
 size_t pack_begin_str(buf_t *out);
-void pack_end_str(buf_t *out, size_t begun);
+void pack_end_str(buf_t *out, size_t start);
 
-/** Reads from the front; after a malformed value `bad` stays set and all further reads give 0. */
+/** Reads from the front. After a malformed value `bad` stays set and all further reads return 0. */
 typedef struct {
 	str_t left;
 	bool bad;
@@ -22,11 +22,11 @@
 
 uint64_t unpack_u64(unpacker_t *r);
 int64_t unpack_i64(unpacker_t *r);
-/** Reads a value that must not exceed max. */
+/** Reads a value that must be at most max. */
 uint64_t unpack_u64_max(unpacker_t *r, uint64_t max);
-/** A view into the snapshot. */
+/** The string points into the snapshot. */
 str_t unpack_str(unpacker_t *r);
-/** STATUS_CORRUPT unless everything was read and well formed. */
+/** Returns STATUS_CORRUPT unless everything was read and well formed. */
 status_t unpack_end(const unpacker_t *r, const char *what);
 
 #endif
--- a/src/state/route_table.c
+++ b/src/state/route_table.c
@@ -7,13 +7,13 @@
 #include <strings.h>
 #include <uthash.h>
 
-/** Longest name of a host, in bytes, as DNS has it. */
-#define HOST_MAX 255
+/** Longest host name in DNS, in bytes. */
+#define HOST_BYTES_MAX 255
 
-/** A route in the index. */
+/** A route in the hash table. */
 struct route_index_node {
 	const route_spec_t *route;
-	char *key; /* host in lower case, then the prefix */
+	char *key; /* host in lower case, followed by the prefix */
 	UT_hash_handle hh;
 };
 
@@ -22,7 +22,7 @@
 	return mem_new(sizeof(route_table_t));
 }
 
-static void route_free(route_spec_t *r)
+static void spec_free(route_spec_t *r)
 {
 	for (size_t i = 0; i < r->nshares; i++)
 		free(r->shares[i].service);
@@ -38,11 +38,11 @@
 		return;
 	HASH_CLEAR(hh, r->index);
 	for (size_t i = 0; i < r->nroutes; i++) {
-		route_free(&r->routes[i]);
-		if (r->slots)
-			free(r->slots[i].key);
+		spec_free(&r->routes[i]);
+		if (r->nodes)
+			free(r->nodes[i].key);
 	}
-	free(r->slots);
+	free(r->nodes);
 	for (size_t i = 0; i < r->nservices; i++) {
 		free(r->services[i].name);
 		free(r->services[i].health_path);
@@ -96,42 +96,44 @@
 			"route \"%s\": prefix \"%s\" does not begin and end with a slash", t->name,
 			t->prefix);
 	if (t->timeout_ms <= 0)
-		return status_fail(STATUS_INVALID, "route \"%s\": a timeout of %lld ms", t->name,
+		return status_fail(STATUS_INVALID,
+				   "route \"%s\": timeout of %lld ms is not positive", t->name,
 				   (long long)t->timeout_ms);
 	return check_shares(r, t);
 }
 
-/* Adds host and prefix as they stand in the index. */
-static void add_key(buf_t *b, str_t host, str_t prefix)
+/* Appends the hash key of a host and prefix. */
+static void append_key(buf_t *b, str_t host, str_t prefix)
 {
 	for (size_t i = 0; i < host.n; i++)
 		buf_addc(b, (char)tolower((unsigned char)host.p[i]));
 	buf_add(b, prefix);
 }
 
-static struct route_index_node *find_slot(const route_table_t *r, const char *key, size_t n)
+static struct route_index_node *find_node(const route_table_t *r, const char *key, size_t n)
 {
-	struct route_index_node *slot;
+	struct route_index_node *node;
 
-	HASH_FIND(hh, r->index, key, n, slot);
-	return slot;
+	HASH_FIND(hh, r->index, key, n, node);
+	return node;
 }
 
-static status_t add_slot(route_table_t *r, size_t i)
+/* Adds a route to the hash table; two routes must not have the same host and prefix. */
+static status_t index_route(route_table_t *r, size_t i)
 {
 	const route_spec_t *t = &r->routes[i];
-	struct route_index_node *slot = &r->slots[i];
+	struct route_index_node *node = &r->nodes[i];
 	const struct route_index_node *other;
 	AUTO_BUF key = {0};
 
-	add_key(&key, str_c(t->host), str_c(t->prefix));
-	other = find_slot(r, key.p, key.n);
+	append_key(&key, str_c(t->host), str_c(t->prefix));
+	other = find_node(r, key.p, key.n);
 	if (other)
 		return status_fail(STATUS_INVALID, "routes \"%s\" and \"%s\" share host and prefix",
 				   other->route->name, t->name);
-	slot->route = t;
-	slot->key = str_dup(str_buf(&key));
-	HASH_ADD_KEYPTR(hh, r->index, slot->key, key.n, slot);
+	node->route = t;
+	node->key = str_dup(str_buf(&key));
+	HASH_ADD_KEYPTR(hh, r->index, node->key, key.n, node);
 	if (strlen(t->prefix) > r->prefix_max)
 		r->prefix_max = strlen(t->prefix);
 	return STATUS_OK;
@@ -139,13 +141,13 @@
 
 status_t route_table_build(route_table_t *r)
 {
-	assert(!r->slots);
-	r->slots = mem_new((r->nroutes + 1) * sizeof(*r->slots));
+	assert(!r->nodes);
+	r->nodes = mem_new((r->nroutes + 1) * sizeof(*r->nodes));
 	for (size_t i = 0; i < r->nroutes; i++) {
 		status_t st = check_route(r, &r->routes[i]);
 
 		if (st == STATUS_OK)
-			st = add_slot(r, i);
+			st = index_route(r, i);
 		if (st != STATUS_OK)
 			return st;
 	}
@@ -155,11 +157,11 @@
 const route_spec_t *route_table_find(const route_table_t *r, str_t host, str_t prefix)
 {
 	AUTO_BUF key = {0};
-	const struct route_index_node *slot;
+	const struct route_index_node *node;
 
-	add_key(&key, host, prefix);
-	slot = find_slot(r, key.p, key.n);
-	return slot ? slot->route : NULL;
+	append_key(&key, host, prefix);
+	node = find_node(r, key.p, key.n);
+	return node ? node->route : NULL;
 }
 
 static bool same_shares(const route_spec_t *a, const route_spec_t *b)
@@ -185,7 +187,7 @@
 	       a->waiting_tokens_max == b->waiting_tokens_max && a->resumable == b->resumable;
 }
 
-/* Every prefix ends with a slash, so only those of the path that do are looked up. */
+/* Every prefix ends with a slash, so only prefixes of the path that end with one are looked up. */
 const route_spec_t *route_table_match(const route_table_t *r, str_t host, str_t path)
 {
 	const char *colon = memchr(host.p, ':', host.n);
@@ -193,35 +195,35 @@
 
 	if (colon)
 		host.n = (size_t)(colon - host.p);
-	if (host.n > HOST_MAX)
+	if (host.n > HOST_BYTES_MAX)
 		return NULL;
 	if (path.n > r->prefix_max)
 		path.n = r->prefix_max;
-	add_key(&key, host, path);
+	append_key(&key, host, path);
 	for (size_t n = key.n; n > host.n; n--) {
-		const struct route_index_node *slot;
+		const struct route_index_node *node;
 
 		if (key.p[n - 1] != '/')
 			continue;
-		slot = find_slot(r, key.p, n);
-		if (slot)
-			return slot->route;
+		node = find_node(r, key.p, n);
+		if (node)
+			return node->route;
 	}
 	return NULL;
 }
 
-const char *route_pick_service(const route_spec_t *r, uint64_t dice)
+const char *route_pick_service(const route_spec_t *r, uint64_t rnd)
 {
 	uint64_t sum = 0;
 
 	for (size_t i = 0; i < r->nshares; i++)
 		sum += (uint64_t)r->shares[i].weight;
 	assert(sum > 0);
-	dice %= sum;
+	rnd %= sum;
 	for (size_t i = 0; i < r->nshares; i++) {
-		if (dice < (uint64_t)r->shares[i].weight)
+		if (rnd < (uint64_t)r->shares[i].weight)
 			return r->shares[i].service;
-		dice -= (uint64_t)r->shares[i].weight;
+		rnd -= (uint64_t)r->shares[i].weight;
 	}
 	return r->shares[0].service;
 }
