--- a/src/raft/group.h
+++ b/src/raft/group.h
@@ -50,18 +50,19 @@
 	status_t (*restore)(void *ctx, str_t snap);
 	/** Queues a message to the control process at addr; may drop the message. */
 	void (*send)(void *ctx, const char *addr, unsigned group, str_t msg);
-	/** Called after this replica became leader or stopped leading. */
+	/** Called after this replica became leader or stopped leading; may be NULL. */
 	void (*role)(void *ctx, bool leader, uint64_t term);
 } group_options_t;
 
 /**
- * Opens the directory, replays the log and starts the group's thread. STATUS_CORRUPT names the file
- * and the offset; the replica must not continue under its old id then: rename the directory away
- * and join as a learner.
+ * Opens the directory, restores the newest snapshot, reads the log and starts the group's thread.
+ * The entries after the snapshot are applied once a leader has committed them. STATUS_CORRUPT names
+ * the file and the offset; the replica must not continue under its old id then: rename the
+ * directory away and join as a learner.
  *
  * The first voters' ids are derived from their addresses, so a seed that has lost its directory
  * must not be opened with `bootstrap` again: it could vote twice in a term. The caller first asks
- * the other seeds; once one of them answers with a term above 0, the group exists and `bootstrap`
+ * the other seeds; once one of them has a term above 0, votes may have been cast and `bootstrap`
  * must be false.
  */
 status_t group_open(const group_options_t *o, group_t **out);
@@ -83,7 +84,8 @@
  * Concurrent calls share one round of messages. */
 status_t group_read_barrier(group_t *g, deadline_t deadline);
 
-/** Runs fn on the group's thread, between two applied entries, and waits for it. */
+/** Runs fn on the group's thread, between two applied entries, and waits for it. Does nothing if
+ * the group is closing. */
 void group_with_state(group_t *g, void (*fn)(void *ctx, void *arg), void *arg);
 
 typedef struct {
--- a/src/raft/group_disk.c
+++ b/src/raft/group_disk.c
@@ -63,7 +63,7 @@
 	if (st != STATUS_OK)
 		group_disk_set_failed(g);
 	pthread_mutex_lock(&g->lock);
-	g->snap_saved = true;
+	g->snap_ended = true;
 	pthread_cond_signal(&g->wake);
 	pthread_mutex_unlock(&g->lock);
 	return NULL;
@@ -104,6 +104,6 @@
 	g->snap_running = false;
 	buf_free(&g->snap_state);
 	pthread_mutex_lock(&g->lock);
-	g->snap_saved = false;
+	g->snap_ended = false;
 	pthread_mutex_unlock(&g->lock);
 }
--- a/src/raft/group_internal.h
+++ b/src/raft/group_internal.h
@@ -64,7 +64,7 @@
 	bool disk_stop;
 	bool disk_failed;
 	uint64_t synced_seq;
-	bool snap_saved; /* the snapshot thread has ended */
+	bool snap_ended; /* the snapshot thread has ended */
 	group_status_t status;
 
 	/* used by the group's thread only */
--- a/src/raft/group_open.c
+++ b/src/raft/group_open.c
@@ -78,14 +78,14 @@
 static status_t open_store(group_t *g, store_contents_t *contents)
 {
 	raft_members_t members;
-	store_options_t ro = {.dir = g->options.dir, .new_id = random_id()};
+	store_options_t so = {.dir = g->options.dir, .new_id = random_id()};
 
 	if (g->options.bootstrap) {
 		bootstrap_members(&g->options, &members);
-		ro.first_members = &members;
-		ro.new_id = group_seed_id(g->options.group, g->options.addr);
+		so.first_members = &members;
+		so.new_id = group_seed_id(g->options.group, g->options.addr);
 	}
-	return store_open(&ro, &g->store, contents);
+	return store_open(&so, &g->store, contents);
 }
 
 static void open_raft(group_t *g, const store_contents_t *contents)
--- a/src/raft/group_thread.c
+++ b/src/raft/group_thread.c
@@ -122,7 +122,7 @@
 	group_queue_t inputs;
 	uint64_t synced_seq;
 	bool disk_failed;
-	bool snap_saved;
+	bool snap_ended;
 	bool stop;
 } input_batch_t;
 
@@ -132,20 +132,20 @@
 {
 	pthread_mutex_lock(&g->lock);
 	if (!g->inbox.first && !g->stop && g->synced_seq == handled_seq &&
-	    g->disk_failed == handled_failure && !g->snap_saved)
+	    g->disk_failed == handled_failure && !g->snap_ended)
 		wait_until_tick(g, next_tick);
 	b->inputs = g->inbox;
 	g->inbox = (group_queue_t){0};
 	b->synced_seq = g->synced_seq;
 	b->disk_failed = g->disk_failed;
-	b->snap_saved = g->snap_saved;
+	b->snap_ended = g->snap_ended;
 	b->stop = g->stop;
 	pthread_mutex_unlock(&g->lock);
 }
 
 /* Runs the ticks that have elapsed. After a pause of this thread (a frozen VM, a long snapshot) a
- * leader runs at max_ticks half an election timeout of them, so that its followers have time to
- * answer, and a follower runs one, so that it first handles the messages that have arrived. */
+ * leader runs at most half an election timeout of them, so that its followers have time to answer,
+ * and a follower runs one, so that it first handles the messages that have arrived. */
 static void run_ticks(group_t *g, deadline_t *next_tick)
 {
 	int64_t now = clock_now_ms();
@@ -257,7 +257,7 @@
 			handle_input(g, it);
 		run_ticks(g, &next_tick);
 		raft_flush(g->raft);
-		if (b.snap_saved)
+		if (b.snap_ended)
 			group_snapshot_end(g);
 		if (!failed && snapshot_is_due(g))
 			group_snapshot_begin(g);
--- a/src/raft/raft.c
+++ b/src/raft/raft.c
@@ -145,7 +145,7 @@
 	memmove(r->held_msgs, r->held_msgs + done, r->nheld * sizeof(*r->held_msgs));
 }
 
-/* Called on every change to follower; a leader fails its reads and reports the change. */
+/* Sets a new role. A replica that stops leading fails its pending reads and reports the change. */
 static void set_role(raft_t *r, raft_role_t role)
 {
 	bool was = r->role == RAFT_LEADER;
@@ -231,7 +231,7 @@
 		raft_leader_flush(r);
 }
 
-/* Answers a message of an old term with the current term. */
+/* Answers a message of an old term with the current term; votes and answers get no answer. */
 static void reject_old_term(raft_t *r, const raft_msg_t *m)
 {
 	raft_msg_t resp = {.reject = true};
--- a/src/raft/raft.h
+++ b/src/raft/raft.h
@@ -96,8 +96,8 @@
 status_t raft_add_learner(raft_t *r, const group_peer_t *peer, uint64_t *index);
 status_t raft_promote(raft_t *r, uint64_t id, uint64_t *index);
 status_t raft_remove(raft_t *r, uint64_t id, uint64_t *index);
-/** Starts to transfer leadership to the most up-to-date other voter. Returns false if there is
- * none. */
+/** Starts to transfer leadership to the most up-to-date other voter. Returns false if there is none
+ * or this replica does not lead. */
 bool raft_transfer_leadership(raft_t *r);
 /** Stops leading at once. */
 void raft_step_down(raft_t *r);
--- a/src/raft/raft_follower.c
+++ b/src/raft/raft_follower.c
@@ -9,8 +9,8 @@
 	return a < b ? a : b;
 }
 
-/* Records the sender of m as leader of this term. */
-static void note_leader(raft_t *r, const raft_msg_t *m)
+/* Follows the sender of m as leader of this term and restarts the election timeout. */
+static void follow_leader(raft_t *r, const raft_msg_t *m)
 {
 	assert(m->term == r->term);
 	assert(r->role != RAFT_LEADER); /* one leader per term */
@@ -99,7 +99,7 @@
 	bool new_round;
 	bool added;
 
-	note_leader(r, m);
+	follow_leader(r, m);
 	if (prev > raft_last_index(r) ||
 	    (prev >= r->base && raft_term_at(r, prev) != m->log_term)) {
 		/* Leader completeness: the leader has all committed entries. */
@@ -120,9 +120,9 @@
 		send_append_resp(r);
 }
 
-static void send_snapshot_resp(raft_t *r, const raft_msg_t *m, uint64_t wanted)
+static void send_snapshot_resp(raft_t *r, const raft_msg_t *m, uint64_t wanted_offset)
 {
-	raft_msg_t resp = {.type = RAFT_SNAPSHOT_RESP, .index = m->index, .hint = wanted};
+	raft_msg_t resp = {.type = RAFT_SNAPSHOT_RESP, .index = m->index, .hint = wanted_offset};
 
 	raft_send_msg(r, &resp, m->from);
 }
@@ -161,7 +161,7 @@
 			       .crc = (uint32_t)m->hint};
 	raft_members_t members;
 
-	note_leader(r, m);
+	follow_leader(r, m);
 	if (commit_if_in_log(r, m->index, m->log_term)) {
 		send_append_resp(r);
 		return;
--- a/src/raft/raft_internal.h
+++ b/src/raft/raft_internal.h
@@ -56,7 +56,7 @@
 	uint64_t vote;
 	uint64_t leader; /* 0: unknown */
 	uint64_t term_leader; /* leader seen in this term; 0: none */
-	unsigned election_elapsed; /* ticks since the leader's last message or the last election */
+	unsigned election_elapsed; /* ticks since the last reset */
 	unsigned election_timeout;
 	unsigned heartbeat_elapsed;
 
@@ -88,7 +88,7 @@
 	bool counted_as_voter; /* a candidate with an older log counts this replica as a voter */
 
 	raft_progress_t progress[GROUP_PEERS_MAX]; /* parallel to members.peers */
-	uint64_t term_start; /* index of the first entry of the leader's term */
+	uint64_t term_start; /* leader: index of the first entry of its term */
 	uint64_t round; /* leader: newest read round */
 	uint64_t round_echoed; /* follower: newest read round echoed to the leader */
 	uint64_t incoming_snap_index; /* snapshot being received; 0: none */
@@ -125,7 +125,7 @@
 void raft_log_commit(raft_t *r, uint64_t index);
 
 /* raft.c */
-/** Sets term and vote and persists them. */
+/** Sets term and vote and hands them to persist_hard_state. */
 void raft_set_hard_state(raft_t *r, uint64_t term, uint64_t vote);
 /** Sends m, or holds it until term and vote are durable. */
 void raft_send_msg(raft_t *r, raft_msg_t *m, uint64_t to);
@@ -140,6 +140,7 @@
 void raft_count_self_vote(raft_t *r);
 void raft_handle_prevote(raft_t *r, const raft_msg_t *m);
 void raft_handle_vote(raft_t *r, const raft_msg_t *m);
+/** Handles the answer to a vote or a pre-vote request. */
 void raft_handle_vote_resp(raft_t *r, const raft_msg_t *m);
 /** True if this replica leads, or the leader sent a message within the election timeout. */
 bool raft_has_leader_lease(const raft_t *r);
--- a/src/raft/raft_members.c
+++ b/src/raft/raft_members.c
@@ -60,7 +60,8 @@
 	return STATUS_OK;
 }
 
-/* Rejects members without a live majority of voters: they could not commit the change. */
+/* Rejects a new set of members if no majority of its voters is live: it could not commit the
+ * change. */
 static status_t check_live_majority(const raft_t *r, const raft_members_t *members)
 {
 	if (raft_leader_has_live_majority(r, members))
--- a/src/raft/store_replay.c
+++ b/src/raft/store_replay.c
@@ -140,7 +140,7 @@
 	return st;
 }
 
-/* Reads one segment; *size is the length of its valid records. */
+/* Reads one segment; *size is its valid length, 0 if the header is incomplete. */
 static status_t read_segment(replay_t *rp, uint64_t number, bool is_last, size_t *size)
 {
 	char path[STORE_PATH_BYTES];
--- a/src/state/config.h
+++ b/src/state/config.h
@@ -19,8 +19,8 @@
 	char **depends;
 	size_t ndepends;
 	double latency_weight; /* 0: batch throughput, 1: online tail latency */
-	int64_t slots; /* streams that one replica runs at once */
-	int64_t reserved_slots; /* slots of a replica that batch items may not use */
+	int64_t slots; /* requests that one replica runs at once */
+	int64_t reserved_slots; /* key kept_slots: slots that batch items may not use */
 	int64_t concurrency; /* online requests at once in the whole fleet; 0: no limit */
 	int64_t step_bound_ms; /* longest time between tokens that batch items may cause */
 	int64_t stall_ms; /* a stream without events for longer is aborted */
--- a/src/state/fleet.c
+++ b/src/state/fleet.c
@@ -116,7 +116,7 @@
 	c->text_n = 0;
 }
 
-/** Handles the submission of a config under a number that is already napplied. */
+/** Handles the submission of a config under a number that is already taken. */
 static status_t resubmit_config(const fleet_state_t *f, uint64_t number, uint64_t digest,
 				wire_fleet_res_t *res)
 {
@@ -176,7 +176,8 @@
 	f->view_version++;
 }
 
-/** Opens a session, unless one of the same name and boot is open. Closes one of an earlier boot. */
+/** Opens a session, or returns the open one of the same name and boot. Closes one of another
+ * boot. */
 static status_t open_session(fleet_state_t *f, const wire_member_t *c, wire_fleet_res_t *res)
 {
 	fleet_member_t *m = find_member_by_name(f, wire_str(c->name));
@@ -287,7 +288,8 @@
 	return m && !m->draining && u->state != WIRE_UPSTREAM_GONE;
 }
 
-/** Changes the owner if the fencing token is still the one that the change was planned with. */
+/** Changes the owner if the fencing token is still the one that the change was planned with, and
+ * the new owner may own the upstream. Returns true if it did. */
 static bool change_owner(fleet_state_t *f, const wire_owner_change_t *c)
 {
 	fleet_upstream_t *u = fleet_find_upstream(f, wire_str(c->id));
--- a/src/state/fleet.h
+++ b/src/state/fleet.h
@@ -44,8 +44,8 @@
  * upstream's own zone are preferred, and few upstreams move. Upstreams of a closed session get a
  * new owner at once, so close a session only once its lease has certainly ended. Upstreams of an
  * open session move in two steps: one plan releases them (owner 0), a later plan assigns them.
- * Upstreams that are gone are released. Sets cmd to a WIRE_FLEET_OWNERS, which wire_free frees,
- * and returns the number of its changes. */
+ * Upstreams that are gone are released. Sets cmd to a WIRE_FLEET_OWNERS, which wire_free frees, and
+ * returns the number of its changes. */
 size_t fleet_plan_owners(const fleet_state_t *f, size_t max_changes, wire_fleet_cmd_t *cmd);
 
 /** Options of a plan. session_saw returns whether a session has received a view; a released
--- a/src/state/fleet_plan.c
+++ b/src/state/fleet_plan.c
@@ -120,8 +120,8 @@
 	return p->options->session_saw(p->options->ctx, u->last_owner, u->released_view);
 }
 
-/** Releases upstreams that a member owns over its quota: those in its own zone, or those in other
- * zones, which go first. */
+/** Releases upstreams that a member owns over its quota: only those in its own zone (same_zone), or
+ * only the others. */
 static void release_over_quota(plan_state_t *p, candidate_t *cand,
 			       fleet_upstream_t *const *upstreams, size_t n, bool same_zone)
 {
@@ -154,6 +154,7 @@
 		else if (upstreams[i]->owner && !find_candidate(p, upstreams[i]->owner))
 			add_change(p, upstreams[i], 0);
 	}
+	/* Upstreams of other zones go first. */
 	for (size_t i = 0; i < p->ncandidates; i++) {
 		release_over_quota(p, &p->candidates[i], upstreams, n, false);
 		release_over_quota(p, &p->candidates[i], upstreams, n, true);
--- a/src/state/ledger.h
+++ b/src/state/ledger.h
@@ -1,20 +1,23 @@
 /**
  * State machine of a ledger group: requests under idempotency keys, jobs and their items. Pure: no
- * clock, no I/O. The item counts of a job always add up (asserted after each command).
+ * clock, no I/O. The item counts of a job always add up (asserted after each command that changes
+ * them).
  *
  * Requests. ACCEPT creates a record, or returns the existing one if key and digest are the same
  * (fresh = false); another digest is STATUS_CONFLICT. ATTEMPT is for calls that must not run twice:
  * the first token from the session that holds the request gets STATUS_OK, as does a resend of this
- * token; any other gets STATUS_CONFLICT. The first FINISH is stored (record.fresh). A resend of the
- * same outcome gets STATUS_OK; another outcome gets STATUS_CONFLICT with the stored record, which
- * is the answer that the caller must get, and counts in late_dropped. A session that does not hold
- * the request can finish it only with WIRE_DONE, and only if the request is repeatable: another
- * entry may be running the request, so this session cannot say that it failed or did not run.
+ * token; any other gets STATUS_CONFLICT. For a repeatable request ATTEMPT is STATUS_INVALID. The
+ * first FINISH is stored (record.fresh). A resend of the same outcome gets STATUS_OK; another
+ * outcome gets STATUS_CONFLICT with the stored record, which is the answer that the caller must
+ * get, and counts in late_dropped. A session that does not hold the request can finish it only with
+ * WIRE_DONE, and only if the request is repeatable: another entry may be running the request, so
+ * this session cannot say that it failed or did not run. Session 0 stands for a sender without a
+ * session, which may finish any request.
  *
  * Lost sessions. SESSIONS_LOST ends attempted requests for good as WIRE_FAILED with verdict
  * may_have_run; the other requests wait until LEASE gives them to another entry. Leased items go
- * back to waiting, and this does not count as a failure. A lost session gets STATUS_CANCELLED for
- * ACCEPT, ATTEMPT, LEASE and DONE from then on.
+ * back to waiting, and this does not count as a failure. From then on a lost session gets
+ * STATUS_CANCELLED for ATTEMPT, LEASE and DONE, and for an ACCEPT that would create a record.
  *
  * Jobs. JOB_OPEN, JOB_ITEMS in order (a gap is STATUS_INVALID; items received before are skipped)
  * and JOB_SEAL may each be resent. The job is accepted once it is sealed, which requires all items
--- a/src/state/ledger_done.c
+++ b/src/state/ledger_done.c
@@ -1,7 +1,8 @@
 /* The commands DONE and SESSIONS_LOST. */
 #include "state/ledger_internal.h"
 
-/** Counts a failed run against the item and queues it again, or ends it as failed at its limits. */
+/** Counts a run without a result by its blame, and queues the item again or ends it as failed at
+ * its limits. */
 static void handle_item_failure(ledger_t *l, ledger_job_t *j, uint32_t index, wire_blame_t blame,
 				str_t reason)
 {
--- a/src/state/ledger_internal.h
+++ b/src/state/ledger_internal.h
@@ -34,9 +34,9 @@
 	char *name;
 	uint32_t name_n;
 	ledger_heap_t bands; /* other bands with waiting items */
-	ledger_heap_t overdue; /* bands with waiting items that the last LEASE found overdue */
+	ledger_heap_t overdue; /* bands with waiting items that a LEASE found overdue */
 	bool overdue_next; /* overdue goes next when both heaps have bands */
-	ledger_heap_t orphans; /* requests whose entry was lost, by deadline */
+	ledger_heap_t orphans; /* requests waiting for an entry, by deadline */
 	ledger_band_t *band_table;
 	UT_hash_handle hh;
 };
@@ -103,7 +103,7 @@
 	uint64_t lease_seq; /* seq of the LEASE that assigned it; 0: assigned by ACCEPT */
 	int64_t deadline_ms;
 	ledger_service_t *service;
-	ledger_session_t *session; /* NULL: final, or waiting for another entry */
+	ledger_session_t *session; /* NULL: final, or waiting for an entry */
 	char *input; /* path, body and trace in one block; NULL once final */
 	uint32_t path_n;
 	uint32_t body_n;
@@ -145,7 +145,7 @@
 } ledger_item_t;
 _Static_assert(sizeof(ledger_item_t) == LEDGER_ITEM_BYTES, "size of an item record");
 
-/** Bodies of items received in one command; freed once all of these items are final. */
+/** Bodies of items that were added together; freed once all of these items are final. */
 typedef struct {
 	uint32_t first; /* index of the first item */
 	uint32_t live; /* items that are not final */
@@ -209,7 +209,8 @@
 	ledger_arena_t *arena;
 	ledger_job_lease_t **job_leases;
 	uint16_t njob_leases;
-	ledger_heap_node_t end_node; /* in ended_jobs, or in unsealed_jobs while not sealed */
+	/** In unsealed_jobs until sealed or cancelled, in ended_jobs once ended. */
+	ledger_heap_node_t end_node;
 	ledger_job_t *prev; /* in lane->ready_jobs */
 	ledger_job_t *next;
 	ledger_job_t *caller_prev;
@@ -270,7 +271,7 @@
 void ledger_request_free(ledger_t *l, ledger_request_t *r);
 /** Gives the request to a session, whose entry works on it. */
 void ledger_request_assign(ledger_request_t *r, ledger_session_t *s);
-/** Queues the request until another entry leases it. */
+/** Queues the request until an entry leases it. */
 void ledger_request_enqueue(ledger_request_t *r);
 /** Returns the memory that the request counts for. */
 size_t ledger_request_bytes(const ledger_request_t *r);
@@ -300,7 +301,8 @@
 void ledger_job_dequeue(ledger_job_t *j);
 /** Moves a band to the overdue bands of its service. */
 void ledger_band_mark_overdue(ledger_band_t *b);
-/** Asserts that the counts add up; if all items are final, records the job as ended at now_ms. */
+/** Asserts that the counts add up. If the job is sealed or cancelled and all its items are final,
+ * records it as ended at now_ms. */
 void ledger_job_check_end(ledger_t *l, ledger_job_t *j, int64_t now_ms);
 /** Stores the bodies of the next n items, from job->received on. */
 void ledger_job_add_bodies(ledger_t *l, ledger_job_t *j, const wire_bytes_t *bodies, uint32_t n);
--- a/src/state/ledger_lease.c
+++ b/src/state/ledger_lease.c
@@ -78,7 +78,7 @@
 	return rec;
 }
 
-/** Leases requests whose entry was lost, by deadline. */
+/** Leases the requests that wait for an entry, by deadline. */
 static void lease_requests(ledger_session_t *s, ledger_lease_record_t *rec, reply_t *reply)
 {
 	ledger_heap_node_t *n;
--- a/src/state/ledger_request.c
+++ b/src/state/ledger_request.c
@@ -229,7 +229,8 @@
 }
 
 /** A session that does not hold the request may still deliver the result of a repeatable call, but
- * it cannot know that the call failed. Session 0 is not checked. */
+ * it cannot know that the call failed. Session 0, a sender without a session as in the unit tests,
+ * may finish any request. */
 static bool may_finish(const ledger_request_t *r, const wire_finish_t *c)
 {
 	bool holder = r->session && r->session->id == c->session;
--- a/src/state/ledger_restore.c
+++ b/src/state/ledger_restore.c
@@ -132,7 +132,7 @@
 	item->data = unpack_str(in);
 }
 
-/** Restores n items, place most BLOCK_ITEMS: first the bodies, then the results of final items. */
+/** Restores n items, at most BLOCK_ITEMS: first the bodies, then the results of final items. */
 static void unpack_items(unpacker_t *in, ledger_t *l, ledger_job_t *j, uint32_t n)
 {
 	item_fields_t read[BLOCK_ITEMS];
--- a/src/state/lots.c
+++ b/src/state/lots.c
@@ -186,7 +186,7 @@
 	it->partial_events = 0;
 }
 
-/* Drops the bodies of open items and all partial texts. */
+/* Marks the lot as ended and drops the bodies of its open items and all partial texts. */
 static void mark_ended(lot_t *t)
 {
 	t->ended = true;
@@ -220,6 +220,8 @@
 	HASH_ADD_KEYPTR(hh, l->early_ends, e->id, id.n, e);
 }
 
+/* Accepts a lot unless it exists or exceeds the quota. If its end is stored, it has ended
+ * already. */
 static status_t open_lot(lots_t *l, const wire_lot_open_t *c)
 {
 	early_end_t *ended = find_early_end(l, wire_str(c->lot));
@@ -269,7 +271,7 @@
 	it->partial_events = events;
 }
 
-/* Appends events to an item if it holds all events before them. */
+/* Appends events to an item if it holds exactly the events before them. */
 static void apply_progress(lots_t *l, const wire_lot_progress_t *c)
 {
 	lot_t *t = find_lot(l, wire_str(c->lot));
@@ -310,7 +312,7 @@
 	finish_item(l, t, c->item, c->dead ? LOT_ITEM_DEAD : LOT_ITEM_DONE, wire_str(c->text));
 }
 
-/* Ends a lot at the request of its client. */
+/* Ends a lot at the request of its client; if the lot is not open yet, stores the end. */
 static void end_lot(lots_t *l, str_t id, int64_t now)
 {
 	lot_t *t = find_lot(l, id);
--- a/src/state/lots.h
+++ b/src/state/lots.h
@@ -55,7 +55,7 @@
  * exceeded. */
 void lots_apply_cmd(lots_t *l, const wire_lots_cmd_t *cmd, wire_fleet_res_t *res);
 void lots_snapshot(const lots_t *l, buf_t *out);
-/** Bytes of bodies, texts and their names, about the size of a snapshot. */
+/** Bytes of all contents, about the size of a snapshot. */
 size_t lots_bytes(const lots_t *l);
 /** Estimates lots_bytes once all open items are done: their texts count with the mean length of
  * those done so far. */
--- a/src/state/route_table.h
+++ b/src/state/route_table.h
@@ -11,7 +11,7 @@
 
 typedef enum {
 	ROUTE_REPEATABLE, /* may run more than once */
-	ROUTE_ONCE, /* runs at most once for each attempt of the caller */
+	ROUTE_ONCE, /* runs at most once for each request that a caller sends */
 	ROUTE_STREAM, /* answered as events; runs once unless resumable */
 	ROUTE_BATCH /* lots of items that run later */
 } route_kind_t;
@@ -33,10 +33,10 @@
 	int64_t timeout_ms; /* longest time for which a caller waits */
 	int64_t objective_ms; /* time until the first byte; ROUTE_BATCH: until a lot is accepted */
 	int64_t pause_ms; /* longest pause between two events that meets the objective */
-	int64_t give_up_ms; /* caller timeout between events; 0: only its deadline counts */
+	int64_t give_up_ms; /* key patience_ms: caller timeout between events; 0: none */
 	int64_t due_ms; /* ROUTE_BATCH: from acceptance until all results are due */
 	int64_t retention_ms; /* ROUTE_BATCH: time after which an unfinished item may be given up */
-	int64_t attempts; /* replicas that may be tried for one attempt of a caller */
+	int64_t attempts; /* replicas that may be tried for one request */
 	int64_t priority; /* 0 is the highest */
 	int64_t waiting_tokens_max; /* ROUTE_BATCH: quota for all callers together; 0: none */
 	bool resumable;
@@ -45,7 +45,7 @@
 typedef struct {
 	char *name;
 	char *health_path;
-	int64_t slots; /* requests that a replica runs at once */
+	int64_t slots; /* requests that one replica runs at once */
 	int64_t connections_max; /* to one replica, from all callers */
 } route_service_t;
 
