--- a/src/raft/group.h
+++ b/src/raft/group.h
@@ -1,8 +1,8 @@
 /**
  * One replicated group in a process: the Raft core, its files and its thread, around a state
- * machine that the caller supplies. The functions here may be called from any thread; most block
- * until the group's thread has answered. The callbacks run on the group's thread, one at a time;
- * only group_open calls `restore` on its own thread.
+ * machine that the caller supplies. The functions here may be called from any thread but not from
+ * the callbacks: most block until the group's thread has answered. The callbacks run on the group's
+ * thread, one at a time, except that group_open calls `restore` on the thread of its caller.
  */
 #ifndef AUBURN_GROUP_H
 #define AUBURN_GROUP_H
--- a/src/raft/group_calls.c
+++ b/src/raft/group_calls.c
@@ -1,5 +1,6 @@
-/* Calls from other threads: each queues an input and waits until the group's thread has handled the
- * input. */
+/* Calls from other threads. Most queue an input and wait until the group's thread has handled it or
+ * the deadline has passed; group_receive only queues one, group_get_status only copies the
+ * status. */
 #include "raft/group_internal.h"
 
 #include <errno.h>
--- a/src/raft/group_internal.h
+++ b/src/raft/group_internal.h
@@ -115,8 +115,8 @@
 /** Main function of the thread that syncs the log. */
 void *group_disk_thread_main(void *arg);
 void group_disk_wake(group_t *g);
-/** Logs that the disk has failed, with the thread's last error text, and notifies the group's
- * thread. */
+/** Logs that the disk has failed, with the last error text of the calling thread, and notifies the
+ * group's thread. */
 void group_disk_set_failed(group_t *g);
 void group_snapshot_begin(group_t *g);
 void group_snapshot_end(group_t *g);
--- a/src/raft/raft.c
+++ b/src/raft/raft.c
@@ -67,7 +67,7 @@
 		raft_log_append(r, e);
 		r->persist_seqs[i] = 0;
 	}
-	r->persisted = r->synced = raft_last_index(r);
+	r->submitted = r->synced = raft_last_index(r);
 	r->verified = r->commit;
 	raise_term_to_log(r);
 	raft_reset_election_timeout(r);
--- a/src/raft/raft_log.c
+++ b/src/raft/raft_log.c
@@ -53,8 +53,8 @@
 	assert(last >= r->commit); /* committed entries never change */
 	while (raft_last_index(r) > last)
 		free(r->log[--r->nlog].data.data_val);
-	if (r->persisted > last)
-		r->persisted = last;
+	if (r->submitted > last)
+		r->submitted = last;
 	if (r->synced > last)
 		r->synced = last;
 	if (r->verified > last)
@@ -71,7 +71,7 @@
 	r->base = index;
 	r->base_term = term;
 	r->base_members = *members;
-	r->persisted = index;
+	r->submitted = index;
 	r->synced = index;
 	r->verified = index;
 	set_members(r, members, index);
@@ -117,15 +117,15 @@
 
 void raft_log_persist(raft_t *r)
 {
-	uint64_t from = r->persisted + 1;
-	size_t n = raft_last_index(r) - r->persisted;
+	uint64_t from = r->submitted + 1;
+	size_t n = raft_last_index(r) - r->submitted;
 
 	if (n == 0 || r->failed)
 		return;
 	r->next_seq++;
 	for (uint64_t i = from; i <= raft_last_index(r); i++)
 		r->persist_seqs[i - r->base - 1] = r->next_seq;
-	r->persisted = raft_last_index(r);
+	r->submitted = raft_last_index(r);
 	r->cb.persist_entries(r->cb.ctx, r->next_seq, from, raft_entry_at(r, from), n);
 }
 
@@ -133,7 +133,7 @@
 {
 	uint64_t was = r->synced;
 
-	while (r->synced < r->persisted && r->persist_seqs[r->synced - r->base] <= r->synced_seq)
+	while (r->synced < r->submitted && r->persist_seqs[r->synced - r->base] <= r->synced_seq)
 		r->synced++;
 	return r->synced > was;
 }
@@ -167,8 +167,8 @@
 	r->base = index;
 	/* The snapshot is durable, so the entries it covers count as synced even if they are
 	 * not. */
-	if (r->persisted < index)
-		r->persisted = index;
+	if (r->submitted < index)
+		r->submitted = index;
 	if (r->synced < index)
 		r->synced = index;
 	if (r->members_index < index)
--- a/src/raft/store_internal.h
+++ b/src/raft/store_internal.h
@@ -129,8 +129,9 @@
 status_t store_replay(store_t *s, store_contents_t *contents);
 
 /* store_snapshot.c */
-/** Loads the newest valid snapshot into contents; damaged ones are renamed and skipped. */
-status_t store_snaps_find(store_t *s, store_contents_t *contents);
+/** Opens the snapshot files and loads the newest valid one into contents; damaged ones are renamed
+ * and skipped. */
+status_t store_snaps_open(store_t *s, store_contents_t *contents);
 void store_snaps_close(store_t *s);
 
 #endif
--- a/src/raft/store_open.c
+++ b/src/raft/store_open.c
@@ -116,7 +116,7 @@
 	if (st == STATUS_OK)
 		st = read_id(s);
 	if (st == STATUS_OK)
-		st = store_snaps_find(s, contents);
+		st = store_snaps_open(s, contents);
 	if (st == STATUS_OK)
 		st = store_replay(s, contents);
 	contents->id = s->id;
--- a/src/raft/store_snapshot.c
+++ b/src/raft/store_snapshot.c
@@ -217,7 +217,7 @@
 	return STATUS_OK;
 }
 
-status_t store_snaps_find(store_t *s, store_contents_t *contents)
+status_t store_snaps_open(store_t *s, store_contents_t *contents)
 {
 	AUTO_FREE uint64_t *v = NULL;
 	size_t n = store_list_numbered_files(s->dir, "snap-", &v);
--- a/src/state/config.c
+++ b/src/state/config.c
@@ -42,45 +42,45 @@
 	free(s->adapter);
 }
 
-void config_free(config_t *t)
+void config_free(config_t *cfg)
 {
-	if (!t)
+	if (!cfg)
 		return;
-	for (size_t i = 0; i < t->nservices; i++)
-		service_free(&t->services[i]);
-	for (size_t i = 0; i < t->nlimits; i++)
-		free(t->limits[i].caller);
-	route_table_free(t->routes);
-	free(t->default_limit.caller);
-	free(t->services);
-	free(t->limits);
-	free(t);
+	for (size_t i = 0; i < cfg->nservices; i++)
+		service_free(&cfg->services[i]);
+	for (size_t i = 0; i < cfg->nlimits; i++)
+		free(cfg->limits[i].caller);
+	route_table_free(cfg->routes);
+	free(cfg->default_limit.caller);
+	free(cfg->services);
+	free(cfg->limits);
+	free(cfg);
 }
 
-const config_service_t *config_find_service(const config_t *t, str_t name)
+const config_service_t *config_find_service(const config_t *cfg, str_t name)
 {
-	for (size_t i = 0; i < t->nservices; i++)
-		if (str_eq(str_c(t->services[i].name), name))
-			return &t->services[i];
+	for (size_t i = 0; i < cfg->nservices; i++)
+		if (str_eq(str_c(cfg->services[i].name), name))
+			return &cfg->services[i];
 	return NULL;
 }
 
-const config_limit_t *config_limit_for(const config_t *t, str_t caller)
+const config_limit_t *config_limit_for(const config_t *cfg, str_t caller)
 {
-	for (size_t i = 0; i < t->nlimits; i++)
-		if (str_eq(str_c(t->limits[i].caller), caller))
-			return &t->limits[i];
-	return &t->default_limit;
+	for (size_t i = 0; i < cfg->nlimits; i++)
+		if (str_eq(str_c(cfg->limits[i].caller), caller))
+			return &cfg->limits[i];
+	return &cfg->default_limit;
 }
 
-static status_t fail_at(const toml_doc_t *c, const toml_table_t *t, const char *key,
+static status_t fail_at(const toml_doc_t *doc, const toml_table_t *t, const char *key,
 			const char *what, const char *value)
 {
-	return status_fail(STATUS_INVALID, "%s:%d: %s: %s \"%s\"", toml_name(c), toml_line(t, key),
-			   key, what, value);
+	return status_fail(STATUS_INVALID, "%s:%d: %s: %s \"%s\"", toml_name(doc),
+			   toml_line(t, key), key, what, value);
 }
 
-static status_t read_kind(const toml_doc_t *c, const toml_table_t *t, const char *kind,
+static status_t read_kind(const toml_doc_t *doc, const toml_table_t *t, const char *kind,
 			  config_service_t *s)
 {
 	if (!kind || strcmp(kind, "engine") == 0)
@@ -88,11 +88,11 @@
 	else if (strcmp(kind, "plain") == 0)
 		s->kind = CONFIG_PLAIN;
 	else
-		return fail_at(c, t, "kind", "neither \"engine\" nor \"plain\" but", kind);
+		return fail_at(doc, t, "kind", "neither \"engine\" nor \"plain\" but", kind);
 	return STATUS_OK;
 }
 
-static status_t read_service(const toml_doc_t *c, const toml_table_t *t, config_service_t *s)
+static status_t read_service(const toml_doc_t *doc, const toml_table_t *t, config_service_t *s)
 {
 	AUTO_FREE char *kind = NULL;
 	toml_strs_t depends = {0};
@@ -125,41 +125,41 @@
 		.retry_percent = RETRY_PERCENT_DEFAULT,
 		.repeatable = true,
 	};
-	st = toml_read(c, t, keys, NULL);
+	st = toml_read(doc, t, keys, NULL);
 	s->depends = depends.v;
 	s->ndepends = depends.n;
 	if (st == STATUS_OK)
-		st = read_kind(c, t, kind, s);
+		st = read_kind(doc, t, kind, s);
 	if (st == STATUS_OK && s->reserved_slots >= s->slots)
 		st = status_fail(STATUS_INVALID,
 				 "%s:%d: kept_slots: %lld of %lld slots leave none for batch",
-				 toml_name(c), toml_line(t, "kept_slots"),
+				 toml_name(doc), toml_line(t, "kept_slots"),
 				 (long long)s->reserved_slots, (long long)s->slots);
 	return st;
 }
 
-static status_t read_services(const toml_doc_t *c, config_t *t)
+static status_t read_services(const toml_doc_t *doc, config_t *cfg)
 {
-	size_t n = toml_table_count(toml_root(c), "service");
+	size_t n = toml_table_count(toml_root(doc), "service");
 
-	t->services = mem_new(n * sizeof(*t->services));
+	cfg->services = mem_new(n * sizeof(*cfg->services));
 	for (size_t i = 0; i < n; i++) {
-		const toml_table_t *at = toml_table_at(toml_root(c), "service", i);
-		config_service_t *s = &t->services[i];
-		status_t st = read_service(c, at, s);
+		const toml_table_t *at = toml_table_at(toml_root(doc), "service", i);
+		config_service_t *s = &cfg->services[i];
+		status_t st = read_service(doc, at, s);
 		const config_service_t *duplicate =
-			s->name ? config_find_service(t, str_c(s->name)) : NULL;
+			s->name ? config_find_service(cfg, str_c(s->name)) : NULL;
 
-		t->nservices = i + 1;
+		cfg->nservices = i + 1;
 		if (st != STATUS_OK)
 			return st;
 		if (duplicate)
-			return fail_at(c, at, "name", "a second service", s->name);
+			return fail_at(doc, at, "name", "a second service", s->name);
 	}
 	return STATUS_OK;
 }
 
-static status_t read_limit(const toml_doc_t *c, const toml_table_t *t, config_limit_t *l)
+static status_t read_limit(const toml_doc_t *doc, const toml_table_t *t, config_limit_t *l)
 {
 	const toml_key_t keys[] = {
 		{"caller", TOML_STR, true, 1, NAME_BYTES_MAX, &l->caller},
@@ -169,7 +169,7 @@
 		{0},
 	};
 
-	return toml_read(c, t, keys, NULL);
+	return toml_read(doc, t, keys, NULL);
 }
 
 static bool is_default(const config_limit_t *l)
@@ -178,52 +178,52 @@
 }
 
 /** Moves the limit of caller "*" out of the list; it applies to all other callers. */
-static void extract_default_limit(config_t *t)
+static void extract_default_limit(config_t *cfg)
 {
-	for (size_t i = 0; i < t->nlimits; i++) {
-		if (!is_default(&t->limits[i]))
+	for (size_t i = 0; i < cfg->nlimits; i++) {
+		if (!is_default(&cfg->limits[i]))
 			continue;
-		free(t->default_limit.caller);
-		t->default_limit = t->limits[i];
-		t->limits[i] = t->limits[--t->nlimits];
+		free(cfg->default_limit.caller);
+		cfg->default_limit = cfg->limits[i];
+		cfg->limits[i] = cfg->limits[--cfg->nlimits];
 		return;
 	}
 }
 
-static bool is_duplicate_limit(const config_t *t, const config_limit_t *l)
+static bool is_duplicate_limit(const config_t *cfg, const config_limit_t *l)
 {
-	for (const config_limit_t *at = t->limits; at < l; at++)
+	for (const config_limit_t *at = cfg->limits; at < l; at++)
 		if (strcmp(at->caller, l->caller) == 0)
 			return true;
 	return false;
 }
 
 /** Reads the [[limit]] tables; keys that a table does not set get the built-in defaults. */
-static status_t read_limits(const toml_doc_t *c, config_t *t)
+static status_t read_limits(const toml_doc_t *doc, config_t *cfg)
 {
-	size_t n = toml_table_count(toml_root(c), "limit");
+	size_t n = toml_table_count(toml_root(doc), "limit");
 	status_t st = STATUS_OK;
 
-	t->limits = mem_new(n * sizeof(*t->limits));
+	cfg->limits = mem_new(n * sizeof(*cfg->limits));
 	for (size_t i = 0; i < n && st == STATUS_OK; i++) {
-		const toml_table_t *at = toml_table_at(toml_root(c), "limit", i);
-		config_limit_t *l = &t->limits[i];
+		const toml_table_t *at = toml_table_at(toml_root(doc), "limit", i);
+		config_limit_t *l = &cfg->limits[i];
 
 		*l = (config_limit_t){NULL, RATE_DEFAULT, BURST_DEFAULT, 1};
-		st = read_limit(c, at, l);
-		t->nlimits = i + 1;
-		if (st == STATUS_OK && is_duplicate_limit(t, l))
-			st = fail_at(c, at, "caller", "a second limit for", l->caller);
+		st = read_limit(doc, at, l);
+		cfg->nlimits = i + 1;
+		if (st == STATUS_OK && is_duplicate_limit(cfg, l))
+			st = fail_at(doc, at, "caller", "a second limit for", l->caller);
 	}
 	if (st == STATUS_OK)
-		extract_default_limit(t);
+		extract_default_limit(cfg);
 	return st;
 }
 
 /** Depth-first search for circular dependencies. */
 typedef struct {
-	const toml_doc_t *c;
-	const config_t *t;
+	const toml_doc_t *doc;
+	const config_t *cfg;
 	enum { UNVISITED, ON_PATH, VISITED } * visit_states;
 	const config_service_t **path; /* services being visited, from the root down */
 	size_t depth;
@@ -241,24 +241,25 @@
 	for (; i < s->depth; i++)
 		buf_addf(&cycle, "%s -> ", s->path[i]->name);
 	buf_add(&cycle, str_c(to->name));
-	return fail_at(s->c, table, "depends", "circular:", cycle.p);
+	return fail_at(s->doc, table, "depends", "circular:", cycle.p);
 }
 
 /** Visits a service and all that it depends on, directly or not. */
 static status_t visit_service(cycle_search_t *s, size_t at)
 {
-	const config_service_t *service = &s->t->services[at];
-	const toml_table_t *table = toml_table_at(toml_root(s->c), "service", at);
+	const config_service_t *service = &s->cfg->services[at];
+	const toml_table_t *table = toml_table_at(toml_root(s->doc), "service", at);
 	status_t st = STATUS_OK;
 
 	s->visit_states[at] = ON_PATH;
 	s->path[s->depth++] = service;
 	for (size_t i = 0; i < service->ndepends && st == STATUS_OK; i++) {
-		const config_service_t *to = config_find_service(s->t, str_c(service->depends[i]));
-		size_t next = to ? (size_t)(to - s->t->services) : 0;
+		const config_service_t *to =
+			config_find_service(s->cfg, str_c(service->depends[i]));
+		size_t next = to ? (size_t)(to - s->cfg->services) : 0;
 
 		if (!to)
-			st = fail_at(s->c, table, "depends", "no service", service->depends[i]);
+			st = fail_at(s->doc, table, "depends", "no service", service->depends[i]);
 		else if (s->visit_states[next] == ON_PATH)
 			st = fail_circular(s, table, to);
 		else if (s->visit_states[next] == UNVISITED)
@@ -269,14 +270,14 @@
 	return st;
 }
 
-static status_t check_dependencies(const toml_doc_t *c, const config_t *t)
+static status_t check_dependencies(const toml_doc_t *doc, const config_t *cfg)
 {
-	cycle_search_t s = {.c = c, .t = t};
+	cycle_search_t s = {.doc = doc, .cfg = cfg};
 	status_t st = STATUS_OK;
 
-	s.visit_states = mem_new(t->nservices * sizeof(*s.visit_states));
-	s.path = mem_new(t->nservices * sizeof(config_service_t *));
-	for (size_t i = 0; i < t->nservices && st == STATUS_OK; i++)
+	s.visit_states = mem_new(cfg->nservices * sizeof(*s.visit_states));
+	s.path = mem_new(cfg->nservices * sizeof(config_service_t *));
+	for (size_t i = 0; i < cfg->nservices && st == STATUS_OK; i++)
 		if (s.visit_states[i] == UNVISITED)
 			st = visit_service(&s, i);
 	free(s.visit_states);
@@ -284,46 +285,46 @@
 	return st;
 }
 
-static status_t read_config(const toml_doc_t *c, config_t *t)
+static status_t read_config(const toml_doc_t *doc, config_t *cfg)
 {
 	const toml_key_t keys[] = {
-		{"retention_s", TOML_INT, false, 1, RETENTION_S_MAX, &t->retention_s},
-		{"address_ttl_s", TOML_INT, false, 1, ADDRESS_TTL_S_MAX, &t->address_ttl_s},
-		{"weight_loads_per_min", TOML_INT, false, 1, RATE_MAX, &t->weight_loads_per_min},
+		{"retention_s", TOML_INT, false, 1, RETENTION_S_MAX, &cfg->retention_s},
+		{"address_ttl_s", TOML_INT, false, 1, ADDRESS_TTL_S_MAX, &cfg->address_ttl_s},
+		{"weight_loads_per_min", TOML_INT, false, 1, RATE_MAX, &cfg->weight_loads_per_min},
 		{0},
 	};
 	const char *const sub[] = {"service", "limit", "route", NULL};
-	status_t st = toml_read(c, toml_root(c), keys, sub);
+	status_t st = toml_read(doc, toml_root(doc), keys, sub);
 
 	if (st == STATUS_OK)
-		st = read_services(c, t);
+		st = read_services(doc, cfg);
 	if (st == STATUS_OK)
-		st = read_limits(c, t);
+		st = read_limits(doc, cfg);
 	if (st == STATUS_OK)
-		st = check_dependencies(c, t);
+		st = check_dependencies(doc, cfg);
 	if (st == STATUS_OK)
-		st = config_read_routes(c, t);
+		st = config_read_routes(doc, cfg);
 	return st;
 }
 
 status_t config_parse(str_t text, config_t **out)
 {
-	AUTO_TOML *c = NULL;
-	config_t *t;
-	status_t st = toml_parse(text, "text", &c);
+	AUTO_TOML *doc = NULL;
+	config_t *cfg;
+	status_t st = toml_parse(text, "text", &doc);
 
 	*out = NULL;
 	if (st != STATUS_OK)
 		return st;
-	t = mem_new(sizeof(*t));
-	t->retention_s = RETENTION_S_DEFAULT;
-	t->address_ttl_s = ADDRESS_TTL_S_DEFAULT;
-	t->weight_loads_per_min = WEIGHT_LOADS_DEFAULT;
-	t->default_limit = (config_limit_t){str_dup(STR("*")), RATE_DEFAULT, BURST_DEFAULT, 1};
-	st = read_config(c, t);
+	cfg = mem_new(sizeof(*cfg));
+	cfg->retention_s = RETENTION_S_DEFAULT;
+	cfg->address_ttl_s = ADDRESS_TTL_S_DEFAULT;
+	cfg->weight_loads_per_min = WEIGHT_LOADS_DEFAULT;
+	cfg->default_limit = (config_limit_t){str_dup(STR("*")), RATE_DEFAULT, BURST_DEFAULT, 1};
+	st = read_config(doc, cfg);
 	if (st == STATUS_OK)
-		*out = t;
+		*out = cfg;
 	else
-		config_free(t);
+		config_free(cfg);
 	return st;
 }
--- a/src/state/config.h
+++ b/src/state/config.h
@@ -56,11 +56,11 @@
 /** Parses and checks a config: unknown keys, wrong types, limits, unknown or circular dependencies.
  * STATUS_INVALID has a message "text:line: key: reason". */
 status_t config_parse(str_t text, config_t **out);
-void config_free(config_t *t);
+void config_free(config_t *cfg);
 /** Returns NULL if there is none. */
-const config_service_t *config_find_service(const config_t *t, str_t name);
+const config_service_t *config_find_service(const config_t *cfg, str_t name);
 /** Returns the caller's limit, or the default limit. */
-const config_limit_t *config_limit_for(const config_t *t, str_t caller);
+const config_limit_t *config_limit_for(const config_t *cfg, str_t caller);
 /** Digest of a config's text, stored under the config's number. */
 uint64_t config_digest(str_t text);
 
--- a/src/state/config_internal.h
+++ b/src/state/config_internal.h
@@ -5,7 +5,7 @@
 #include "base/toml.h"
 #include "state/config.h"
 
-/** Reads the [[route]] tables into t->routes; the services must have been read. */
-status_t config_read_routes(const toml_doc_t *c, config_t *t);
+/** Reads the [[route]] tables into cfg->routes; the services must have been read. */
+status_t config_read_routes(const toml_doc_t *doc, config_t *cfg);
 
 #endif
--- a/src/state/config_routes.c
+++ b/src/state/config_routes.c
@@ -12,12 +12,14 @@
 #define PRIORITY_MAX	   9
 #define TOKENS_MAX	   (1LL << 50)
 #define TIMEOUT_DEFAULT_MS 30000
-/** Limits on what clients send, for configs that set none: usual values of HTTP servers. */
+/** Limits on what clients send; this config format has no keys for them. Usual values of HTTP
+ * servers. */
 #define HEADER_BYTES 16384
 #define BODY_BYTES   (8LL << 20)
 #define HEADER_MS    5000
 #define IDLE_MS	     60000
-#define MS_PER_S     1000
+
+#define MS_PER_S 1000
 
 static const struct {
 	const char *word;
@@ -27,7 +29,7 @@
 	     {"stream", ROUTE_STREAM},
 	     {"batch", ROUTE_BATCH}};
 
-static status_t read_kind(const toml_doc_t *c, const toml_table_t *t, const char *word,
+static status_t read_kind(const toml_doc_t *doc, const toml_table_t *t, const char *word,
 			  route_spec_t *r)
 {
 	for (size_t i = 0; i < sizeof(kinds) / sizeof(kinds[0]); i++) {
@@ -36,7 +38,7 @@
 			return STATUS_OK;
 		}
 	}
-	return status_fail(STATUS_INVALID, "%s:%d: kind: unknown kind \"%s\"", toml_name(c),
+	return status_fail(STATUS_INVALID, "%s:%d: kind: unknown kind \"%s\"", toml_name(doc),
 			   toml_line(t, "kind"), word);
 }
 
@@ -49,7 +51,7 @@
 		: (route_share_t){str_dup(str_c(text)), 1};
 }
 
-static status_t read_route(const toml_doc_t *c, const toml_table_t *t, route_spec_t *r)
+static status_t read_route(const toml_doc_t *doc, const toml_table_t *t, route_spec_t *r)
 {
 	AUTO_FREE char *kind = NULL;
 	toml_strs_t services = {0};
@@ -76,9 +78,9 @@
 
 	r->timeout_ms = r->objective_ms = TIMEOUT_DEFAULT_MS;
 	r->attempts = 1;
-	st = toml_read(c, t, keys, NULL);
+	st = toml_read(doc, t, keys, NULL);
 	if (st == STATUS_OK)
-		st = read_kind(c, t, kind, r);
+		st = read_kind(doc, t, kind, r);
 	r->retention_ms = retention_s * MS_PER_S;
 	r->shares = mem_new((services.n + 1) * sizeof(*r->shares));
 	for (; r->nshares < services.n; r->nshares++)
@@ -87,11 +89,11 @@
 	return st;
 }
 
-static void copy_services(const config_t *t, route_table_t *r)
+static void copy_services(const config_t *cfg, route_table_t *r)
 {
-	r->services = mem_new((t->nservices + 1) * sizeof(*r->services));
-	for (; r->nservices < t->nservices; r->nservices++) {
-		const config_service_t *s = &t->services[r->nservices];
+	r->services = mem_new((cfg->nservices + 1) * sizeof(*r->services));
+	for (; r->nservices < cfg->nservices; r->nservices++) {
+		const config_service_t *s = &cfg->services[r->nservices];
 
 		r->services[r->nservices] = (route_service_t){
 			.name = str_dup(str_c(s->name)),
@@ -101,18 +103,18 @@
 	}
 }
 
-status_t config_read_routes(const toml_doc_t *c, config_t *t)
+status_t config_read_routes(const toml_doc_t *doc, config_t *cfg)
 {
-	size_t n = toml_table_count(toml_root(c), "route");
-	route_table_t *r = t->routes = route_table_new();
+	size_t n = toml_table_count(toml_root(doc), "route");
+	route_table_t *r = cfg->routes = route_table_new();
 	status_t st = STATUS_OK;
 
 	r->limits = (route_client_limits_t){HEADER_BYTES, BODY_BYTES, HEADER_MS, IDLE_MS};
-	copy_services(t, r);
+	copy_services(cfg, r);
 	r->routes = mem_new((n + 1) * sizeof(*r->routes));
 	for (size_t i = 0; i < n && st == STATUS_OK; i++) {
 		r->nroutes = i + 1;
-		st = read_route(c, toml_table_at(toml_root(c), "route", i), &r->routes[i]);
+		st = read_route(doc, toml_table_at(toml_root(doc), "route", i), &r->routes[i]);
 	}
 	return st == STATUS_OK ? route_table_build(r) : st;
 }
--- a/src/state/ledger.c
+++ b/src/state/ledger.c
@@ -170,7 +170,7 @@
 		HASH_DEL(l->services, s);
 		ledger_heap_free(&s->bands);
 		ledger_heap_free(&s->overdue);
-		ledger_heap_free(&s->orphans);
+		ledger_heap_free(&s->waiting_requests);
 		free(s->name);
 		free(s);
 	}
--- a/src/state/ledger_done.c
+++ b/src/state/ledger_done.c
@@ -26,7 +26,7 @@
 	ledger_job_enqueue(j);
 }
 
-/** Applies the result of an item that is no longer leased. */
+/** Applies the result of an item that was just taken from its lease, or its return without one. */
 static void apply_item_result(ledger_t *l, ledger_job_t *j, const wire_item_result_t *r)
 {
 	if (j->cancelled) {
--- a/src/state/ledger_internal.h
+++ b/src/state/ledger_internal.h
@@ -36,7 +36,7 @@
 	ledger_heap_t bands; /* other bands with waiting items */
 	ledger_heap_t overdue; /* bands with waiting items that a LEASE found overdue */
 	bool overdue_next; /* overdue goes next when both heaps have bands */
-	ledger_heap_t orphans; /* requests waiting for an entry, by deadline */
+	ledger_heap_t waiting_requests; /* requests waiting for an entry, by deadline */
 	ledger_band_t *band_table;
 	UT_hash_handle hh;
 };
@@ -118,7 +118,7 @@
 	uint8_t deaths; /* replicas that died with it */
 	bool repeatable;
 	ledger_heap_node_t wait_node; /* in service->orphans */
-	ledger_heap_node_t end_node; /* in ledger->ended_requests */
+	ledger_heap_node_t expiry_node; /* in ledger->ended_requests; key: time of the end */
 	ledger_request_t *prev;
 	ledger_request_t *next;
 	UT_hash_handle hh;
@@ -153,7 +153,7 @@
 	size_t bytes;
 } ledger_body_block_t;
 
-/** Block of a job's results; each new block is larger. */
+/** Block of a job's results; blocks grow up to a limit, a larger result gets its own. */
 typedef struct ledger_arena {
 	struct ledger_arena *next;
 	uint32_t used;
@@ -209,8 +209,9 @@
 	ledger_arena_t *arena;
 	ledger_job_lease_t **job_leases;
 	uint16_t njob_leases;
-	/** In unsealed_jobs until sealed or cancelled, in ended_jobs once ended. */
-	ledger_heap_node_t end_node;
+	/** In unsealed_jobs until sealed or cancelled (key: time of opening), in ended_jobs once
+	 * ended (key: time of the end). */
+	ledger_heap_node_t expiry_node;
 	ledger_job_t *prev; /* in lane->ready_jobs */
 	ledger_job_t *next;
 	ledger_job_t *caller_prev;
@@ -281,7 +282,7 @@
 void ledger_finish(ledger_t *l, const wire_finish_t *c, wire_ledger_res_t *res);
 /** Applies the result of a request that LEASE handed out; returns true if it was taken. */
 bool ledger_request_take_result(ledger_t *l, uint64_t session, int64_t now_ms,
-				const wire_item_result_t *r);
+				const wire_item_result_t *c);
 /** Takes a lost session's requests away: attempted ones end, the others wait for another entry. */
 void ledger_requests_lost(ledger_t *l, ledger_session_t *s, int64_t now_ms);
 
--- a/src/state/ledger_job.c
+++ b/src/state/ledger_job.c
@@ -219,9 +219,9 @@
 {
 	leave_lane(j);
 	leave_caller(l, j);
-	if (j->end_node.pos)
+	if (j->expiry_node.pos)
 		ledger_heap_remove(j->sealed || j->cancelled ? &l->ended_jobs : &l->unsealed_jobs,
-				   &j->end_node);
+				   &j->expiry_node);
 	HASH_DELETE(hh, l->jobs, j);
 	HASH_DELETE(hh_serial, l->jobs_by_serial, j);
 	l->items -= j->count;
@@ -250,13 +250,13 @@
 	assert(sum == j->count);
 	assert(j->received <= j->count);
 	assert(j->queued == (j->lane && j->waiting > 0));
-	if (!job_ended(j) || j->end_node.pos)
+	if (!job_ended(j) || j->expiry_node.pos)
 		return;
 	free_bodies(l, j);
 	leave_lane(j);
-	j->end_node.key = now_ms;
-	j->end_node.serial = j->serial;
-	ledger_heap_push(&l->ended_jobs, &j->end_node);
+	j->expiry_node.key = now_ms;
+	j->expiry_node.serial = j->serial;
+	ledger_heap_push(&l->ended_jobs, &j->expiry_node);
 }
 
 static ledger_body_block_t *add_block(ledger_t *l, ledger_job_t *j, size_t bytes)
--- a/src/state/ledger_job_cmd.c
+++ b/src/state/ledger_job_cmd.c
@@ -4,7 +4,7 @@
 #include <utlist.h>
 #include "state/ledger_internal.h"
 
-/** Fills in the job of an answer. */
+/** Fills in the job of an answer. fresh: this command opened, sealed or cancelled the job. */
 static void fill_job_result(wire_ledger_res_t *res, const ledger_job_t *j, bool fresh)
 {
 	ledger_job_fill_status(j, &res->job);
@@ -37,9 +37,9 @@
 	j->count = c->count;
 	j->waiting = c->count;
 	ledger_job_add(l, j);
-	j->end_node.key = c->now_wall_ms;
-	j->end_node.serial = j->serial;
-	ledger_heap_push(&l->unsealed_jobs, &j->end_node);
+	j->expiry_node.key = c->now_wall_ms;
+	j->expiry_node.serial = j->serial;
+	ledger_heap_push(&l->unsealed_jobs, &j->expiry_node);
 	return j;
 }
 
@@ -142,7 +142,7 @@
 				  status_fail(STATUS_INVALID, "digest does not match the items"));
 		return;
 	}
-	ledger_heap_remove(&l->unsealed_jobs, &j->end_node);
+	ledger_heap_remove(&l->unsealed_jobs, &j->expiry_node);
 	j->sealed = true;
 	ledger_job_join_lane(j);
 	ledger_job_enqueue(j);
@@ -176,7 +176,7 @@
 		return;
 	}
 	if (!j->sealed)
-		ledger_heap_remove(&l->unsealed_jobs, &j->end_node);
+		ledger_heap_remove(&l->unsealed_jobs, &j->expiry_node);
 	cancel_job_leases(j);
 	ledger_job_dequeue(j);
 	j->cancelled = true;
@@ -186,32 +186,31 @@
 	fill_job_result(res, j, true);
 }
 
-/** Returns the heap's smallest node if its time is at or before before_ms, else NULL. */
-static ledger_heap_node_t *oldest_before(const ledger_heap_t *h, int64_t before_ms)
+/** Returns the heap's smallest node if its time is at or before up_to_ms, else NULL. */
+static ledger_heap_node_t *oldest_up_to(const ledger_heap_t *h, int64_t up_to_ms)
 {
 	ledger_heap_node_t *n = ledger_heap_min(h);
 
-	return n && n->key <= before_ms ? n : NULL;
+	return n && n->key <= up_to_ms ? n : NULL;
 }
 
 void ledger_expire(ledger_t *l, const wire_expire_t *c, wire_ledger_res_t *res)
 {
-	int64_t before_ms = c->now_wall_ms - c->retention_ms;
+	int64_t up_to_ms = c->now_wall_ms - c->retention_ms;
 	int64_t unsealed_ms = c->now_wall_ms - LEDGER_UNSEALED_MAX_MS;
 	ledger_heap_node_t *n;
 
-	while (res->count < LEDGER_EXPIRE_MAX &&
-	       (n = oldest_before(&l->ended_requests, before_ms))) {
-		ledger_request_free(l, LEDGER_CONTAINER_OF(n, ledger_request_t, end_node));
+	while (res->count < LEDGER_EXPIRE_MAX && (n = oldest_up_to(&l->ended_requests, up_to_ms))) {
+		ledger_request_free(l, LEDGER_CONTAINER_OF(n, ledger_request_t, expiry_node));
 		res->count++;
 	}
-	while (res->count < LEDGER_EXPIRE_MAX && (n = oldest_before(&l->ended_jobs, before_ms))) {
-		ledger_job_free(l, LEDGER_CONTAINER_OF(n, ledger_job_t, end_node));
+	while (res->count < LEDGER_EXPIRE_MAX && (n = oldest_up_to(&l->ended_jobs, up_to_ms))) {
+		ledger_job_free(l, LEDGER_CONTAINER_OF(n, ledger_job_t, expiry_node));
 		res->count++;
 	}
 	while (res->count < LEDGER_EXPIRE_MAX &&
-	       (n = oldest_before(&l->unsealed_jobs, unsealed_ms))) {
-		ledger_job_free(l, LEDGER_CONTAINER_OF(n, ledger_job_t, end_node));
+	       (n = oldest_up_to(&l->unsealed_jobs, unsealed_ms))) {
+		ledger_job_free(l, LEDGER_CONTAINER_OF(n, ledger_job_t, expiry_node));
 		res->count++;
 	}
 }
--- a/src/state/ledger_lease.c
+++ b/src/state/ledger_lease.c
@@ -83,10 +83,10 @@
 {
 	ledger_heap_node_t *n;
 
-	while (!reply_is_full(reply) && (n = ledger_heap_min(&rec->service->orphans))) {
+	while (!reply_is_full(reply) && (n = ledger_heap_min(&rec->service->waiting_requests))) {
 		ledger_request_t *r = LEDGER_CONTAINER_OF(n, ledger_request_t, wait_node);
 
-		ledger_heap_remove(&rec->service->orphans, n);
+		ledger_heap_remove(&rec->service->waiting_requests, n);
 		r->attempts++;
 		r->lease_seq = rec->seq;
 		ledger_request_assign(r, s);
--- a/src/state/ledger_request.c
+++ b/src/state/ledger_request.c
@@ -59,7 +59,7 @@
 		DL_DELETE(r->session->requests, r);
 	r->session = NULL;
 	if (r->wait_node.pos)
-		ledger_heap_remove(&r->service->orphans, &r->wait_node);
+		ledger_heap_remove(&r->service->waiting_requests, &r->wait_node);
 }
 
 void ledger_request_enqueue(ledger_request_t *r)
@@ -67,15 +67,15 @@
 	assert(!r->session && r->state == WIRE_ACCEPTED);
 	r->wait_node.key = r->deadline_ms;
 	r->wait_node.serial = r->serial;
-	ledger_heap_push(&r->service->orphans, &r->wait_node);
+	ledger_heap_push(&r->service->waiting_requests, &r->wait_node);
 }
 
 void ledger_request_free(ledger_t *l, ledger_request_t *r)
 {
 	l->bytes -= ledger_request_bytes(r);
 	detach_request(r);
-	if (r->end_node.pos)
-		ledger_heap_remove(&l->ended_requests, &r->end_node);
+	if (r->expiry_node.pos)
+		ledger_heap_remove(&l->ended_requests, &r->expiry_node);
 	HASH_DEL(l->requests, r);
 	free(r->id.p);
 	free(r->input);
@@ -105,9 +105,9 @@
 	r->result_n = (uint32_t)o->result.n;
 	free(r->input);
 	r->input = NULL;
-	r->end_node.key = o->now_ms;
-	r->end_node.serial = r->serial;
-	ledger_heap_push(&l->ended_requests, &r->end_node);
+	r->expiry_node.key = o->now_ms;
+	r->expiry_node.serial = r->serial;
+	ledger_heap_push(&l->ended_requests, &r->expiry_node);
 	l->bytes += ledger_request_bytes(r);
 }
 
--- a/src/state/ledger_restore.c
+++ b/src/state/ledger_restore.c
@@ -69,7 +69,7 @@
 	r->deaths = (uint8_t)unpack_u64_max(in, UINT8_MAX);
 	r->repeatable = unpack_u64_max(in, 1) == 1;
 	place->waits = unpack_heap_node(in, &r->wait_node, r->serial);
-	place->ended = unpack_heap_node(in, &r->end_node, r->serial);
+	place->ended = unpack_heap_node(in, &r->expiry_node, r->serial);
 }
 
 /** A request is in exactly one list: ended, held by a session, or waiting for one. */
@@ -94,7 +94,7 @@
 		return;
 	}
 	if (place.ended)
-		ledger_heap_push(&l->ended_requests, &r->end_node);
+		ledger_heap_push(&l->ended_requests, &r->expiry_node);
 	else if (place.session)
 		ledger_request_assign(r, ledger_get_session(l, place.session));
 	else
@@ -204,7 +204,7 @@
 	if (in->bad)
 		return;
 	if (queued)
-		ledger_heap_push(open ? &l->unsealed_jobs : &l->ended_jobs, &j->end_node);
+		ledger_heap_push(open ? &l->unsealed_jobs : &l->ended_jobs, &j->expiry_node);
 	else if (j->sealed)
 		ledger_job_join_lane(j);
 }
@@ -218,7 +218,7 @@
 
 	unpack_job_fields(in, l, j);
 	received = (uint32_t)unpack_u64_max(in, j->count);
-	queued = unpack_heap_node(in, &j->end_node, j->serial);
+	queued = unpack_heap_node(in, &j->expiry_node, j->serial);
 	ledger_job_add(l, j);
 	ended = (uint64_t)j->done + j->failed + j->dropped;
 	if (ended > j->count)
--- a/src/state/ledger_snapshot.c
+++ b/src/state/ledger_snapshot.c
@@ -32,7 +32,7 @@
 	pack_u64(out, r->deaths);
 	pack_u64(out, r->repeatable);
 	pack_heap_node(out, &r->wait_node);
-	pack_heap_node(out, &r->end_node);
+	pack_heap_node(out, &r->expiry_node);
 }
 
 static void pack_item(buf_t *out, const ledger_job_t *j, uint32_t index)
@@ -76,7 +76,7 @@
 	pack_u64(out, j->cancelled);
 	pack_u64(out, j->cursor);
 	pack_u64(out, j->received);
-	pack_heap_node(out, &j->end_node);
+	pack_heap_node(out, &j->expiry_node);
 	for (uint32_t i = 0; i < j->received; i++)
 		pack_item(out, j, i);
 	if (j->cancelled)
