--- a/src/base/args.c
+++ b/src/base/args.c
@@ -4,13 +4,14 @@
 #include <argtable2.h>
 #include "base/str.h"
 
-static int report(const args_options_t *o, struct arg_lit *help, struct arg_lit *version,
-		  struct arg_file *config, struct arg_end *end, int errors, void **table)
+/* Handles --help, --version and usage errors: the exit code, or -1 if there is none of them. */
+static int early_exit(const args_options_t *o, struct arg_lit *help, struct arg_lit *version,
+		      struct arg_file *config, struct arg_end *end, int errors, void **table)
 {
 	if (help->count) {
 		printf("Usage: %s", o->program);
 		arg_print_syntax(stdout, table, "\n");
-		printf("%s\n\n", o->about);
+		printf("%s\n\n", o->description);
 		arg_print_glossary(stdout, table, "  %-20s %s\n");
 		return EXIT_OK;
 	}
@@ -39,7 +40,7 @@
 	struct arg_end *end = arg_end(8);
 	void *table[] = {help, version, config, check, flag ? (void *)flag : (void *)end, end};
 	int errors = arg_parse(argc, argv, table);
-	int code = report(o, help, version, config, end, errors, table);
+	int code = early_exit(o, help, version, config, end, errors, table);
 
 	if (code < 0) {
 		out->config = str_dup(str_c(config->filename[0]));
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,4 @@
-/** Clocks in milliseconds. Deadlines are points on the boot clock, which counts suspend. */
+/** Clocks in milliseconds. Deadlines are points on the boot clock, which also counts suspend. */
 #ifndef AUBURN_CLOCK_H
 #define AUBURN_CLOCK_H
 
@@ -10,7 +10,7 @@
 
 int64_t clock_now_ms(void);
 int64_t clock_now_us(void);
-/** Wall clock, ms since 1970; for log lines and what is stored. */
+/** Wall clock, ms since 1970; for log lines and stored times. */
 int64_t clock_wall_ms(void);
 /** Milliseconds until d, at least 0. */
 int64_t clock_left_ms(deadline_t d);
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -11,13 +11,13 @@
 #include "base/clock.h"
 #include "base/metric.h"
 
-/* Lines kept for look-up, and the longest value written. */
+/* Lines in the ring, and the longest value written. */
 #define RING_LINES	4096
 #define VALUE_MAX_BYTES 512
-/** Lines that one event may write a second: several times what a busy process has to say of a kind,
- * and under 1% of a core. */
-#define LINES_PER_S 200
-#define BUDGETS_MAX 128
+/** Limit for one event name: several times the rate of any event in a busy process, and under 1%
+ * of a core. */
+#define LINES_PER_S_MAX 200
+#define LIMITS_MAX	128 /* event names that are limited */
 
 static pthread_mutex_t ring_lock = PTHREAD_MUTEX_INITIALIZER;
 static char *ring[RING_LINES];
@@ -30,37 +30,37 @@
 static const int priorities[] = {LOG4C_PRIORITY_ERROR, LOG4C_PRIORITY_WARN, LOG4C_PRIORITY_INFO,
 				 LOG4C_PRIORITY_DEBUG};
 
-static const char *format_bare(const log4c_layout_t *layout, const log4c_logging_event_t *e)
+static const char *format_line(const log4c_layout_t *layout, const log4c_logging_event_t *e)
 {
 	return e->evt_msg;
 }
 
-static const log4c_layout_type_t bare_type = {.name = "auburn_line", .format = format_bare};
+static const log4c_layout_type_t line_layout = {.name = "auburn_line", .format = format_line};
 
-/* A reader that doesn't keep up loses lines; the process never waits for it. */
-static bool has_room(void)
+/* Checked before each write: a slow reader loses lines, but never blocks the process. */
+static bool stdout_writable(void)
 {
 	struct pollfd p = {.fd = STDOUT_FILENO, .events = POLLOUT};
 
 	return poll(&p, 1, 0) == 1 && (p.revents & POLLOUT);
 }
 
-/* log4c's stream types put the appender's name before each line. */
-static int append_line(log4c_appender_t *appender, const log4c_logging_event_t *e)
+/* Used in place of log4c's stream appenders, which prefix each line with the appender's name. */
+static int write_line(log4c_appender_t *appender, const log4c_logging_event_t *e)
 {
 	str_t line = str_c(e->evt_rendered_msg);
 
-	/* A pipe that polls as writable takes this much without blocking. */
+	/* A pipe that polls as writable accepts PIPE_BUF bytes without blocking. */
 	if (line.n > PIPE_BUF)
 		line.n = PIPE_BUF;
-	if (!has_room()) {
+	if (!stdout_writable()) {
 		METRIC_INC("auburn_log_lines_lost_total");
 		return -1;
 	}
 	return write(STDOUT_FILENO, line.p, line.n) == (ssize_t)line.n ? 0 : -1;
 }
 
-static const log4c_appender_type_t line_type = {.name = "auburn_line", .append = append_line};
+static const log4c_appender_type_t line_appender = {.name = "auburn_line", .append = write_line};
 
 void log_open(const char *process, log_level_t level)
 {
@@ -70,12 +70,12 @@
 	process_name = process;
 	max_level = level;
 	log4c_init();
-	log4c_layout_type_set(&bare_type);
+	log4c_layout_type_set(&line_layout);
 	layout = log4c_layout_get("auburn_line");
-	log4c_layout_set_type(layout, &bare_type);
-	log4c_appender_type_set(&line_type);
+	log4c_layout_set_type(layout, &line_layout);
+	log4c_appender_type_set(&line_appender);
 	appender = log4c_appender_get("auburn_stdout");
-	log4c_appender_set_type(appender, &line_type);
+	log4c_appender_set_type(appender, &line_appender);
 	log4c_appender_set_layout(appender, layout);
 	category = log4c_category_get("auburn");
 	log4c_category_set_appender(category, appender);
@@ -83,7 +83,7 @@
 	log4c_category_set_priority(category, priorities[level]);
 }
 
-/* A value needs quotes when a reader could not tell where it ends. */
+/* Empty values and values with separators are quoted, so that a parser finds their end. */
 static bool needs_quotes(str_t s)
 {
 	if (s.n == 0)
@@ -107,7 +107,7 @@
 		buf_add(b, s);
 }
 
-static void ring_keep(str_t line)
+static void ring_add(str_t line)
 {
 	char *copy = str_dup(line);
 	char *old;
@@ -120,68 +120,70 @@
 	free(old);
 }
 
-/* One slot for each event name; a name without a slot isn't bounded. */
+/* Lines of one event name in the current second. */
 typedef struct {
 	const char *event;
 	int64_t second;
 	unsigned written;
-	unsigned left_out;
-} budget_t;
+	unsigned suppressed;
+} line_limit_t;
 
-static budget_t budgets[BUDGETS_MAX];
-static pthread_mutex_t budget_lock = PTHREAD_MUTEX_INITIALIZER;
+static line_limit_t line_limits[LIMITS_MAX];
+static pthread_mutex_t limit_lock = PTHREAD_MUTEX_INITIALIZER;
 
-static budget_t *budget_of(const char *event)
+/* Finds or adds the limit of an event. NULL when LIMITS_MAX names are in use: further names are not
+ * limited. */
+static line_limit_t *find_limit(const char *event)
 {
-	for (size_t i = 0; i < BUDGETS_MAX; i++) {
-		if (!budgets[i].event)
-			budgets[i].event = event;
-		if (strcmp(budgets[i].event, event) == 0)
-			return &budgets[i];
+	for (size_t i = 0; i < LIMITS_MAX; i++) {
+		if (!line_limits[i].event)
+			line_limits[i].event = event;
+		if (strcmp(line_limits[i].event, event) == 0)
+			return &line_limits[i];
 	}
 	return NULL;
 }
 
-/* False when the event has used up its lines of this second. *left_out: lines of an earlier second
- * that are to be told of now. */
-static bool take_line(const char *event, int64_t second, unsigned *left_out)
+/* False if the event has reached its limit in this second. *suppressed: number of lines suppressed
+ * in an earlier second, which the caller reports now. */
+static bool admit_line(const char *event, int64_t second, unsigned *suppressed)
 {
-	budget_t *x;
+	line_limit_t *l;
 	bool ok = true;
 
-	*left_out = 0;
-	pthread_mutex_lock(&budget_lock);
-	x = budget_of(event);
-	if (x && x->second != second) {
-		*left_out = x->left_out;
-		x->second = second;
-		x->written = 0;
-		x->left_out = 0;
+	*suppressed = 0;
+	pthread_mutex_lock(&limit_lock);
+	l = find_limit(event);
+	if (l && l->second != second) {
+		*suppressed = l->suppressed;
+		l->second = second;
+		l->written = 0;
+		l->suppressed = 0;
 	}
-	if (x && x->written >= LINES_PER_S) {
-		x->left_out++;
+	if (l && l->written >= LINES_PER_S_MAX) {
+		l->suppressed++;
 		ok = false;
-	} else if (x) {
-		x->written++;
+	} else if (l) {
+		l->written++;
 	}
-	pthread_mutex_unlock(&budget_lock);
+	pthread_mutex_unlock(&limit_lock);
 	return ok;
 }
 
 void log_write(log_level_t level, const char *event, const log_field_t *fields)
 {
 	AUTO_BUF b = {0};
-	unsigned left_out;
+	unsigned suppressed;
 
 	if (level > max_level)
 		return;
-	if (!take_line(event, clock_now_ms() / 1000, &left_out)) {
+	if (!admit_line(event, clock_now_ms() / 1000, &suppressed)) {
 		METRIC_INC("auburn_log_lines_left_out_total");
 		return;
 	}
-	if (left_out)
+	if (suppressed)
 		log_event(LOG_LEVEL_WARN, "lines_left_out", LOG_CSTR("of", event),
-			  LOG_INT("count", left_out));
+			  LOG_INT("count", suppressed));
 	buf_addf(&b, "t=%lld level=%s process=%s event=%s", (long long)clock_wall_ms(),
 		 level_names[level], process_name, event);
 	for (const log_field_t *f = fields; f->type != LOG_TYPE_END; f++) {
@@ -191,7 +193,7 @@
 		else
 			add_value(&b, f->s);
 	}
-	ring_keep(str_buf(&b));
+	ring_add(str_buf(&b));
 	if (category)
 		log4c_category_log(category, priorities[level], "%s\n", b.p);
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,5 +1,5 @@
-/** Events: one line of key=value pairs each, written through log4c and kept in a ring for look-up.
- */
+/** Structured log: each event is one line of key=value pairs, written through log4c and held in an
+ * in-memory ring for queries. */
 #ifndef AUBURN_LOG_H
 #define AUBURN_LOG_H
 
@@ -15,7 +15,7 @@
 	int64_t i;
 } log_field_t;
 
-/** Fields for log_write. */
+/** Fields for log_event: LOG_STR takes a str_t, LOG_CSTR a C string, LOG_INT an integer. */
 #define LOG_STR(k, v)                                                                              \
 	{                                                                                          \
 		(k), LOG_TYPE_STR, (v), 0                                                          \
@@ -34,12 +34,13 @@
 	log_write((level), (event),                                                                \
 		  (const log_field_t[]){__VA_ARGS__, {NULL, LOG_TYPE_END, {0}, 0}})
 
-/** Sets the process name on each line and the level. Lines go to standard output, which is never
- * waited for: a line that it has no room for is lost and counted, and an event that has written its
- * lines of a second leaves out the rest, with one line that says how many. */
+/** Sets the process name on each line and the highest level written. Lines go to standard output,
+ * which never blocks the process: a line that does not fit is dropped and counted. Each event name
+ * has a limit of lines per second; lines over the limit are suppressed, and one line in a later
+ * second reports their number. */
 void log_open(const char *process, log_level_t level);
 void log_write(log_level_t level, const char *event, const log_field_t *fields);
-/** Appends the newest ring lines, oldest first, that hold needle; at most max. */
+/** Appends the newest ring lines that contain needle, oldest first; at most max. */
 void log_find(buf_t *out, str_t needle, unsigned max);
 
 #endif
--- a/src/base/metric.c
+++ b/src/base/metric.c
@@ -6,12 +6,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Each power of two is cut into SUB equal buckets: an error of at most 1/32. */
-#define SUB_BITS 5
-#define SUB	 (1 << SUB_BITS)
-#define BUCKETS	 (64 * SUB)
+/* Each power of two is split into SUB_BUCKETS equal buckets: a relative error of at most 1/32. */
+#define SUB_BITS    5
+#define SUB_BUCKETS (1 << SUB_BITS)
+#define BUCKETS	    (64 * SUB_BUCKETS)
 
-struct mx {
+struct metric {
 	metric_kind_t kind;
 	char *name;
 	char *label;
@@ -24,7 +24,7 @@
 static pthread_mutex_t registry_lock = PTHREAD_MUTEX_INITIALIZER;
 static metric_t *registry;
 
-static metric_t *find(metric_kind_t kind, const char *name, const char *label)
+static metric_t *find_metric(metric_kind_t kind, const char *name, const char *label)
 {
 	for (metric_t *m = registry; m; m = m->next) {
 		if (m->kind == kind && strcmp(m->name, name) == 0 && strcmp(m->label, label) == 0)
@@ -39,7 +39,7 @@
 
 	label = label ? label : "";
 	pthread_mutex_lock(&registry_lock);
-	m = find(kind, name, label);
+	m = find_metric(kind, name, label);
 	if (!m) {
 		m = mem_new(sizeof(*m));
 		m->kind = kind;
@@ -69,29 +69,30 @@
 	return atomic_load_explicit(&m->value, memory_order_relaxed);
 }
 
-static unsigned bucket_of(int64_t v)
+static unsigned bucket_index(int64_t v)
 {
-	unsigned top;
+	unsigned msb;
 
-	if (v < SUB)
+	if (v < SUB_BUCKETS)
 		return v < 0 ? 0 : (unsigned)v;
-	top = 63 - (unsigned)__builtin_clzll((unsigned long long)v);
-	return (top - SUB_BITS + 1) * SUB + (unsigned)((v >> (top - SUB_BITS)) & (SUB - 1));
+	msb = 63 - (unsigned)__builtin_clzll((unsigned long long)v);
+	return (msb - SUB_BITS + 1) * SUB_BUCKETS +
+	       (unsigned)((v >> (msb - SUB_BITS)) & (SUB_BUCKETS - 1));
 }
 
-static int64_t bucket_value(unsigned b)
+static int64_t bucket_middle(unsigned b)
 {
 	unsigned shift;
 
-	if (b < SUB)
+	if (b < SUB_BUCKETS)
 		return b;
-	shift = b / SUB - 1;
-	return ((int64_t)(SUB + b % SUB) << shift) + ((1LL << shift) >> 1);
+	shift = b / SUB_BUCKETS - 1;
+	return ((int64_t)(SUB_BUCKETS + b % SUB_BUCKETS) << shift) + ((1LL << shift) >> 1);
 }
 
 void metric_record(metric_t *m, int64_t v)
 {
-	atomic_fetch_add_explicit(&m->buckets[bucket_of(v)], 1, memory_order_relaxed);
+	atomic_fetch_add_explicit(&m->buckets[bucket_index(v)], 1, memory_order_relaxed);
 	atomic_fetch_add_explicit(&m->count, 1, memory_order_relaxed);
 	metric_add(m, v);
 }
@@ -99,22 +100,22 @@
 int64_t metric_quantile(const metric_t *m, double q)
 {
 	int64_t total = atomic_load_explicit(&m->count, memory_order_relaxed);
-	int64_t want = (int64_t)(q * (double)total);
+	int64_t rank = (int64_t)(q * (double)total);
 	int64_t seen = 0;
 
 	if (total == 0)
 		return 0;
-	if (want >= total)
-		want = total - 1;
+	if (rank >= total)
+		rank = total - 1;
 	for (unsigned b = 0; b < BUCKETS; b++) {
 		seen += atomic_load_explicit(&m->buckets[b], memory_order_relaxed);
-		if (seen > want)
-			return bucket_value(b);
+		if (seen > rank)
+			return bucket_middle(b);
 	}
 	return 0;
 }
 
-static void render_one(buf_t *out, const metric_t *m)
+static void render_metric(buf_t *out, const metric_t *m)
 {
 	static const double quantiles[] = {0.5, 0.95, 0.99};
 	const char *sep = m->label[0] ? "," : "";
@@ -143,6 +144,6 @@
 	pthread_mutex_unlock(&registry_lock);
 	for (const metric_t *m = first; m; m = m->next) {
 		buf_addf(out, "# TYPE %s %s\n", m->name, types[m->kind]);
-		render_one(out, m);
+		render_metric(out, m);
 	}
 }
--- a/src/base/rpc.c
+++ b/src/base/rpc.c
@@ -16,15 +16,15 @@
 #include <unistd.h>
 #include "base/log.h"
 
-/* Largest record taken from a peer; also keeps a peer that stops in the middle of one from
- * stalling the reader, see docs/DESIGN.md. */
+/* Largest record accepted from a peer. With this limit set, a peer that stops in the middle of a
+ * record does not stall the reader either, see docs/DESIGN.md. */
 #define RECORD_MAX_BYTES   (64 << 20)
 #define CONNECT_MAX_MS	   1000
 #define THREAD_STACK_BYTES (512 << 10)
 #define PROGRAMS_MAX	   4
 #define LISTEN_BACKLOG	   1024
 #define ROUTES_MAX	   64
-/* A peer that is silent in the middle of a record for longer is dropped. */
+/* A connection whose peer stalls for longer in the middle of a record is dropped. */
 #define RECORD_IDLE_MS 10000
 
 typedef struct {
@@ -41,11 +41,11 @@
 static pthread_mutex_t servers_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_once_t once = PTHREAD_ONCE_INIT;
 
-/* A connection's state, found from its thread by the destroy hook. */
+/* A served connection; the destroy hook finds it through its thread's this_conn. */
 typedef struct {
 	server_t *server;
 	int fd;
-	bool dead;
+	bool destroyed;
 	struct xp_ops ops;
 	void (*destroy)(SVCXPRT *);
 } conn_t;
@@ -82,7 +82,7 @@
 			   toml_line(toml_root(c), key), key, addr);
 }
 
-static status_t to_sockaddr(const char *addr, struct sockaddr_in *sa)
+static status_t parse_sockaddr(const char *addr, struct sockaddr_in *sa)
 {
 	char ip[64];
 	unsigned port = 0;
@@ -111,14 +111,14 @@
 	struct sockaddr_in sa;
 
 	if (nroutes == ROUTES_MAX)
-		return status_fail(STATUS_LIMIT, "more than %d routes", ROUTES_MAX);
-	if (to_sockaddr(addr, &sa) != STATUS_OK || to_sockaddr(via, &sa) != STATUS_OK)
+		return status_fail(STATUS_LIMIT, "more than %d address routes", ROUTES_MAX);
+	if (parse_sockaddr(addr, &sa) != STATUS_OK || parse_sockaddr(via, &sa) != STATUS_OK)
 		return STATUS_INVALID;
 	routes[nroutes++] = (route_t){str_dup(str_c(addr)), str_dup(str_c(via))};
 	return STATUS_OK;
 }
 
-static const char *route_of(const char *addr)
+static const char *find_route(const char *addr)
 {
 	for (size_t i = 0; i < nroutes; i++) {
 		if (strcmp(routes[i].addr, addr) == 0)
@@ -127,7 +127,7 @@
 	return addr;
 }
 
-static void set_options(int fd)
+static void set_socket_options(int fd)
 {
 	int one = 1;
 
@@ -137,7 +137,7 @@
 
 /* ---- server ---- */
 
-static const rpc_proc_t *find_proc(const rpc_proc_t *p, unsigned proc)
+static const rpc_proc_t *find_procedure(const rpc_proc_t *p, unsigned proc)
 {
 	for (; p->handle; p++) {
 		if (p->proc == proc)
@@ -146,7 +146,7 @@
 	return NULL;
 }
 
-static void dispatch(struct svc_req *req, SVCXPRT *xprt)
+static void handle_request(struct svc_req *req, SVCXPRT *xprt)
 {
 	const rpc_proc_t *p;
 	void *arg;
@@ -157,7 +157,7 @@
 		return;
 	}
 	assert(this_conn);
-	p = find_proc(this_conn->server->o.procs, req->rq_proc);
+	p = find_procedure(this_conn->server->o.procs, req->rq_proc);
 	if (!p) {
 		svcerr_noproc(xprt);
 		return;
@@ -177,11 +177,12 @@
 	free(res);
 }
 
+/* Replaces xp_destroy: libtirpc destroys the transport when its connection is broken. */
 static void on_destroy(SVCXPRT *xprt)
 {
 	conn_t *c = this_conn;
 
-	c->dead = true;
+	c->destroyed = true;
 	c->destroy(xprt);
 }
 
@@ -201,13 +202,13 @@
 	c->destroy = c->ops.xp_destroy;
 	c->ops.xp_destroy = on_destroy;
 	xprt->xp_ops = &c->ops;
-	while (!c->dead) {
+	while (!c->destroyed) {
 		if (poll(&pf, 1, -1) < 0 && errno != EINTR)
 			break;
 		if (pf.revents)
 			svc_getreq_common(c->fd);
 	}
-	if (!c->dead)
+	if (!c->destroyed)
 		svc_destroy(xprt);
 	free(c);
 	return NULL;
@@ -220,7 +221,7 @@
 	pthread_attr_t attr;
 	pthread_t t;
 
-	set_options(fd);
+	set_socket_options(fd);
 	setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &idle, sizeof(idle));
 	c->server = s;
 	c->fd = fd;
@@ -229,7 +230,7 @@
 	pthread_attr_setstacksize(&attr, THREAD_STACK_BYTES);
 	if (pthread_create(&t, &attr, serve_conn, c) != 0) {
 		log_event(LOG_LEVEL_WARN, "rpc_connection_refused",
-			  LOG_CSTR("reason", "no thread"));
+			  LOG_CSTR("reason", "cannot create a thread"));
 		close(fd);
 		free(c);
 	}
@@ -251,12 +252,12 @@
 	return NULL;
 }
 
-static void init_once(void)
+static void init_library(void)
 {
 	int max = RECORD_MAX_BYTES;
 
 	rpc_control(RPC_SVC_CONNMAXREC_SET, &max);
-	/* Its first call is not safe in several threads at once. */
+	/* authnone_create is not thread-safe on its first call. */
 	authnone_create();
 }
 
@@ -275,33 +276,33 @@
 	return st;
 }
 
-/* svc_reg wants a transport; a socket that is never served stands in for it. */
+/* svc_reg needs a transport, so it gets a socket that is never served. */
 static bool register_program(const rpc_server_options_t *o)
 {
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	SVCXPRT *xprt = fd < 0 ? NULL : svc_vc_create(fd, 0, 0);
 
-	return xprt && svc_reg(xprt, o->prog, o->vers, dispatch, NULL);
+	return xprt && svc_reg(xprt, o->prog, o->vers, handle_request, NULL);
 }
 
 status_t rpc_serve(const rpc_server_options_t *o)
 {
 	struct sockaddr_in sa;
-	status_t st = to_sockaddr(o->addr, &sa);
+	status_t st = parse_sockaddr(o->addr, &sa);
 	server_t *s;
 	pthread_t t;
 	int one = 1;
 
 	if (st != STATUS_OK)
 		return st;
-	pthread_once(&once, init_once);
+	pthread_once(&once, init_library);
 	s = mem_new(sizeof(*s));
 	s->o = *o;
 	s->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	setsockopt(s->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (s->fd < 0 || bind(s->fd, (struct sockaddr *)&sa, sizeof(sa)) != 0 ||
 	    listen(s->fd, LISTEN_BACKLOG) != 0) {
-		st = status_fail(STATUS_IO, "can't listen on %s: %s", o->addr, strerror(errno));
+		st = status_fail(STATUS_IO, "cannot listen on %s: %s", o->addr, strerror(errno));
 		if (s->fd >= 0)
 			close(s->fd);
 		free(s);
@@ -309,9 +310,9 @@
 	}
 	st = register_server(s);
 	if (st == STATUS_OK && !register_program(o))
-		st = status_fail(STATUS_IO, "can't register RPC program %u", o->prog);
+		st = status_fail(STATUS_IO, "cannot register RPC program %u", o->prog);
 	if (st == STATUS_OK && pthread_create(&t, NULL, accept_loop, s) != 0)
-		st = status_fail(STATUS_IO, "can't start the RPC listener");
+		st = status_fail(STATUS_IO, "cannot create the thread of the RPC listener");
 	return st;
 }
 
@@ -330,7 +331,7 @@
 {
 	rpc_client_t *c = mem_new(sizeof(*c));
 
-	pthread_once(&once, init_once);
+	pthread_once(&once, init_library);
 	pthread_mutex_init(&c->lock, NULL);
 	c->addr = str_dup(str_c(addr));
 	c->prog = prog;
@@ -382,9 +383,9 @@
 		close(fd);
 		return -1;
 	}
-	/* The RPC library's record layer wants a blocking socket. */
+	/* libtirpc's record layer needs a blocking socket. */
 	ioctl(fd, FIONBIO, &flags);
-	set_options(fd);
+	set_socket_options(fd);
 	return fd;
 }
 
@@ -394,7 +395,7 @@
 	struct netbuf nb = {sizeof(sa), sizeof(sa), &sa};
 	int64_t left = clock_left_ms(deadline);
 	struct timeval send_limit;
-	status_t st = to_sockaddr(route_of(c->addr), &sa);
+	status_t st = parse_sockaddr(find_route(c->addr), &sa);
 
 	if (st != STATUS_OK)
 		return st;
@@ -402,13 +403,14 @@
 		left = CONNECT_MAX_MS;
 	c->fd = connect_fd(&sa, left);
 	if (c->fd < 0)
-		return status_fail(STATUS_UNAVAILABLE, "can't connect to %s", c->addr);
+		return status_fail(STATUS_UNAVAILABLE, "cannot connect to %s", c->addr);
 	send_limit = (struct timeval){RECORD_IDLE_MS / 1000, 0};
 	setsockopt(c->fd, SOL_SOCKET, SO_SNDTIMEO, &send_limit, sizeof(send_limit));
 	c->clnt = clnt_vc_create(c->fd, &nb, c->prog, c->vers, 0, 0);
 	if (!c->clnt) {
 		disconnect(c);
-		return status_fail(STATUS_UNAVAILABLE, "can't set up RPC to %s", c->addr);
+		return status_fail(STATUS_UNAVAILABLE, "cannot create the RPC client for %s",
+				   c->addr);
 	}
 	return STATUS_OK;
 }
@@ -422,7 +424,8 @@
 
 	assert(c->clnt);
 	if (left == 0)
-		return status_fail(STATUS_UNAVAILABLE, "no time left to call %s", c->addr);
+		return status_fail(STATUS_UNAVAILABLE, "deadline passed before the call to %s",
+				   c->addr);
 	cs = clnt_call(c->clnt, proc, xdr_arg, (caddr_t)arg, xdr_res, (caddr_t)res, tv);
 	if (cs == RPC_SUCCESS)
 		return STATUS_OK;
@@ -430,8 +433,9 @@
 	return status_fail(STATUS_TIMEOUT, "call to %s: %s", c->addr, clnt_sperrno(cs));
 }
 
-/* An idle connection that the peer closed must not cost a call its verdict. */
-static bool is_stale(int fd)
+/* An idle connection with input was closed by the peer. A call on it would end as "may have run"
+ * although the server has not received it. */
+static bool has_input(int fd)
 {
 	struct pollfd pf = {fd, POLLIN, 0};
 
@@ -444,7 +448,7 @@
 	status_t st = STATUS_OK;
 
 	pthread_mutex_lock(&c->lock);
-	if (c->clnt && is_stale(c->fd))
+	if (c->clnt && has_input(c->fd))
 		disconnect(c);
 	if (!c->clnt)
 		st = connect_client(c, deadline);
--- a/src/base/rpc.h
+++ b/src/base/rpc.h
@@ -1,5 +1,5 @@
-/** ONC RPC over TCP on own sockets: a thread for each connection served, one connection a client.
- */
+/** ONC RPC over TCP on sockets of this module: a server runs one thread per connection, a client
+ * holds one connection. */
 #ifndef AUBURN_RPC_H
 #define AUBURN_RPC_H
 
@@ -9,7 +9,8 @@
 #include "base/status.h"
 #include "base/str.h"
 
-/** One procedure: decoded argument in, result filled by the handler and freed after the reply. */
+/** One procedure. The server decodes the argument, the handler fills the result, and the server
+ * frees both after the reply. */
 typedef struct {
 	unsigned proc;
 	xdrproc_t xdr_arg;
@@ -23,34 +24,35 @@
 	const char *addr; /* ip:port */
 	unsigned prog;
 	unsigned vers;
-	const rpc_proc_t *procs; /* ends with a zero handle */
+	const rpc_proc_t *procs; /* the last one has a NULL handle */
 	void *ctx;
 } rpc_server_options_t;
 
-/** Listens and serves until the process ends; one call for each program. STATUS_IO: can't listen.
- */
+/** Starts to listen and returns; connections are served until the process exits. Called once for
+ * each program. STATUS_IO: cannot listen. */
 status_t rpc_serve(const rpc_server_options_t *o);
 
-/** The empty argument or result. */
+/** Codes an empty argument or result. */
 bool_t rpc_xdr_void(XDR *x, ...);
 
 typedef struct rpc_client rpc_client_t;
 
 rpc_client_t *rpc_client_new(const char *addr, unsigned prog, unsigned vers);
 void rpc_client_free(rpc_client_t *c);
-/** Calls, connecting first if need be; callers of one client take turns.
- *  STATUS_UNAVAILABLE: surely not received. STATUS_TIMEOUT: may have been done. */
+/** Calls a procedure, connecting first if need be; concurrent calls of one client are serialised.
+ *  STATUS_UNAVAILABLE: the server has not received the call. STATUS_TIMEOUT: it may have run it. */
 status_t rpc_client_call(rpc_client_t *c, unsigned proc, xdrproc_t xdr_arg, const void *arg,
 			 xdrproc_t xdr_res, void *res, deadline_t deadline);
 
-/** Later connections to addr go to `via` instead; for networks where an address is reached another
- * way. Call before the first connection. */
+/** Later connections to addr are made to `via` instead, for networks where the address is reached
+ * through another one. Call before the first connection. */
 status_t rpc_add_route(const char *addr, const char *via);
 
-/** Checks that a setting is "ip:port"; STATUS_INVALID with "file:line: key: what". */
+/** Checks that the value of a setting is "ip:port"; STATUS_INVALID with "file:line: key: reason".
+ */
 status_t rpc_check_addr(const toml_doc_t *c, const char *key, const char *addr);
 
-/** Splits "ip:port", an IPv4 address by its number. */
+/** Splits "ip:port", a numeric IPv4 address and a port above 0. */
 status_t rpc_parse_addr(const char *addr, char ip[64], unsigned *port);
 
 #endif
--- a/src/base/str.h
+++ b/src/base/str.h
@@ -1,17 +1,18 @@
-/** Length-counted strings: borrowed views (str_t) and owned, growing buffers (buf_t). */
+/** Length-counted strings: borrowed views (str_t) and owned, growing buffers (buf_t); allocation.
+ */
 #ifndef AUBURN_STR_H
 #define AUBURN_STR_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/** A borrowed run of bytes; not terminated, may hold zero bytes. */
+/** A borrowed view of bytes; not zero-terminated, may contain zero bytes. */
 typedef struct {
 	const char *p;
 	size_t n;
 } str_t;
 
-/** An owned buffer. p[n] is always 0 once something was added. Starts as {0}. */
+/** An owned buffer, initialised with {0}. p[n] is 0 once something was added. */
 typedef struct {
 	char *p;
 	size_t n;
@@ -29,30 +30,29 @@
 bool str_starts(str_t s, str_t prefix);
 /** Offset of needle in s, or -1. */
 long str_find(str_t s, str_t needle);
-/** Compares without an early exit, for secrets. */
+/** Compares strings of equal length in constant time, for secrets. */
 bool str_eq_secret(str_t a, str_t b);
-/** A terminated copy that the caller frees. */
+/** A zero-terminated copy that the caller frees. */
 char *str_dup(str_t s);
 /** 64-bit hash of the bytes. */
 unsigned long long str_hash(str_t s);
 
 void buf_add(buf_t *b, str_t s);
-/** Makes room for this many more bytes, exactly, before a large buffer is filled piece by piece. */
+/** Allocates exactly this many more bytes, before a large buffer is filled piece by piece. */
 void buf_reserve_exact(buf_t *b, size_t more);
 void buf_addc(buf_t *b, char c);
 void buf_addf(buf_t *b, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-/** Adds a JSON string with its quotes. */
+/** Appends s as a JSON string with its quotes. */
 void buf_add_json(buf_t *b, str_t s);
-/** Drops the first n bytes. */
 void buf_drop_front(buf_t *b, size_t n);
 void buf_free(buf_t *b);
 
 void str_cleanup_free(void *pp);
-/** Clean-up attributes. */
+/** Free the variable at the end of its scope. */
 #define AUTO_BUF  __attribute__((cleanup(buf_free))) buf_t
 #define AUTO_FREE __attribute__((cleanup(str_cleanup_free)))
 
-/** malloc and friends that end the program when memory is out. */
+/** Zeroed allocation, and realloc; both abort the program when out of memory. */
 void *mem_new(size_t n);
 void *mem_grow(void *p, size_t n);
 
--- a/src/base/toml.cpp
+++ b/src/base/toml.cpp
@@ -1,7 +1,7 @@
-// TOML documents by toml++; the one C++ file, behind the C interface of toml_doc.h.
+// TOML documents by toml++; the only C++ file, behind the C interface of toml.h.
 #define TOML_EXCEPTIONS 0
-// The parser asserts on what its input holds, as in "[[[", and would end the process; without the
-// assertions it reports an error there.
+// toml++ has assertions that bad input can trigger, such as "[[[", and that would abort the
+// process. Without them it reports a parse error.
 #define TOML_ASSERT(expr) static_cast<void>(0)
 #include <toml++/toml.h>
 
@@ -20,17 +20,17 @@
 	toml::table root;
 };
 
-static const toml_table_t *as_c(const toml::table *t)
+static const toml_table_t *to_c(const toml::table *t)
 {
 	return reinterpret_cast<const toml_table_t *>(t);
 }
 
-static const toml::table *as_toml(const toml_table_t *t)
+static const toml::table *to_toml(const toml_table_t *t)
 {
 	return reinterpret_cast<const toml::table *>(t);
 }
 
-static unsigned line_of(const toml::node &n)
+static unsigned line_number(const toml::node &n)
 {
 	return n.source().begin.line;
 }
@@ -40,9 +40,9 @@
 	*out = nullptr;
 	toml::parse_result r = toml::parse(std::string_view(text.p, text.n));
 	if (!r) {
-		std::string what(r.error().description());
-		return status_fail(STATUS_INVALID, "%s:%u: syntax: %s", name, (unsigned)r.error().source().begin.line,
-			       what.c_str());
+		std::string reason(r.error().description());
+		return status_fail(STATUS_INVALID, "%s:%u: syntax: %s", name,
+				   (unsigned)r.error().source().begin.line, reason.c_str());
 	}
 	toml_doc *c = new toml_doc;
 	c->name = name;
@@ -75,7 +75,7 @@
 
 extern "C" const toml_table_t *toml_root(const toml_doc_t *c)
 {
-	return as_c(&c->root);
+	return to_c(&c->root);
 }
 
 extern "C" const char *toml_name(const toml_doc_t *c)
@@ -91,36 +91,39 @@
 	*s = toml_strs_t{nullptr, 0};
 }
 
-static char *copy(const std::string &s)
+static char *dup_string(const std::string &s)
 {
 	return str_dup(str_t{s.data(), s.size()});
 }
 
-static status_t wrong(const toml_doc_t *c, const toml::node &n, const char *key, const char *what)
+static status_t fail_key(const toml_doc_t *c, const toml::node &n, const char *key,
+			 const char *reason)
 {
-	return status_fail(STATUS_INVALID, "%s:%u: %s: %s", c->name.c_str(), line_of(n), key, what);
+	return status_fail(STATUS_INVALID, "%s:%u: %s: %s", c->name.c_str(), line_number(n), key,
+			   reason);
 }
 
-static status_t out_of_bounds(const toml_doc_t *c, const toml::node &n, const toml_key_t &k, const char *what)
+static status_t fail_bounds(const toml_doc_t *c, const toml::node &n, const toml_key_t &k,
+			    const char *subject)
 {
-	return status_fail(STATUS_INVALID, "%s:%u: %s: %s must be %lld to %lld", c->name.c_str(), line_of(n), k.key,
-		       what, (long long)k.min, (long long)k.max);
+	return status_fail(STATUS_INVALID, "%s:%u: %s: %s must be %lld to %lld", c->name.c_str(),
+			   line_number(n), k.key, subject, (long long)k.min, (long long)k.max);
 }
 
 static status_t read_strs(const toml_doc_t *c, const toml::node &n, const toml_key_t &k)
 {
 	const toml::array *a = n.as_array();
 	if (!a)
-		return wrong(c, n, k.key, "must be an array of strings");
+		return fail_key(c, n, k.key, "must be an array of strings");
 	if ((int64_t)a->size() < k.min || (int64_t)a->size() > k.max)
-		return out_of_bounds(c, n, k, "its size");
+		return fail_bounds(c, n, k, "its size");
 	toml_strs_t s = {(char **)mem_new((a->size() + 1) * sizeof(char *)), 0};
 	for (const toml::node &e : *a) {
 		if (!e.is_string()) {
 			toml_strs_free(&s);
-			return wrong(c, e, k.key, "must be an array of strings");
+			return fail_key(c, e, k.key, "must be an array of strings");
 		}
-		s.v[s.n++] = copy(e.as_string()->get());
+		s.v[s.n++] = dup_string(e.as_string()->get());
 	}
 	toml_strs_free((toml_strs_t *)k.out);
 	*(toml_strs_t *)k.out = s;
@@ -130,23 +133,23 @@
 static status_t read_str(const toml_doc_t *c, const toml::node &n, const toml_key_t &k)
 {
 	if (!n.is_string())
-		return wrong(c, n, k.key, "must be a string");
+		return fail_key(c, n, k.key, "must be a string");
 	const std::string &s = n.as_string()->get();
 	if ((int64_t)s.size() < k.min || (int64_t)s.size() > k.max)
-		return out_of_bounds(c, n, k, "its length");
+		return fail_bounds(c, n, k, "its length");
 	char **out = (char **)k.out;
 	free(*out);
-	*out = copy(s);
+	*out = dup_string(s);
 	return STATUS_OK;
 }
 
 static status_t read_real(const toml_doc_t *c, const toml::node &n, const toml_key_t &k)
 {
 	if (!n.is_number())
-		return wrong(c, n, k.key, "must be a number");
+		return fail_key(c, n, k.key, "must be a number");
 	double v = n.is_integer() ? (double)n.as_integer()->get() : n.as_floating_point()->get();
 	if (!(v >= (double)k.min && v <= (double)k.max))
-		return out_of_bounds(c, n, k, "it");
+		return fail_bounds(c, n, k, "it");
 	*(double *)k.out = v;
 	return STATUS_OK;
 }
@@ -162,21 +165,21 @@
 		return read_real(c, n, k);
 	case toml_key_t::TOML_BOOL:
 		if (!n.is_boolean())
-			return wrong(c, n, k.key, "must be true or false");
+			return fail_key(c, n, k.key, "must be true or false");
 		*(bool *)k.out = n.as_boolean()->get();
 		return STATUS_OK;
 	case toml_key_t::TOML_INT:
 		if (!n.is_integer())
-			return wrong(c, n, k.key, "must be a whole number");
+			return fail_key(c, n, k.key, "must be a whole number");
 		if (n.as_integer()->get() < k.min || n.as_integer()->get() > k.max)
-			return out_of_bounds(c, n, k, "it");
+			return fail_bounds(c, n, k, "it");
 		*(int64_t *)k.out = n.as_integer()->get();
 		return STATUS_OK;
 	}
 	return STATUS_OK;
 }
 
-static bool is_known(const char *key, const toml_key_t *keys, const char *const *sub)
+static bool in_schema(const char *key, const toml_key_t *keys, const char *const *sub)
 {
 	for (; keys->key; keys++)
 		if (strcmp(key, keys->key) == 0)
@@ -187,24 +190,25 @@
 	return false;
 }
 
-extern "C" status_t toml_read(const toml_doc_t *c, const toml_table_t *t, const toml_key_t *keys, const char *const *sub)
+extern "C" status_t toml_read(const toml_doc_t *c, const toml_table_t *t, const toml_key_t *keys,
+			      const char *const *sub)
 {
-	const toml::table &table = *as_toml(t);
+	const toml::table &table = *to_toml(t);
 	for (auto &&[key, node] : table) {
 		std::string name(key.str());
-		if (!is_known(name.c_str(), keys, sub))
-			return wrong(c, node, name.c_str(), "unknown key");
+		if (!in_schema(name.c_str(), keys, sub))
+			return fail_key(c, node, name.c_str(), "unknown key");
 	}
 	for (const char *const *s = sub; s && *s; s++) {
 		const toml::node *n = table.get(*s);
 		if (n && !n->is_array_of_tables() && !n->is_table())
-			return wrong(c, *n, *s, "must be a table");
+			return fail_key(c, *n, *s, "must be a table");
 	}
 	for (; keys->key; keys++) {
 		const toml::node *n = table.get(keys->key);
 		if (!n && keys->required)
-			return status_fail(STATUS_INVALID, "%s:%u: %s: missing", c->name.c_str(), line_of(table),
-				       keys->key);
+			return status_fail(STATUS_INVALID, "%s:%u: %s: missing", c->name.c_str(),
+					   line_number(table), keys->key);
 		if (!n)
 			continue;
 		status_t st = read_key(c, *n, *keys);
@@ -214,32 +218,32 @@
 	return STATUS_OK;
 }
 
-static const toml::array *tables_of(const toml_table_t *t, const char *key)
+static const toml::array *find_table_array(const toml_table_t *t, const char *key)
 {
-	const toml::node *n = as_toml(t)->get(key);
+	const toml::node *n = to_toml(t)->get(key);
 	return n && n->is_array_of_tables() ? n->as_array() : nullptr;
 }
 
 extern "C" size_t toml_table_count(const toml_table_t *t, const char *key)
 {
-	const toml::node *n = as_toml(t)->get(key);
+	const toml::node *n = to_toml(t)->get(key);
 	if (n && n->is_table())
 		return 1;
-	const toml::array *a = tables_of(t, key);
+	const toml::array *a = find_table_array(t, key);
 	return a ? a->size() : 0;
 }
 
 extern "C" const toml_table_t *toml_table_at(const toml_table_t *t, const char *key, size_t i)
 {
-	const toml::node *n = as_toml(t)->get(key);
+	const toml::node *n = to_toml(t)->get(key);
 	if (n && n->is_table())
-		return as_c(n->as_table());
-	const toml::array *a = tables_of(t, key);
-	return a && i < a->size() ? as_c(a->get(i)->as_table()) : nullptr;
+		return to_c(n->as_table());
+	const toml::array *a = find_table_array(t, key);
+	return a && i < a->size() ? to_c(a->get(i)->as_table()) : nullptr;
 }
 
 extern "C" int toml_line(const toml_table_t *t, const char *key)
 {
-	const toml::node *n = key ? as_toml(t)->get(key) : nullptr;
-	return (int)line_of(n ? *n : *static_cast<const toml::node *>(as_toml(t)));
+	const toml::node *n = key ? to_toml(t)->get(key) : nullptr;
+	return (int)line_number(n ? *n : *static_cast<const toml::node *>(to_toml(t)));
 }
--- a/src/base/toml.h
+++ b/src/base/toml.h
@@ -1,4 +1,4 @@
-/** TOML documents: settings files and the operators' text. */
+/** TOML documents: settings files and the operators' config. */
 #ifndef AUBURN_TOML_H
 #define AUBURN_TOML_H
 
@@ -8,11 +8,11 @@
 #include "base/str.h"
 
 typedef struct toml_doc toml_doc_t; /* a parsed document */
-typedef struct toml_table toml_table_t; /* a table inside it; lives as long as the document */
+typedef struct toml_table toml_table_t; /* a table in a document; valid as long as the document */
 
-/** Parses text; name is used in messages ("name:line: ..."). STATUS_INVALID with a message. */
+/** Parses text. Messages begin with "name:line: ". STATUS_INVALID: syntax error. */
 status_t toml_parse(str_t text, const char *name, toml_doc_t **out);
-/** Reads and parses a file. */
+/** Reads and parses a file. STATUS_NOT_FOUND: cannot be opened. */
 status_t toml_load(const char *path, toml_doc_t **out);
 void toml_free(toml_doc_t *c);
 void toml_cleanup(toml_doc_t **c);
@@ -20,14 +20,15 @@
 
 const toml_table_t *toml_root(const toml_doc_t *c);
 
-/** One key that a table may hold. */
+/** Schema of one key of a table. */
 typedef struct {
 	const char *key;
 	enum { TOML_STR, TOML_INT, TOML_REAL, TOML_BOOL, TOML_STRS } type;
 	bool required;
-	int64_t min, max; /* TOML_INT and TOML_REAL (whole numbers); TOML_STR: length */
-	void *out; /* char** (malloc), int64_t*, double*, bool*, toml_strs_t*; keeps its value when
-		      absent */
+	/* bounds of the value (TOML_INT, TOML_REAL), length (TOML_STR) or count (TOML_STRS) */
+	int64_t min, max;
+	/* char ** (malloc), int64_t *, double *, bool * or toml_strs_t *; unchanged if absent */
+	void *out;
 } toml_key_t;
 
 typedef struct {
@@ -36,17 +37,17 @@
 } toml_strs_t;
 void toml_strs_free(toml_strs_t *s);
 
-/** Reads a table by its description, which ends with a NULL key. Unknown keys, wrong types, missing
- *  and out-of-bounds values give STATUS_INVALID and "name:line: key: what is wrong".
- *  Sub-tables and arrays of tables named in `sub` (NULL-ended, may be NULL) are passed over. */
+/** Reads a table by the schema in keys, which ends with a NULL key. An unknown key, a wrong type, a
+ *  missing required key or a value out of bounds gives STATUS_INVALID and "name:line: key: reason".
+ *  Sub-tables and arrays of tables named in `sub` (NULL-terminated, may be NULL) are skipped. */
 status_t toml_read(const toml_doc_t *c, const toml_table_t *t, const toml_key_t *keys,
 		   const char *const *sub);
-/** Number of tables in the array of tables `key`; 0 when absent. */
+/** Number of tables in the array of tables `key`; 1 for a single table, 0 if absent. */
 size_t toml_table_count(const toml_table_t *t, const char *key);
 const toml_table_t *toml_table_at(const toml_table_t *t, const char *key, size_t i);
-/** Line of the table, or of a key in it. */
+/** Line number of the key, or of the table if key is NULL or absent. */
 int toml_line(const toml_table_t *t, const char *key);
-/** Name given to toml_parse. */
+/** The name passed to toml_parse. */
 const char *toml_name(const toml_doc_t *c);
 
 #endif
--- a/src/base/trace.c
+++ b/src/base/trace.c
@@ -6,10 +6,10 @@
 #include "base/clock.h"
 #include "base/log.h"
 
-/* "00-" trace "-" span "-01" */
+/* Layout of the header: "00-" trace "-" span "-01". */
 #define TRACEPARENT_LEN 55
-#define TRACE_AT	3
-#define SPAN_AT		36
+#define TRACE_OFFSET	3
+#define SPAN_OFFSET	36
 
 static bool is_hex(str_t s)
 {
@@ -30,21 +30,21 @@
 	sodium_bin2hex(out, bytes * 2 + 1, raw, bytes);
 }
 
-static bool parse_parent(trace_span_t *sp, str_t tp)
+static bool parse_traceparent(trace_span_t *sp, str_t tp)
 {
 	if (tp.n != TRACEPARENT_LEN || tp.p[2] != '-' || tp.p[35] != '-' || tp.p[52] != '-')
 		return false;
-	if (!is_hex((str_t){tp.p + TRACE_AT, 32}) || !is_hex((str_t){tp.p + SPAN_AT, 16}))
+	if (!is_hex((str_t){tp.p + TRACE_OFFSET, 32}) || !is_hex((str_t){tp.p + SPAN_OFFSET, 16}))
 		return false;
-	memcpy(sp->trace, tp.p + TRACE_AT, 32);
-	memcpy(sp->parent, tp.p + SPAN_AT, 16);
+	memcpy(sp->trace, tp.p + TRACE_OFFSET, 32);
+	memcpy(sp->parent, tp.p + SPAN_OFFSET, 16);
 	return true;
 }
 
 void trace_begin(trace_span_t *sp, const char *name, str_t traceparent)
 {
 	memset(sp, 0, sizeof(*sp));
-	if (!parse_parent(sp, traceparent))
+	if (!parse_traceparent(sp, traceparent))
 		random_hex(sp->trace, 16);
 	random_hex(sp->span, 8);
 	sp->name = name;
