--- a/src/net/http.c
+++ b/src/net/http.c
@@ -3,12 +3,13 @@
 #include <string.h>
 #include <strings.h>
 
-static str_t span(const http_reader_t *p, size_t at, size_t n)
+static str_t head_view(const http_reader_t *p, size_t at, size_t n)
 {
 	return (str_t){p->text.p ? p->text.p + at : "", n};
 }
 
-static bool take(http_reader_t *p, const char *at, size_t n)
+/* False, with too_large set, if the head exceeds its limit. */
+static bool append_head(http_reader_t *p, const char *at, size_t n)
 {
 	if (p->text.n + n > p->o.max_header_bytes) {
 		p->too_large = true;
@@ -35,7 +36,7 @@
 	http_reader_t *p = hp->data;
 
 	p->target_n += n;
-	return take(p, at, n) ? 0 : 1;
+	return append_head(p, at, n) ? 0 : 1;
 }
 
 static int on_field(http_parser *hp, const char *at, size_t n)
@@ -56,7 +57,7 @@
 	}
 	s = &p->spans[p->nspans - 1];
 	s->name_n += n;
-	return take(p, at, n) ? 0 : 1;
+	return append_head(p, at, n) ? 0 : 1;
 }
 
 static int on_value(http_parser *hp, const char *at, size_t n)
@@ -71,7 +72,7 @@
 		s->value = p->text.n;
 	p->in_value = true;
 	s->value_n += n;
-	return take(p, at, n) ? 0 : 1;
+	return append_head(p, at, n) ? 0 : 1;
 }
 
 static int on_head(http_parser *hp)
@@ -81,11 +82,11 @@
 	for (size_t i = 0; i < p->nspans; i++) {
 		const http_span_t *s = &p->spans[i];
 
-		p->headers[i] =
-			(http_header_t){span(p, s->name, s->name_n), span(p, s->value, s->value_n)};
+		p->headers[i] = (http_header_t){head_view(p, s->name, s->name_n),
+						head_view(p, s->value, s->value_n)};
 	}
 	p->head = (http_head_t){
-		.target = span(p, 0, p->target_n),
+		.target = head_view(p, 0, p->target_n),
 		.status = (int)hp->status_code,
 		.headers = p->headers,
 		.nheaders = p->nspans,
@@ -145,12 +146,13 @@
 	*used = http_parser_execute(&p->parser, &parser_settings, in.p, in.n);
 	err = HTTP_PARSER_ERRNO(&p->parser);
 	if (p->too_large || err == HPE_HEADER_OVERFLOW)
-		return status_fail(STATUS_LIMIT, "head of more than %zu bytes",
+		return status_fail(STATUS_LIMIT, "HTTP head longer than %zu bytes",
 				   p->o.max_header_bytes);
 	if (p->parser.upgrade)
-		return status_fail(STATUS_INVALID, "upgrades aren't served");
+		return status_fail(STATUS_INVALID, "HTTP upgrade is not supported");
 	if (err != HPE_OK && err != HPE_PAUSED)
-		return status_fail(STATUS_INVALID, "not HTTP: %s", http_errno_description(err));
+		return status_fail(STATUS_INVALID, "malformed HTTP: %s",
+				   http_errno_description(err));
 	return STATUS_OK;
 }
 
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -13,14 +13,14 @@
 
 #define READ_BYTES	 16384
 #define MAX_HEADER_BYTES 65536
-/** A kept connection isn't used again after this, in ms, unless the server states a shorter time;
+/** An idle connection is not reused after this, in ms, unless the server states a shorter time;
  * under the usual idle timeouts of servers. */
 #define IDLE_MS 4000
-/** Part of the server's stated time after which the connection isn't used again: it may be closing
- * it just then. */
-#define IDLE_SHARE_PERCENT 60
-#define IDLE_MAX	   16
-/** Interim heads before an answer; servers send one or two. */
+/** Share of the server's stated idle timeout after which a connection is not reused: the server may
+ * be closing it by then. */
+#define IDLE_USE_PERCENT 60
+#define IDLE_MAX	 16 /* idle connections per address */
+/** Interim (1xx) heads accepted before a response; servers send one or two. */
 #define INTERIM_MAX 16
 
 typedef struct conn conn_t;
@@ -40,47 +40,47 @@
 };
 
 struct conn {
-	http_client_t *h;
+	http_client_t *client;
 	host_t *host;
 	int fd;
 	ev_io rd;
 	ev_io wr;
 	timeout_t timer;
-	http_reader_t parser;
+	http_reader_t reader;
 	buf_t out;
 	buf_t in;
 	bool connected;
-	bool skip; /* the answer being read belongs to another request */
-	bool keep;
-	bool ended;
-	bool kept; /* has served a call before */
-	unsigned interim; /* heads of the answer that is being read */
-	size_t bytes; /* that came since the call began */
+	bool skip_response; /* the response being read is interim or belongs to another request */
+	bool keep_alive;
+	bool response_complete;
+	bool reused; /* has served an earlier call */
+	unsigned interim_heads; /* interim heads before the current response */
+	size_t received; /* since the call began */
 	int64_t idle_ms;
 	http_call_t *call;
-	conn_t *next; /* idle at the same host */
+	conn_t *next; /* in the idle list of the host */
 	conn_t *all_prev;
 	conn_t *all_next;
-	bool dead;
+	bool closed;
 };
 
 struct http_call {
-	http_call_options_t o;
+	http_call_options_t options;
 	conn_t *conn;
 };
 
-/* Frees from the loop, as callers up the stack may still hold the connection. */
+/* Runs from the loop, as callers up the stack may still use the connection. */
 static void conn_free(int events, void *arg)
 {
 	conn_t *c = arg;
 
-	http_reader_free(&c->parser);
+	http_reader_free(&c->reader);
 	buf_free(&c->out);
 	buf_free(&c->in);
 	free(c);
 }
 
-static void unlink_idle(conn_t *c)
+static void remove_idle(conn_t *c)
 {
 	for (conn_t **p = &c->host->idle; *p; p = &(*p)->next) {
 		if (*p == c) {
@@ -93,35 +93,35 @@
 
 static void conn_close(conn_t *c)
 {
-	if (c->dead)
+	if (c->closed)
 		return;
-	c->dead = true;
-	unlink_idle(c);
-	DL_DELETE2(c->h->conns, c, all_prev, all_next);
-	ev_io_stop(c->h->loop, &c->rd);
-	ev_io_stop(c->h->loop, &c->wr);
+	c->closed = true;
+	remove_idle(c);
+	DL_DELETE2(c->client->conns, c, all_prev, all_next);
+	ev_io_stop(c->client->loop, &c->rd);
+	ev_io_stop(c->client->loop, &c->wr);
 	timeout_stop(&c->timer);
 	close(c->fd);
-	ev_once(c->h->loop, -1, 0, 0.0, conn_free, c);
+	ev_once(c->client->loop, -1, 0, 0.0, conn_free, c);
 }
 
-/* Ends the call; its connection is closed unless it may serve another. */
-static void end_call(conn_t *c, http_call_end_t how)
+/* Detaches the call from its connection, reports the end to the owner and frees the call. */
+static void finish_call(conn_t *c, http_call_end_t how)
 {
 	http_call_t *call = c->call;
 
 	c->call = NULL;
 	if (call) {
 		call->conn = NULL;
-		call->o.end(call->o.ctx, how);
+		call->options.end(call->options.ctx, how);
 		free(call);
 	}
 }
 
-static void fail(conn_t *c, http_call_end_t how)
+static void fail_call(conn_t *c, http_call_end_t how)
 {
 	conn_close(c);
-	end_call(c, how);
+	finish_call(c, how);
 }
 
 static void read_keep_alive(conn_t *c, const http_head_t *h)
@@ -130,14 +130,15 @@
 	long at = str_find(ka, STR("timeout="));
 	long long s = 0;
 
-	c->keep = h->keep_alive;
+	c->keep_alive = h->keep_alive;
 	c->idle_ms = IDLE_MS;
 	if (at < 0)
 		return;
 	for (size_t i = (size_t)at + 8; i < ka.n && ka.p[i] >= '0' && ka.p[i] <= '9'; i++)
 		s = s * 10 + (ka.p[i] - '0');
-	if (s * 10 * IDLE_SHARE_PERCENT < IDLE_MS)
-		c->idle_ms = s * 10 * IDLE_SHARE_PERCENT;
+	/* IDLE_USE_PERCENT of s seconds, in ms */
+	if (s * 10 * IDLE_USE_PERCENT < IDLE_MS)
+		c->idle_ms = s * 10 * IDLE_USE_PERCENT;
 }
 
 static void on_head(void *ctx, const http_head_t *h)
@@ -145,34 +146,36 @@
 	conn_t *c = ctx;
 
 	if (h->status < 200) {
-		c->skip = true;
-		c->interim++;
+		c->skip_response = true;
+		c->interim_heads++;
 		return;
 	}
-	c->interim = 0;
+	c->interim_heads = 0;
 	read_keep_alive(c, h);
-	c->skip = !c->call || !c->call->o.head(c->call->o.ctx, h);
+	c->skip_response = !c->call || !c->call->options.head(c->call->options.ctx, h);
 }
 
-static void on_body(void *ctx, str_t piece)
+static void on_body(void *ctx, str_t chunk)
 {
 	conn_t *c = ctx;
 
-	if (!c->skip && c->call)
-		c->call->o.body(c->call->o.ctx, piece);
+	if (!c->skip_response && c->call)
+		c->call->options.body(c->call->options.ctx, chunk);
 }
 
 static void on_end(void *ctx)
 {
 	conn_t *c = ctx;
 
-	c->ended = !c->skip;
-	c->skip = false;
+	/* The end of a skipped response does not end the call. */
+	c->response_complete = !c->skip_response;
+	c->skip_response = false;
 }
 
-static void go_idle(conn_t *c)
+/* Adds the connection to the idle pool, or closes it if it cannot be reused. */
+static void release_conn(conn_t *c)
 {
-	if (!c->keep || c->in.n > 0 || c->out.n > 0 || c->idle_ms <= 0 ||
+	if (!c->keep_alive || c->in.n > 0 || c->out.n > 0 || c->idle_ms <= 0 ||
 	    c->host->nidle >= IDLE_MAX) {
 		conn_close(c);
 		return;
@@ -183,40 +186,40 @@
 	timeout_set(&c->timer, c->idle_ms);
 }
 
-/* Parses what was read; the end of the stream is told by an empty input. */
-static void parse(conn_t *c, bool closed)
+/* Parses the input. The parser gets an empty input when the stream has ended. */
+static void parse_input(conn_t *c, bool stream_ended)
 {
 	status_t st = STATUS_OK;
 	size_t used;
 
-	while (!c->dead && !c->ended && st == STATUS_OK && c->in.n > 0) {
-		st = http_reader_feed(&c->parser, str_buf(&c->in), &used);
-		if (c->dead)
+	while (!c->closed && !c->response_complete && st == STATUS_OK && c->in.n > 0) {
+		st = http_reader_feed(&c->reader, str_buf(&c->in), &used);
+		if (c->closed)
 			return;
 		buf_drop_front(&c->in, used < c->in.n ? used : c->in.n);
-		if (c->interim > INTERIM_MAX)
+		if (c->interim_heads > INTERIM_MAX)
 			st = STATUS_LIMIT;
-		if (!c->ended && st == STATUS_OK)
-			http_reader_resume(&c->parser);
+		if (!c->response_complete && st == STATUS_OK)
+			http_reader_resume(&c->reader);
 	}
-	if (c->dead)
+	if (c->closed)
 		return;
-	if (st == STATUS_OK && !c->ended && closed) {
-		st = http_reader_feed(&c->parser, (str_t){"", 0}, &used);
-		if (c->dead)
+	if (st == STATUS_OK && !c->response_complete && stream_ended) {
+		st = http_reader_feed(&c->reader, (str_t){"", 0}, &used);
+		if (c->closed)
 			return;
-		if (st != STATUS_OK || !c->ended) {
-			fail(c, HTTP_CALL_BROKEN);
+		if (st != STATUS_OK || !c->response_complete) {
+			fail_call(c, HTTP_CALL_BROKEN);
 			return;
 		}
 	}
 	if (st != STATUS_OK) {
-		fail(c, HTTP_CALL_MALFORMED);
+		fail_call(c, HTTP_CALL_MALFORMED);
 		return;
 	}
-	if (c->ended) {
-		go_idle(c);
-		end_call(c, HTTP_CALL_DONE);
+	if (c->response_complete) {
+		release_conn(c);
+		finish_call(c, HTTP_CALL_DONE);
 	}
 }
 
@@ -225,35 +228,35 @@
 	conn_t *c = w->data;
 	long n = tcp_read(c->fd, &c->in, READ_BYTES);
 
-	c->bytes += n > 0 ? (size_t)n : 0;
+	c->received += n > 0 ? (size_t)n : 0;
 	if (!c->call) {
-		/* An idle connection that speaks or ends serves nobody. */
+		/* An idle connection that has input or was closed cannot be reused. */
 		conn_close(c);
-	} else if (c->bytes > c->call->o.max_bytes) {
-		fail(c, HTTP_CALL_TOO_LONG);
+	} else if (c->received > c->call->options.max_bytes) {
+		fail_call(c, HTTP_CALL_TOO_LONG);
 	} else if (n < 0) {
-		c->keep = false;
-		parse(c, n == TCP_READ_CLOSED);
-		if (n == TCP_READ_BROKEN && !c->dead)
-			fail(c, HTTP_CALL_BROKEN);
+		c->keep_alive = false;
+		parse_input(c, n == TCP_READ_CLOSED);
+		if (n == TCP_READ_BROKEN && !c->closed)
+			fail_call(c, HTTP_CALL_BROKEN);
 	} else if (n > 0) {
-		parse(c, false);
+		parse_input(c, false);
 	}
 }
 
-static void flush(conn_t *c)
+static void flush_output(conn_t *c)
 {
 	if (!tcp_write(c->fd, &c->out)) {
-		/* What the server said before it closed is still read. */
-		ev_io_stop(c->h->loop, &c->wr);
+		/* The server may have replied before it closed: the reply is still read. */
+		ev_io_stop(c->client->loop, &c->wr);
 		c->out.n = 0;
-		c->keep = false;
+		c->keep_alive = false;
 		return;
 	}
 	if (c->out.n > 0)
-		ev_io_start(c->h->loop, &c->wr);
+		ev_io_start(c->client->loop, &c->wr);
 	else
-		ev_io_stop(c->h->loop, &c->wr);
+		ev_io_stop(c->client->loop, &c->wr);
 }
 
 static void on_writable(struct ev_loop *loop, ev_io *w, int events)
@@ -262,14 +265,14 @@
 
 	if (!c->connected) {
 		if (tcp_connect_error(c->fd) != 0) {
-			fail(c, HTTP_CALL_UNSENT);
+			fail_call(c, HTTP_CALL_UNSENT);
 			return;
 		}
 		c->connected = true;
 		timeout_stop(&c->timer);
 		ev_io_start(loop, &c->rd);
 	}
-	flush(c);
+	flush_output(c);
 }
 
 static void on_timer(void *ctx)
@@ -277,12 +280,12 @@
 	conn_t *c = ctx;
 
 	if (c->call)
-		fail(c, HTTP_CALL_UNSENT);
+		fail_call(c, HTTP_CALL_UNSENT);
 	else
 		conn_close(c);
 }
 
-static host_t *host_of(http_client_t *h, const char *addr)
+static host_t *get_host(http_client_t *h, const char *addr)
 {
 	host_t *x;
 
@@ -303,11 +306,11 @@
 	if (fd < 0)
 		return NULL;
 	c = mem_new(sizeof(*c));
-	c->h = h;
+	c->client = h;
 	c->host = host;
 	c->fd = fd;
 	DL_APPEND2(h->conns, c, all_prev, all_next);
-	http_reader_init(&c->parser, &(http_reader_options_t){
+	http_reader_init(&c->reader, &(http_reader_options_t){
 					     .responses = true,
 					     .pause_after_message = true,
 					     .max_header_bytes = MAX_HEADER_BYTES,
@@ -330,11 +333,11 @@
 	host->idle = c->next;
 	host->nidle--;
 	timeout_stop(&c->timer);
-	http_reader_resume(&c->parser);
-	c->ended = false;
-	c->skip = false;
-	c->kept = true;
-	c->bytes = 0;
+	http_reader_resume(&c->reader);
+	c->response_complete = false;
+	c->skip_response = false;
+	c->reused = true;
+	c->received = 0;
 	return c;
 }
 
@@ -346,50 +349,50 @@
 	return h;
 }
 
-static void on_unsent(int revents, void *arg)
+static void report_unsent(int revents, void *arg)
 {
 	http_call_t *call = arg;
 
-	call->o.end(call->o.ctx, HTTP_CALL_UNSENT);
+	call->options.end(call->options.ctx, HTTP_CALL_UNSENT);
 	free(call);
 }
 
 bool http_call_reused_conn(const http_call_t *call)
 {
-	return call->conn && call->conn->kept;
+	return call->conn && call->conn->reused;
 }
 
-http_call_t *http_call_start(http_client_t *h, const http_call_options_t *o)
+http_call_t *http_call_start(http_client_t *h, const http_call_options_t *options)
 {
-	host_t *host = host_of(h, o->addr);
+	host_t *host = get_host(h, options->addr);
 	http_call_t *call = mem_new(sizeof(*call));
-	conn_t *c = o->new_conn ? NULL : take_idle(host);
+	conn_t *c = options->new_conn ? NULL : take_idle(host);
 
-	assert(o->max_bytes > 0);
-	call->o = *o;
+	assert(options->max_bytes > 0);
+	call->options = *options;
 	if (!c) {
 		c = conn_open(h, host);
 		if (!c) {
-			ev_once(h->loop, -1, 0, 0.0, on_unsent, call);
+			ev_once(h->loop, -1, 0, 0.0, report_unsent, call);
 			return call;
 		}
-		timeout_set(&c->timer, clock_left_ms(o->connect_deadline));
+		timeout_set(&c->timer, clock_left_ms(options->connect_deadline));
 	}
 	c->call = call;
 	call->conn = c;
-	buf_add(&c->out, o->request);
+	buf_add(&c->out, options->request);
 	if (c->connected)
-		flush(c);
+		flush_output(c);
 	else
 		ev_io_start(h->loop, &c->wr);
 	return call;
 }
 
-static void drop_body(void *ctx, str_t piece)
+static void ignore_body(void *ctx, str_t chunk)
 {
 }
 
-static void drop_end(void *ctx, http_call_end_t how)
+static void ignore_end(void *ctx, http_call_end_t how)
 {
 }
 
@@ -398,9 +401,9 @@
 	conn_t *c = call->conn;
 
 	if (!c) {
-		/* Its end is already on the way and finds nobody. */
-		call->o.body = drop_body;
-		call->o.end = drop_end;
+		/* report_unsent is scheduled already and must not call the owner. */
+		call->options.body = ignore_body;
+		call->options.end = ignore_end;
 		return;
 	}
 	c->call = NULL;
@@ -414,7 +417,7 @@
 	host_t *x;
 
 	while ((x = h->hosts)) {
-		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): what is freed was unlinked */
+		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the freed element was unlinked */
 		HASH_DEL(h->hosts, x);
 		free(x);
 	}
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-/** HTTP/1.1 client on an event loop, with a pool of idle connections for each address. */
+/** HTTP/1.1 client on an event loop, with a pool of idle connections per address. */
 #ifndef AUBURN_HTTP_CLIENT_H
 #define AUBURN_HTTP_CLIENT_H
 
@@ -10,39 +10,39 @@
 typedef struct http_call http_call_t;
 
 typedef enum {
-	HTTP_CALL_DONE, /* the answer came whole */
+	HTTP_CALL_DONE, /* the response is complete */
 	HTTP_CALL_UNSENT, /* no connection was made: surely not received */
 	HTTP_CALL_BROKEN, /* the connection ended early; may have run */
-	HTTP_CALL_MALFORMED, /* what came isn't an answer; may have run */
-	HTTP_CALL_TOO_LONG /* more came than an answer may have; may have run */
+	HTTP_CALL_MALFORMED, /* the input is not a response; may have run */
+	HTTP_CALL_TOO_LONG /* more than max_bytes were received; may have run */
 } http_call_end_t;
 
 typedef struct {
 	str_t request; /* whole, head and body; copied */
 	const char *addr; /* ip:port */
-	bool new_conn; /* not on a kept connection, which the server may be closing */
+	bool new_conn; /* do not reuse an idle connection, which the server may be closing */
 	deadline_t connect_deadline;
-	size_t max_bytes; /* that may come in all: interim heads, answers passed over, and the
-			     answer with what frames it */
+	size_t max_bytes; /* limit on all input: interim heads, skipped responses, and the response
+			     with its framing */
 	void *ctx;
-	/** False: this answer belongs to another request and is passed over. */
+	/** False: this response belongs to another request and is skipped. */
 	bool (*head)(void *ctx, const http_head_t *h);
-	void (*body)(void *ctx, str_t piece);
+	void (*body)(void *ctx, str_t chunk);
 	/** Called once unless the call was cancelled; the call is freed after it. */
 	void (*end)(void *ctx, http_call_end_t how);
 } http_call_options_t;
 
 http_client_t *http_client_new(struct ev_loop *loop);
 http_call_t *http_call_start(http_client_t *h, const http_call_options_t *o);
-/** True when its connection has served another call before: bytes of that one's answer may still
- * come. */
+/** True if the connection has served an earlier call: bytes of the earlier call's response may
+ * still arrive. */
 bool http_call_reused_conn(const http_call_t *c);
-/** Ends a call by closing its connection; no callback follows. */
+/** Ends a call and closes its connection; no callback follows. */
 void http_call_cancel(http_call_t *c);
-/** Ends all calls without a callback and closes all connections; memory is freed by the loop's next
- * turn. */
+/** Ends all calls without a callback and closes all connections; memory is freed in the loop's next
+ * iteration. */
 void http_client_close(http_client_t *h);
-/** Connections made so far. */
+/** Number of connections made so far. */
 uint64_t http_client_connects(const http_client_t *h);
 
 #endif
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -13,44 +13,45 @@
 /** Bytes read ahead while a request is being answered. */
 #define READ_AHEAD_BYTES 65536
 #define READ_BYTES	 16384
-/** Time for the client to read the last answer before the socket is closed, in ms. */
+/** Time for the client to read the last reply before the socket is closed, in ms. */
 #define LINGER_MS 1000
-/** Bytes that may frame a body, as a multiple of it, and beside it: chunks of one byte take six
- * times their body. */
+/** Limit on the framing of a body: a multiple of the body's limit, and a constant. Chunks of one
+ * byte take six times the bytes of their body. */
 #define FRAMING_TIMES 8
 #define FRAMING_BYTES 65536
-/** Accepts in one turn of the loop, so that open connections get theirs. */
-#define ACCEPTS 32
+/** Connections accepted in one iteration of the loop, so that open connections are served as well.
+ */
+#define ACCEPTS_MAX 32
 
 struct http_server {
-	http_server_options_t o;
+	http_server_options_t options;
 	int fd;
 	ev_io accept;
 	bool draining;
-	size_t busy;
+	size_t open_requests;
 	http_conn_t *conns;
 };
 
 struct http_conn {
-	http_server_t *l;
+	http_server_t *server;
 	int fd;
 	ev_io rd;
 	ev_io wr;
 	timeout_t timer;
-	http_reader_t parser;
+	http_reader_t reader;
 	buf_t in;
 	buf_t body;
 	buf_t out;
-	deadline_t begun; /* when the request's first byte came; 0 between requests */
-	size_t bytes; /* of this request so far, with its framing and what was read ahead */
+	deadline_t first_byte_at; /* time of the first byte of the request; 0 between requests */
+	size_t request_bytes; /* of this request so far, with framing and read-ahead */
 	bool have_head;
-	bool too_long; /* the head declares a body over the limit */
+	bool body_too_long; /* Content-Length is over the limit */
 	bool busy; /* a request is being answered */
 	bool chunked;
-	bool keep;
-	bool closing; /* nothing more is read as a request */
-	bool broken;
-	bool dead;
+	bool keep_alive;
+	bool closing; /* input is discarded */
+	bool write_failed;
+	bool closed;
 	void *data;
 	http_conn_t *prev;
 	http_conn_t *next;
@@ -88,12 +89,12 @@
 	return "Unknown";
 }
 
-/* Frees from the loop, as callers up the stack may still hold the connection. */
+/* Runs from the loop, as callers up the stack may still use the connection. */
 static void conn_free(int events, void *arg)
 {
 	http_conn_t *c = arg;
 
-	http_reader_free(&c->parser);
+	http_reader_free(&c->reader);
 	buf_free(&c->in);
 	buf_free(&c->body);
 	buf_free(&c->out);
@@ -102,36 +103,37 @@
 
 static void conn_close(http_conn_t *c)
 {
-	if (c->dead)
+	if (c->closed)
 		return;
-	c->dead = true;
-	DL_DELETE(c->l->conns, c);
+	c->closed = true;
+	DL_DELETE(c->server->conns, c);
 	if (c->busy)
-		c->l->busy--;
-	ev_io_stop(c->l->o.loop, &c->rd);
-	ev_io_stop(c->l->o.loop, &c->wr);
+		c->server->open_requests--;
+	ev_io_stop(c->server->options.loop, &c->rd);
+	ev_io_stop(c->server->options.loop, &c->wr);
 	timeout_stop(&c->timer);
 	close(c->fd);
-	ev_once(c->l->o.loop, -1, 0, 0.0, conn_free, c);
+	ev_once(c->server->options.loop, -1, 0, 0.0, conn_free, c);
 }
 
-static void flush(http_conn_t *c)
+static void flush_output(http_conn_t *c)
 {
-	if (c->dead)
+	if (c->closed)
 		return;
 	if (!tcp_write(c->fd, &c->out)) {
-		/* The caller's own step goes on; the loop then finds the connection broken. */
+		/* The caller may still use the connection: on_readable closes it in the loop's next
+		 * iteration. */
 		c->out.n = 0;
-		c->broken = true;
-		ev_io_stop(c->l->o.loop, &c->wr);
-		ev_feed_event(c->l->o.loop, &c->rd, EV_READ);
+		c->write_failed = true;
+		ev_io_stop(c->server->options.loop, &c->wr);
+		ev_feed_event(c->server->options.loop, &c->rd, EV_READ);
 		return;
 	}
 	if (c->out.n > 0) {
-		ev_io_start(c->l->o.loop, &c->wr);
+		ev_io_start(c->server->options.loop, &c->wr);
 		return;
 	}
-	ev_io_stop(c->l->o.loop, &c->wr);
+	ev_io_stop(c->server->options.loop, &c->wr);
 	if (c->closing && !c->busy)
 		shutdown(c->fd, SHUT_WR);
 }
@@ -142,22 +144,23 @@
 	str_t expect = http_header(h, "Expect");
 
 	c->have_head = true;
-	c->too_long = c->parser.parser.content_length != ULLONG_MAX &&
-		      c->parser.parser.content_length > c->l->o.limits.max_body_bytes;
-	if (c->too_long)
+	c->body_too_long =
+		c->reader.parser.content_length != ULLONG_MAX &&
+		c->reader.parser.content_length > c->server->options.limits.max_body_bytes;
+	if (c->body_too_long)
 		return;
 	if (expect.n == 12 && strncasecmp(expect.p, "100-continue", 12) == 0) {
 		buf_add(&c->out, STR("HTTP/1.1 100 Continue\r\n\r\n"));
-		flush(c);
+		flush_output(c);
 	}
 }
 
-static void on_body(void *ctx, str_t piece)
+static void on_body(void *ctx, str_t chunk)
 {
 	http_conn_t *c = ctx;
 
-	if (c->body.n <= c->l->o.limits.max_body_bytes)
-		buf_add(&c->body, piece);
+	if (c->body.n <= c->server->options.limits.max_body_bytes)
+		buf_add(&c->body, chunk);
 }
 
 static void on_end(void *ctx)
@@ -165,63 +168,64 @@
 	http_conn_t *c = ctx;
 
 	c->busy = true;
-	c->l->busy++;
+	c->server->open_requests++;
 }
 
-/* Ends the connection with an answer of the listener's own. */
-static void refuse(http_conn_t *c, int status, const char *what)
+/* Sends an error reply of the server's own and closes the connection. */
+static void refuse_request(http_conn_t *c, int status, const char *reason)
 {
 	if (!c->busy) {
 		c->busy = true;
-		c->l->busy++;
+		c->server->open_requests++;
 	}
-	c->keep = false;
+	c->keep_alive = false;
 	c->closing = true;
 	log_event(LOG_LEVEL_INFO, "request_refused", LOG_INT("status", status),
-		  LOG_CSTR("reason", what));
+		  LOG_CSTR("reason", reason));
 	http_reply(c, status, STR(""), STR(""));
 }
 
-static void hand_over(http_conn_t *c)
+static void deliver_request(http_conn_t *c)
 {
-	http_request_t r = {c->parser.head, str_buf(&c->body), c->begun};
+	http_request_t r = {c->reader.head, str_buf(&c->body), c->first_byte_at};
 
 	timeout_stop(&c->timer);
-	c->keep = c->parser.head.keep_alive;
-	c->l->o.request(c->l->o.ctx, c, &r);
+	c->keep_alive = c->reader.head.keep_alive;
+	c->server->options.request(c->server->options.ctx, c, &r);
 }
 
-/* Of a whole request: chunk extensions and trailers count for nothing else. */
-static size_t bytes_max(const http_limits_t *m)
+/* Limit on a whole request, so that chunk extensions and trailers are bounded too. */
+static size_t max_request_bytes(const http_limits_t *m)
 {
 	return m->max_header_bytes + m->max_body_bytes * FRAMING_TIMES + FRAMING_BYTES;
 }
 
-static void parse(http_conn_t *c)
+static void parse_input(http_conn_t *c)
 {
-	const http_limits_t *m = &c->l->o.limits;
+	const http_limits_t *m = &c->server->options.limits;
 	status_t st;
 	size_t used;
 
-	while (!c->dead && !c->busy && !c->closing && c->in.n > 0) {
-		if (!c->begun) {
-			c->begun = clock_now_ms();
+	while (!c->closed && !c->busy && !c->closing && c->in.n > 0) {
+		if (!c->first_byte_at) {
+			c->first_byte_at = clock_now_ms();
 			timeout_set(&c->timer, m->header_timeout_ms);
 		}
-		st = http_reader_feed(&c->parser, str_buf(&c->in), &used);
-		if (c->dead)
+		st = http_reader_feed(&c->reader, str_buf(&c->in), &used);
+		if (c->closed)
 			return;
 		buf_drop_front(&c->in, used < c->in.n ? used : c->in.n);
-		if (c->too_long || c->body.n > m->max_body_bytes || c->bytes > bytes_max(m))
-			refuse(c, 413, "body over the limit");
+		if (c->body_too_long || c->body.n > m->max_body_bytes ||
+		    c->request_bytes > max_request_bytes(m))
+			refuse_request(c, 413, "body exceeds the limit");
 		else if (st == STATUS_LIMIT)
-			refuse(c, 431, status_message());
+			refuse_request(c, 431, status_message());
 		else if (st != STATUS_OK)
-			refuse(c, 400, status_message());
+			refuse_request(c, 400, status_message());
 		else if (c->busy)
-			hand_over(c);
+			deliver_request(c);
 	}
-	if (!c->dead && !c->busy && c->have_head)
+	if (!c->closed && !c->busy && c->have_head)
 		timeout_set(&c->timer, m->idle_timeout_ms);
 }
 
@@ -230,20 +234,20 @@
 	http_conn_t *c = w->data;
 	long n;
 
-	if (!c->broken && c->busy && c->in.n >= READ_AHEAD_BYTES) {
+	if (!c->write_failed && c->busy && c->in.n >= READ_AHEAD_BYTES) {
 		ev_io_stop(loop, &c->rd);
 		return;
 	}
-	n = c->broken ? TCP_READ_BROKEN : tcp_read(c->fd, &c->in, READ_BYTES);
-	c->bytes += n > 0 ? (size_t)n : 0;
+	n = c->write_failed ? TCP_READ_BROKEN : tcp_read(c->fd, &c->in, READ_BYTES);
+	c->request_bytes += n > 0 ? (size_t)n : 0;
 	if (n < 0) {
-		if (c->busy && !c->dead && c->l->o.client_gone)
-			c->l->o.client_gone(c->l->o.ctx, c);
+		if (c->busy && !c->closed && c->server->options.client_gone)
+			c->server->options.client_gone(c->server->options.ctx, c);
 		conn_close(c);
 	} else if (c->closing) {
 		c->in.n = 0;
 	} else {
-		parse(c);
+		parse_input(c);
 	}
 }
 
@@ -251,118 +255,118 @@
 {
 	http_conn_t *c = w->data;
 
-	flush(c);
+	flush_output(c);
 }
 
 static void on_timer(void *ctx)
 {
 	http_conn_t *c = ctx;
 
-	if (c->begun && !c->busy && !c->closing)
-		refuse(c, 408, "request not read in time");
+	if (c->first_byte_at && !c->busy && !c->closing)
+		refuse_request(c, 408, "request not received in time");
 	else
 		conn_close(c);
 }
 
-static void conn_new(http_server_t *l, int fd)
+static void conn_new(http_server_t *s, int fd)
 {
 	http_conn_t *c = mem_new(sizeof(*c));
 
-	c->l = l;
+	c->server = s;
 	c->fd = fd;
-	DL_APPEND(l->conns, c);
-	http_reader_init(&c->parser, &(http_reader_options_t){
+	DL_APPEND(s->conns, c);
+	http_reader_init(&c->reader, &(http_reader_options_t){
 					     .pause_after_message = true,
-					     .max_header_bytes = l->o.limits.max_header_bytes,
+					     .max_header_bytes = s->options.limits.max_header_bytes,
 					     .cb = {c, on_head, on_body, on_end},
 				     });
 	ev_io_init(&c->rd, on_readable, fd, EV_READ);
 	ev_io_init(&c->wr, on_writable, fd, EV_WRITE);
-	timeout_init(&c->timer, l->o.loop, on_timer, c);
+	timeout_init(&c->timer, s->options.loop, on_timer, c);
 	c->rd.data = c->wr.data = c;
-	ev_io_start(l->o.loop, &c->rd);
-	timeout_set(&c->timer, l->o.limits.idle_timeout_ms);
+	ev_io_start(s->options.loop, &c->rd);
+	timeout_set(&c->timer, s->options.limits.idle_timeout_ms);
 }
 
 static void on_accept(struct ev_loop *loop, ev_io *w, int events)
 {
-	http_server_t *l = w->data;
+	http_server_t *s = w->data;
 
-	for (int i = 0; i < ACCEPTS; i++) {
-		int fd = tcp_accept(l->fd);
+	for (int i = 0; i < ACCEPTS_MAX; i++) {
+		int fd = tcp_accept(s->fd);
 
 		if (fd < 0)
 			return;
-		conn_new(l, fd);
+		conn_new(s, fd);
 	}
 }
 
-http_server_t *http_server_new(const http_server_options_t *o)
+http_server_t *http_server_new(const http_server_options_t *options)
 {
-	int fd = tcp_listen(o->addr);
-	http_server_t *l;
+	int fd = tcp_listen(options->addr);
+	http_server_t *s;
 
 	if (fd < 0)
 		return NULL;
-	l = mem_new(sizeof(*l));
-	l->o = *o;
-	l->fd = fd;
-	ev_io_init(&l->accept, on_accept, fd, EV_READ);
-	l->accept.data = l;
-	ev_io_start(o->loop, &l->accept);
-	return l;
+	s = mem_new(sizeof(*s));
+	s->options = *options;
+	s->fd = fd;
+	ev_io_init(&s->accept, on_accept, fd, EV_READ);
+	s->accept.data = s;
+	ev_io_start(options->loop, &s->accept);
+	return s;
 }
 
-void http_server_stop_accepting(http_server_t *l)
+void http_server_stop_accepting(http_server_t *s)
 {
 	int fd;
 
-	if (l->fd < 0)
+	if (s->fd < 0)
 		return;
-	while ((fd = tcp_accept(l->fd)) >= 0)
-		conn_new(l, fd);
-	ev_io_stop(l->o.loop, &l->accept);
-	close(l->fd);
-	l->fd = -1;
+	while ((fd = tcp_accept(s->fd)) >= 0)
+		conn_new(s, fd);
+	ev_io_stop(s->options.loop, &s->accept);
+	close(s->fd);
+	s->fd = -1;
 }
 
-bool http_server_pending(const http_server_t *l)
+bool http_server_pending(const http_server_t *s)
 {
-	for (const http_conn_t *c = l->conns; c; c = c->next) {
-		if (c->busy || c->begun || c->out.n > 0)
+	for (const http_conn_t *c = s->conns; c; c = c->next) {
+		if (c->busy || c->first_byte_at || c->out.n > 0)
 			return true;
 	}
 	return false;
 }
 
-static void listener_free(int events, void *arg)
+static void server_free(int events, void *arg)
 {
 	free(arg);
 }
 
-void http_server_close(http_server_t *l)
+void http_server_close(http_server_t *s)
 {
-	ev_io_stop(l->o.loop, &l->accept);
-	if (l->fd >= 0)
-		close(l->fd);
-	while (l->conns)
-		conn_close(l->conns);
-	ev_once(l->o.loop, -1, 0, 0.0, listener_free, l);
+	ev_io_stop(s->options.loop, &s->accept);
+	if (s->fd >= 0)
+		close(s->fd);
+	while (s->conns)
+		conn_close(s->conns);
+	ev_once(s->options.loop, -1, 0, 0.0, server_free, s);
 }
 
-void http_server_set_limits(http_server_t *l, const http_limits_t *limits)
+void http_server_set_limits(http_server_t *s, const http_limits_t *limits)
 {
-	l->o.limits = *limits;
+	s->options.limits = *limits;
 }
 
-void http_server_drain(http_server_t *l)
+void http_server_drain(http_server_t *s)
 {
-	l->draining = true;
+	s->draining = true;
 }
 
-size_t http_server_open_requests(const http_server_t *l)
+size_t http_server_open_requests(const http_server_t *s)
 {
-	return l->busy;
+	return s->open_requests;
 }
 
 void http_conn_set_data(http_conn_t *c, void *data)
@@ -375,86 +379,86 @@
 	return c->data;
 }
 
-/* The answer is complete: reads the next request or closes. */
-static void finish(http_conn_t *c)
+/* The reply is complete: reads the next request or closes the connection. */
+static void finish_reply(http_conn_t *c)
 {
 	c->busy = false;
-	c->l->busy--;
+	c->server->open_requests--;
 	c->data = NULL;
-	c->begun = 0;
+	c->first_byte_at = 0;
 	c->have_head = false;
 	c->body.n = 0;
-	c->bytes = c->in.n;
-	if (!c->keep) {
+	c->request_bytes = c->in.n;
+	if (!c->keep_alive) {
 		c->closing = true;
 		timeout_set(&c->timer, LINGER_MS);
-		flush(c);
+		flush_output(c);
 		return;
 	}
-	timeout_set(&c->timer, c->l->o.limits.idle_timeout_ms);
-	flush(c);
-	if (c->dead)
+	timeout_set(&c->timer, c->server->options.limits.idle_timeout_ms);
+	flush_output(c);
+	if (c->closed)
 		return;
-	http_reader_resume(&c->parser);
-	c->parser.o.max_header_bytes = c->l->o.limits.max_header_bytes;
-	ev_io_start(c->l->o.loop, &c->rd);
-	/* A pipelined request is parsed from the loop, not from inside the caller's answer. */
+	http_reader_resume(&c->reader);
+	c->reader.o.max_header_bytes = c->server->options.limits.max_header_bytes;
+	ev_io_start(c->server->options.loop, &c->rd);
+	/* A pipelined request is parsed from the loop, not inside the call that sent the reply. */
 	if (c->in.n > 0)
-		ev_feed_event(c->l->o.loop, &c->rd, EV_READ);
+		ev_feed_event(c->server->options.loop, &c->rd, EV_READ);
 }
 
-static void add_head(http_conn_t *c, int status, str_t headers)
+static void add_reply_head(http_conn_t *c, int status, str_t headers)
 {
-	if (c->l->draining)
-		c->keep = false;
+	if (c->server->draining)
+		c->keep_alive = false;
 	buf_addf(&c->out, "HTTP/1.1 %d %s\r\n", status, http_reason(status));
 	buf_add(&c->out, headers);
-	if (!c->keep)
+	if (!c->keep_alive)
 		buf_add(&c->out, STR("Connection: close\r\n"));
 }
 
 void http_reply(http_conn_t *c, int status, str_t headers, str_t body)
 {
-	if (c->dead)
+	if (c->closed)
 		return;
-	add_head(c, status, headers);
+	add_reply_head(c, status, headers);
 	buf_addf(&c->out, "Content-Length: %zu\r\n\r\n", body.n);
 	buf_add(&c->out, body);
-	finish(c);
+	finish_reply(c);
 }
 
 void http_reply_begin(http_conn_t *c, int status, str_t headers)
 {
-	if (c->dead)
+	if (c->closed)
 		return;
-	add_head(c, status, headers);
+	add_reply_head(c, status, headers);
 	buf_add(&c->out, STR("Transfer-Encoding: chunked\r\n\r\n"));
 	c->chunked = true;
-	flush(c);
+	flush_output(c);
 }
 
-void http_reply_chunk(http_conn_t *c, str_t piece)
+void http_reply_chunk(http_conn_t *c, str_t chunk)
 {
-	if (c->dead || piece.n == 0)
+	if (c->closed || chunk.n == 0)
 		return;
-	buf_addf(&c->out, "%zx\r\n", piece.n);
-	buf_add(&c->out, piece);
+	buf_addf(&c->out, "%zx\r\n", chunk.n);
+	buf_add(&c->out, chunk);
 	buf_add(&c->out, STR("\r\n"));
-	flush(c);
+	flush_output(c);
 }
 
 void http_reply_end(http_conn_t *c)
 {
-	if (c->dead)
+	if (c->closed)
 		return;
 	buf_add(&c->out, STR("0\r\n\r\n"));
 	c->chunked = false;
-	finish(c);
+	finish_reply(c);
 }
 
 void http_reply_abort(http_conn_t *c)
 {
-	if (c->dead)
+	if (c->closed)
 		return;
 	conn_close(c);
 }
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,5 +1,5 @@
-/** HTTP/1.1 listener on an event loop: one request at a time on a connection, answers whole or in
- * pieces. Everything runs on the loop's thread. */
+/** HTTP/1.1 server on an event loop: one request at a time per connection, replies whole or in
+ * chunks. Everything runs on the loop's thread. */
 #ifndef AUBURN_HTTP_SERVER_H
 #define AUBURN_HTTP_SERVER_H
 
@@ -10,14 +10,14 @@
 typedef struct http_server http_server_t;
 typedef struct http_conn http_conn_t;
 
-/** A whole request; views live until it is answered. */
+/** A complete request; its views are valid until the reply is complete. */
 typedef struct {
 	http_head_t head;
 	str_t body;
-	deadline_t received; /* when its first byte came */
+	deadline_t received; /* time of its first byte */
 } http_request_t;
 
-/** Bounds on what a client may send and how long it may take. */
+/** Limits on the size and the duration of a request. */
 typedef struct {
 	size_t max_header_bytes;
 	size_t max_body_bytes;
@@ -31,34 +31,35 @@
 	http_limits_t limits;
 	void *ctx;
 	void (*request)(void *ctx, http_conn_t *c, const http_request_t *r);
-	/** The client left before its answer was complete. The connection is gone. */
+	/** The client closed the connection before its reply was complete; c is closed after the
+	 * call. */
 	void (*client_gone)(void *ctx, http_conn_t *c);
 } http_server_options_t;
 
-/** NULL with a message when the address can't be listened on. */
+/** NULL with a message if the address cannot be listened on. */
 http_server_t *http_server_new(const http_server_options_t *o);
-/** Closes the listener and all its connections; memory is freed by the loop's next turn. */
-void http_server_close(http_server_t *l);
-void http_server_set_limits(http_server_t *l, const http_limits_t *limits);
-/** From now on every answer closes its connection. */
-void http_server_drain(http_server_t *l);
-/** Requests without a complete answer. */
-size_t http_server_open_requests(const http_server_t *l);
-/** Takes what has connected already, and refuses further connections. */
-void http_server_stop_accepting(http_server_t *l);
-/** True while a request is being read or answered, or an answer isn't sent to its end. */
-bool http_server_pending(const http_server_t *l);
+/** Closes the server and all its connections; memory is freed in the loop's next iteration. */
+void http_server_close(http_server_t *s);
+void http_server_set_limits(http_server_t *s, const http_limits_t *limits);
+/** From now on every reply closes its connection. */
+void http_server_drain(http_server_t *s);
+/** Number of requests without a complete reply. */
+size_t http_server_open_requests(const http_server_t *s);
+/** Accepts the connections that are pending, then refuses further ones. */
+void http_server_stop_accepting(http_server_t *s);
+/** True while a request is being read or answered, or a reply is not completely sent. */
+bool http_server_pending(const http_server_t *s);
 
 void http_conn_set_data(http_conn_t *c, void *data);
 void *http_conn_data(const http_conn_t *c);
 
-/** Answers whole; headers are lines that end with CRLF, without length and connection. */
+/** Sends a whole reply; headers are lines ending in CRLF, without Content-Length and Connection. */
 void http_reply(http_conn_t *c, int status, str_t headers, str_t body);
-/** Begins an answer in pieces. */
+/** Begins a reply in chunks. */
 void http_reply_begin(http_conn_t *c, int status, str_t headers);
-void http_reply_chunk(http_conn_t *c, str_t piece);
+void http_reply_chunk(http_conn_t *c, str_t chunk);
 void http_reply_end(http_conn_t *c);
-/** Breaks the connection off, so that the answer can't look complete. */
+/** Closes the connection at once, so that the reply cannot look complete. */
 void http_reply_abort(http_conn_t *c);
 const char *http_reason(int status);
 
--- a/src/net/msgconn.c
+++ b/src/net/msgconn.c
@@ -9,176 +9,177 @@
 
 #define LENGTH_BYTES 4
 #define READ_BYTES   16384
-/** A larger frame means a peer that speaks another protocol: twice the largest batch job. */
+/** A larger frame means a peer that speaks another protocol; twice the largest batch job. */
 #define FRAME_MAX_BYTES (64U << 20)
-/** A peer that has not read this much is given up on. */
+/** A connection with more unsent bytes is closed: its peer does not read. */
 #define UNSENT_MAX_BYTES (96U << 20)
 
 struct msgconn {
-	msgconn_options_t o;
+	msgconn_options_t options;
 	int fd;
 	ev_io rd;
 	ev_io wr;
 	buf_t in;
 	buf_t out;
 	bool connected;
-	bool dead;
-	deadline_t heard;
+	bool is_closed;
+	deadline_t last_received;
 	void *data;
 };
 
-/* Frees from the loop, as callers up the stack may still hold the link. */
-static void msgconn_free(int events, void *arg)
+/* Runs from the loop, as callers up the stack may still use the connection. */
+static void conn_free(int events, void *arg)
 {
-	msgconn_t *l = arg;
+	msgconn_t *c = arg;
 
-	buf_free(&l->in);
-	buf_free(&l->out);
-	free(l);
+	buf_free(&c->in);
+	buf_free(&c->out);
+	free(c);
 }
 
-void msgconn_close(msgconn_t *l)
+void msgconn_close(msgconn_t *c)
 {
-	if (l->dead)
+	if (c->is_closed)
 		return;
-	l->dead = true;
-	ev_io_stop(l->o.loop, &l->rd);
-	ev_io_stop(l->o.loop, &l->wr);
-	close(l->fd);
-	ev_once(l->o.loop, -1, 0, 0.0, msgconn_free, l);
+	c->is_closed = true;
+	ev_io_stop(c->options.loop, &c->rd);
+	ev_io_stop(c->options.loop, &c->wr);
+	close(c->fd);
+	ev_once(c->options.loop, -1, 0, 0.0, conn_free, c);
 }
 
-static void lost(msgconn_t *l)
+static void close_and_notify(msgconn_t *c)
 {
-	if (l->dead)
+	if (c->is_closed)
 		return;
-	msgconn_close(l);
-	l->o.closed(l->o.ctx, l);
+	msgconn_close(c);
+	c->options.closed(c->options.ctx, c);
 }
 
-static void take_frames(msgconn_t *l)
+static void deliver_frames(msgconn_t *c)
 {
 	size_t at = 0;
 
-	while (!l->dead && l->in.n - at >= LENGTH_BYTES) {
+	while (!c->is_closed && c->in.n - at >= LENGTH_BYTES) {
 		uint32_t n;
 
-		memcpy(&n, l->in.p + at, LENGTH_BYTES);
+		memcpy(&n, c->in.p + at, LENGTH_BYTES);
 		n = ntohl(n);
 		if (n > FRAME_MAX_BYTES) {
-			lost(l);
+			close_and_notify(c);
 			return;
 		}
-		if (l->in.n - at < LENGTH_BYTES + n)
+		if (c->in.n - at < LENGTH_BYTES + n)
 			break;
 		at += LENGTH_BYTES;
-		l->o.message(l->o.ctx, l, (str_t){l->in.p + at, n});
+		c->options.message(c->options.ctx, c, (str_t){c->in.p + at, n});
 		at += n;
 	}
-	if (!l->dead)
-		buf_drop_front(&l->in, at);
+	if (!c->is_closed)
+		buf_drop_front(&c->in, at);
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *w, int events)
 {
-	msgconn_t *l = w->data;
-	long n = tcp_read(l->fd, &l->in, READ_BYTES);
+	msgconn_t *c = w->data;
+	long n = tcp_read(c->fd, &c->in, READ_BYTES);
 
 	if (n > 0) {
-		l->heard = clock_now_ms();
-		take_frames(l);
+		c->last_received = clock_now_ms();
+		deliver_frames(c);
 	} else if (n < 0) {
-		lost(l);
+		close_and_notify(c);
 	}
 }
 
-static void flush(msgconn_t *l)
+static void flush_output(msgconn_t *c)
 {
-	if (!tcp_write(l->fd, &l->out))
-		lost(l);
-	else if (l->out.n > 0)
-		ev_io_start(l->o.loop, &l->wr);
+	if (!tcp_write(c->fd, &c->out))
+		close_and_notify(c);
+	else if (c->out.n > 0)
+		ev_io_start(c->options.loop, &c->wr);
 	else
-		ev_io_stop(l->o.loop, &l->wr);
+		ev_io_stop(c->options.loop, &c->wr);
 }
 
 static void on_writable(struct ev_loop *loop, ev_io *w, int events)
 {
-	msgconn_t *l = w->data;
+	msgconn_t *c = w->data;
 
-	if (!l->connected) {
-		if (tcp_connect_error(l->fd) != 0) {
-			lost(l);
+	if (!c->connected) {
+		if (tcp_connect_error(c->fd) != 0) {
+			close_and_notify(c);
 			return;
 		}
-		l->connected = true;
-		l->heard = clock_now_ms();
-		ev_io_start(loop, &l->rd);
-		if (l->o.opened)
-			l->o.opened(l->o.ctx, l);
+		c->connected = true;
+		c->last_received = clock_now_ms();
+		ev_io_start(loop, &c->rd);
+		if (c->options.opened)
+			c->options.opened(c->options.ctx, c);
 	}
-	if (!l->dead)
-		flush(l);
+	if (!c->is_closed)
+		flush_output(c);
 }
 
-static msgconn_t *make(int fd, const msgconn_options_t *o, bool connected)
+static msgconn_t *conn_new(int fd, const msgconn_options_t *options, bool connected)
 {
-	msgconn_t *l = mem_new(sizeof(*l));
-
-	l->o = *o;
-	l->fd = fd;
-	l->connected = connected;
-	l->heard = clock_now_ms();
-	ev_io_init(&l->rd, on_readable, fd, EV_READ);
-	ev_io_init(&l->wr, on_writable, fd, EV_WRITE);
-	l->rd.data = l->wr.data = l;
-	ev_io_start(o->loop, connected ? &l->rd : &l->wr);
-	return l;
+	msgconn_t *c = mem_new(sizeof(*c));
+
+	c->options = *options;
+	c->fd = fd;
+	c->connected = connected;
+	c->last_received = clock_now_ms();
+	ev_io_init(&c->rd, on_readable, fd, EV_READ);
+	ev_io_init(&c->wr, on_writable, fd, EV_WRITE);
+	c->rd.data = c->wr.data = c;
+	ev_io_start(options->loop, connected ? &c->rd : &c->wr);
+	return c;
 }
 
-msgconn_t *msgconn_connect(const char *addr, const msgconn_options_t *o)
+msgconn_t *msgconn_connect(const char *addr, const msgconn_options_t *options)
 {
 	int fd = tcp_connect(addr);
 
-	return fd < 0 ? NULL : make(fd, o, false);
+	return fd < 0 ? NULL : conn_new(fd, options, false);
 }
 
-msgconn_t *msgconn_from_fd(int fd, const msgconn_options_t *o)
+msgconn_t *msgconn_from_fd(int fd, const msgconn_options_t *options)
 {
-	return make(fd, o, true);
+	return conn_new(fd, options, true);
 }
 
-void msgconn_send(msgconn_t *l, str_t m)
+void msgconn_send(msgconn_t *c, str_t m)
 {
 	uint32_t n = htonl((uint32_t)m.n);
 
-	if (l->dead)
+	if (c->is_closed)
 		return;
-	buf_add(&l->out, (str_t){(const char *)&n, LENGTH_BYTES});
-	buf_add(&l->out, m);
-	if (!l->connected)
+	buf_add(&c->out, (str_t){(const char *)&n, LENGTH_BYTES});
+	buf_add(&c->out, m);
+	if (!c->connected)
 		return;
-	/* The peer is lost from the loop, never from inside the caller's own step. */
-	if (l->out.n > UNSENT_MAX_BYTES || !tcp_write(l->fd, &l->out)) {
-		l->out.n = 0;
-		shutdown(l->fd, SHUT_RDWR);
+	/* The loop finds the connection shut down and reports it; the owner is never called back
+	 * from here. */
+	if (c->out.n > UNSENT_MAX_BYTES || !tcp_write(c->fd, &c->out)) {
+		c->out.n = 0;
+		shutdown(c->fd, SHUT_RDWR);
 		return;
 	}
-	if (l->out.n > 0)
-		ev_io_start(l->o.loop, &l->wr);
+	if (c->out.n > 0)
+		ev_io_start(c->options.loop, &c->wr);
 }
 
-void msgconn_set_data(msgconn_t *l, void *data)
+void msgconn_set_data(msgconn_t *c, void *data)
 {
-	l->data = data;
+	c->data = data;
 }
 
-void *msgconn_data(const msgconn_t *l)
+void *msgconn_data(const msgconn_t *c)
 {
-	return l->data;
+	return c->data;
 }
 
-deadline_t msgconn_last_received(const msgconn_t *l)
+deadline_t msgconn_last_received(const msgconn_t *c)
 {
-	return l->heard;
+	return c->last_received;
 }
--- a/src/net/msgconn.h
+++ b/src/net/msgconn.h
@@ -1,5 +1,6 @@
-/** Framed messages over TCP on an event loop, for links between own processes: both ends send
- * whenever they have something to say. A frame is a length of four bytes and that many bytes. */
+/** Framed messages over one TCP connection on an event loop, for links between own processes: both
+ * ends may send at any time. A frame is a length of four bytes in network order and as many bytes.
+ */
 #ifndef AUBURN_MSGCONN_H
 #define AUBURN_MSGCONN_H
 
@@ -12,22 +13,22 @@
 typedef struct {
 	struct ev_loop *loop;
 	void *ctx;
-	void (*message)(void *ctx, msgconn_t *l, str_t m);
-	/** The link has ended; it is freed after the call. Not called after msgconn_close. */
-	void (*closed)(void *ctx, msgconn_t *l);
-	/** Outgoing: the connection stands. May be NULL. */
-	void (*opened)(void *ctx, msgconn_t *l);
+	void (*message)(void *ctx, msgconn_t *c, str_t m);
+	/** The connection has ended; it is freed after the call. Not called after msgconn_close. */
+	void (*closed)(void *ctx, msgconn_t *c);
+	/** An outgoing connection is established. May be NULL. */
+	void (*opened)(void *ctx, msgconn_t *c);
 } msgconn_options_t;
 
-/** NULL when no connection can be begun. */
+/** NULL if the connection cannot be started. */
 msgconn_t *msgconn_connect(const char *addr, const msgconn_options_t *o);
 /** Takes over an accepted socket. */
 msgconn_t *msgconn_from_fd(int fd, const msgconn_options_t *o);
-void msgconn_send(msgconn_t *l, str_t m);
-void msgconn_close(msgconn_t *l);
-void msgconn_set_data(msgconn_t *l, void *data);
-void *msgconn_data(const msgconn_t *l);
-/** When the peer was last heard. */
-deadline_t msgconn_last_received(const msgconn_t *l);
+void msgconn_send(msgconn_t *c, str_t m);
+void msgconn_close(msgconn_t *c);
+void msgconn_set_data(msgconn_t *c, void *data);
+void *msgconn_data(const msgconn_t *c);
+/** Time of the last input from the peer, or of the connection before any. */
+deadline_t msgconn_last_received(const msgconn_t *c);
 
 #endif
--- a/src/net/sse.c
+++ b/src/net/sse.c
@@ -4,7 +4,7 @@
 
 #include "net/http.h"
 
-static str_t after(str_t line, str_t prefix)
+static str_t field_value(str_t line, str_t prefix)
 {
 	str_t rest = {line.p + prefix.n, line.n - prefix.n};
 
@@ -13,19 +13,19 @@
 	return rest;
 }
 
-static void take_line(sse_event_t *e, str_t line)
+static void parse_line(sse_event_t *e, str_t line)
 {
 	if (str_starts(line, STR("event:"))) {
-		e->name = after(line, STR("event:"));
+		e->name = field_value(line, STR("event:"));
 	} else if (str_starts(line, STR("id:"))) {
-		e->id = http_parse_number(after(line, STR("id:")));
+		e->id = http_parse_number(field_value(line, STR("id:")));
 	} else if (str_starts(line, STR("data:"))) {
-		e->data = after(line, STR("data:"));
+		e->data = field_value(line, STR("data:"));
 		e->has_data = true;
 	}
 }
 
-static bool give(str_t raw, sse_callback_t event, void *ctx)
+static bool deliver_event(str_t raw, sse_callback_t event, void *ctx)
 {
 	sse_event_t e = {.raw = raw, .name = {"", 0}, .data = {"", 0}, .id = -1};
 	str_t left = raw;
@@ -37,15 +37,15 @@
 
 		if (line.n && line.p[line.n - 1] == '\r')
 			line.n--;
-		take_line(&e, line);
+		parse_line(&e, line);
 		n += nl < 0 ? 0 : 1;
 		left = (str_t){left.p + n, left.n - n};
 	}
 	return event(ctx, &e);
 }
 
-/* Offset behind the event that ends first from `from` on; 0: none ends. */
-static size_t event_end(str_t s, size_t from)
+/* Offset after the first event that ends at or after `from`; 0 if none ends. */
+static size_t find_event_end(str_t s, size_t from)
 {
 	const char *nl;
 
@@ -61,8 +61,8 @@
 	return 0;
 }
 
-/* The last bytes may be the begin of an empty line. */
-#define SEARCH_AGAIN 2
+/* Bytes searched again with the next input: they may be the start of an empty line. */
+#define SEARCH_OVERLAP 2
 
 bool sse_feed(sse_parser_t *s, str_t bytes, sse_callback_t event, void *ctx)
 {
@@ -72,15 +72,15 @@
 
 	buf_add(&s->pending, bytes);
 	while (more) {
-		size_t end = event_end(str_buf(&s->pending), from);
+		size_t end = find_event_end(str_buf(&s->pending), from);
 
 		if (end == 0)
 			break;
-		more = give((str_t){s->pending.p + used, end - used}, event, ctx);
+		more = deliver_event((str_t){s->pending.p + used, end - used}, event, ctx);
 		used = from = end;
 	}
 	buf_drop_front(&s->pending, used);
-	s->searched = s->pending.n > SEARCH_AGAIN ? s->pending.n - SEARCH_AGAIN : 0;
+	s->searched = s->pending.n > SEARCH_OVERLAP ? s->pending.n - SEARCH_OVERLAP : 0;
 	return more && s->pending.n <= SSE_EVENT_MAX_BYTES;
 }
 
--- a/src/net/sse.h
+++ b/src/net/sse.h
@@ -4,12 +4,12 @@
 
 #include "base/str.h"
 
-/** A longer event is malformed, in bytes: events carry some tokens of text. */
+/** Largest event, in bytes; a longer one is malformed, as events carry a few tokens of text. */
 #define SSE_EVENT_MAX_BYTES (1U << 20)
 
 typedef struct {
-	buf_t pending; /* bytes behind the last whole event */
-	size_t searched; /* of these, in which no event ends */
+	buf_t pending; /* bytes after the last complete event */
+	size_t searched; /* leading bytes of pending in which no event ends */
 } sse_parser_t;
 
 typedef struct {
@@ -23,8 +23,8 @@
 /** False stops the parser. */
 typedef bool (*sse_callback_t)(void *ctx, const sse_event_t *e);
 
-/** Takes bytes as they come and calls back for each whole event. False once the callback returned
- * false, or when an event is too long. */
+/** Consumes bytes and calls back for each complete event. False once the callback has returned
+ * false, or if an event is too long. */
 bool sse_feed(sse_parser_t *s, str_t bytes, sse_callback_t event, void *ctx);
 void sse_free(sse_parser_t *s);
 
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -10,11 +10,11 @@
 #include "base/rpc.h"
 
 #define BACKLOG 1024
-/** Unacknowledged bytes end a connection after this, in ms; a silent peer is noticed sooner by the
- * protocols above. */
-#define UNACKED_MS 2000
+/** A connection ends when sent bytes stay unacknowledged for this long, in ms; the protocols above
+ * notice a silent peer sooner. */
+#define UNACKED_MAX_MS 2000
 
-static bool set_addr(const char *addr, struct sockaddr_in *sa)
+static bool parse_addr(const char *addr, struct sockaddr_in *sa)
 {
 	char ip[64];
 	unsigned port;
@@ -27,10 +27,10 @@
 	return inet_pton(AF_INET, ip, &sa->sin_addr) == 1;
 }
 
-static void set_options(int fd)
+static void set_socket_options(int fd)
 {
 	int one = 1;
-	unsigned unacked = UNACKED_MS;
+	unsigned unacked = UNACKED_MAX_MS;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked, sizeof(unacked));
@@ -42,7 +42,7 @@
 	int one = 1;
 	int fd;
 
-	if (!set_addr(addr, &sa)) {
+	if (!parse_addr(addr, &sa)) {
 		status_fail(STATUS_INVALID, "%s is not ip:port", addr);
 		return -1;
 	}
@@ -50,7 +50,7 @@
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (bind(fd, (struct sockaddr *)&sa, sizeof(sa)) == 0 && listen(fd, BACKLOG) == 0)
 		return fd;
-	status_fail(STATUS_IO, "listen on %s: %s", addr, strerror(errno));
+	status_fail(STATUS_IO, "cannot listen on %s: %s", addr, strerror(errno));
 	close(fd);
 	return -1;
 }
@@ -60,7 +60,7 @@
 	int fd = accept4(listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 
 	if (fd >= 0)
-		set_options(fd);
+		set_socket_options(fd);
 	return fd;
 }
 
@@ -69,12 +69,12 @@
 	struct sockaddr_in sa;
 	int fd;
 
-	if (!set_addr(addr, &sa))
+	if (!parse_addr(addr, &sa))
 		return -1;
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd < 0)
 		return -1;
-	set_options(fd);
+	set_socket_options(fd);
 	if (connect(fd, (struct sockaddr *)&sa, sizeof(sa)) == 0 || errno == EINPROGRESS)
 		return fd;
 	close(fd);
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -5,21 +5,22 @@
 #include "base/status.h"
 #include "base/str.h"
 
-/** Listens on "ip:port"; -1 with a message when that can't be done. */
+/** Listens on "ip:port"; -1 with a message on failure. */
 int tcp_listen(const char *addr);
-/** Accepts one connection; -1 when none waits. */
+/** Accepts one connection; -1 if none is pending. */
 int tcp_accept(int listener);
-/** Begins to connect; -1 when that fails at once. */
+/** Starts to connect; -1 if that fails at once. */
 int tcp_connect(const char *addr);
-/** Error of a connect that has ended, 0 when it stands. */
+/** Error of a finished connect; 0 if the connection is established. */
 int tcp_connect_error(int fd);
-#define TCP_READ_CLOSED (-1) /* the peer has sent all it will send */
+#define TCP_READ_CLOSED (-1) /* the peer has closed its sending side */
 #define TCP_READ_BROKEN (-2)
 
-/** Reads what is there, up to max bytes, to the end of in. Returns the count, 0 when nothing waits,
+/** Appends up to max bytes of pending input to in. Returns their number, 0 if none is pending,
  *  TCP_READ_CLOSED or TCP_READ_BROKEN. */
 long tcp_read(int fd, buf_t *in, size_t max);
-/** Writes from the front of out and drops what was taken. False when the connection is broken. */
+/** Writes from the front of out and removes the written bytes. False if the connection is broken.
+ */
 bool tcp_write(int fd, buf_t *out);
 
 #endif
--- a/src/net/worker.c
+++ b/src/net/worker.c
@@ -7,69 +7,69 @@
 typedef struct {
 	worker_task_t *head;
 	worker_task_t **tail;
-} list_t;
+} task_list_t;
 
 struct worker_pool {
 	struct ev_loop *loop;
 	ev_async wake;
 	pthread_mutex_t lock;
-	pthread_cond_t work;
-	list_t todo;
-	list_t done;
+	pthread_cond_t has_task;
+	task_list_t todo;
+	task_list_t done;
 };
 
-static void push(list_t *l, worker_task_t *j)
+static void append_task(task_list_t *list, worker_task_t *task)
 {
-	j->next = NULL;
-	*l->tail = j;
-	l->tail = &j->next;
+	task->next = NULL;
+	*list->tail = task;
+	list->tail = &task->next;
 }
 
-static worker_task_t *take(list_t *l)
+static worker_task_t *take_first_task(task_list_t *list)
 {
-	worker_task_t *j = l->head;
+	worker_task_t *task = list->head;
 
-	if (!j)
+	if (!task)
 		return NULL;
-	l->head = j->next;
-	if (!l->head)
-		l->tail = &l->head;
-	return j;
+	list->head = task->next;
+	if (!list->head)
+		list->tail = &list->head;
+	return task;
 }
 
-static void *run(void *arg)
+static void *worker_thread(void *arg)
 {
 	worker_pool_t *w = arg;
 
 	for (;;) {
-		worker_task_t *j;
+		worker_task_t *task;
 
 		pthread_mutex_lock(&w->lock);
-		while (!(j = take(&w->todo)))
-			pthread_cond_wait(&w->work, &w->lock);
+		while (!(task = take_first_task(&w->todo)))
+			pthread_cond_wait(&w->has_task, &w->lock);
 		pthread_mutex_unlock(&w->lock);
-		j->work(j);
+		task->work(task);
 		pthread_mutex_lock(&w->lock);
-		push(&w->done, j);
+		append_task(&w->done, task);
 		pthread_mutex_unlock(&w->lock);
 		ev_async_send(w->loop, &w->wake);
 	}
 	return NULL;
 }
 
-static void on_wake(struct ev_loop *loop, ev_async *a, int events)
+static void run_done_callbacks(struct ev_loop *loop, ev_async *a, int events)
 {
 	worker_pool_t *w = a->data;
 
 	for (;;) {
-		worker_task_t *j;
+		worker_task_t *task;
 
 		pthread_mutex_lock(&w->lock);
-		j = take(&w->done);
+		task = take_first_task(&w->done);
 		pthread_mutex_unlock(&w->lock);
-		if (!j)
+		if (!task)
 			return;
-		j->done(j);
+		task->done(task);
 	}
 }
 
@@ -81,24 +81,24 @@
 	w->todo.tail = &w->todo.head;
 	w->done.tail = &w->done.head;
 	pthread_mutex_init(&w->lock, NULL);
-	pthread_cond_init(&w->work, NULL);
-	ev_async_init(&w->wake, on_wake);
+	pthread_cond_init(&w->has_task, NULL);
+	ev_async_init(&w->wake, run_done_callbacks);
 	w->wake.data = w;
 	ev_async_start(loop, &w->wake);
 	while (threads-- > 0) {
 		pthread_t t;
 
-		if (pthread_create(&t, NULL, run, w) != 0)
+		if (pthread_create(&t, NULL, worker_thread, w) != 0)
 			abort();
 		pthread_detach(t);
 	}
 	return w;
 }
 
-void worker_pool_submit(worker_pool_t *w, worker_task_t *j)
+void worker_pool_submit(worker_pool_t *w, worker_task_t *task)
 {
 	pthread_mutex_lock(&w->lock);
-	push(&w->todo, j);
-	pthread_cond_signal(&w->work);
+	append_task(&w->todo, task);
+	pthread_cond_signal(&w->has_task);
 	pthread_mutex_unlock(&w->lock);
 }
