--- a/src/proto/link.x
+++ b/src/proto/link.x
@@ -1,29 +1,29 @@
 /*
- * Messages on the links between entries (and control processes that don't lead) and the control
- * process that leads: one link_msg_t a frame. Durations are milliseconds left when it was sent.
+ * Messages on the links from entries, and from control processes that are not the leader, to the
+ * leading control process: one link_msg_t per frame. Durations are milliseconds left when sent.
  */
 #ifdef RPC_HDR
 %#include "proto/wire_xdr.h"
 #endif
 
-/* A text that is or was in force. */
+/* A config that is or was in force. */
 struct link_config_id_t {
 	unsigned hyper number;
-	unsigned hyper digest;		/* of its bytes: numbers begin anew on empty disks */
+	unsigned hyper digest;		/* of the text: numbers start again on empty disks */
 };
 
-/* A request or an item that an entry has at a replica. */
+/* A request or an item that an entry runs at a replica. */
 struct link_run_t {
-	unsigned hyper request;		/* the entry's number of an online request; 0 for an item */
+	unsigned hyper request;		/* the entry's id of an online request; 0 for an item */
 	wire_bytes_t replica;
 	wire_bytes_t job;
 	unsigned int item;
 };
 
-/* A replica that said that it leaves. */
+/* A replica that announced that it leaves. */
 struct link_leaving_t {
 	wire_bytes_t replica;
-	unsigned hyper start_time;		/* when it started, Unix ms; 0: not known */
+	unsigned hyper start_time;	/* Unix ms; 0: unknown */
 };
 
 struct link_hello_t {
@@ -33,14 +33,14 @@
 	bool draining;
 	wire_bytes_t control;		/* ip:port of its RPC; empty for an entry */
 	unsigned hyper replica;		/* id of its replica of group 0 */
-	link_config_id_t text;		/* whose routes it holds; number 0: none */
+	link_config_id_t text;		/* config of the routes it has; number 0: none */
 	link_run_t runs<>;
 	link_leaving_t leaving_replicas<>;
 };
 
 struct link_welcome_t {
 	bool leads;
-	wire_bytes_t leader;		/* ip:port of the leader's RPC, if known and another */
+	wire_bytes_t leader;		/* RPC ip:port of the leader if another process leads */
 };
 
 struct link_share_t {
@@ -48,7 +48,7 @@
 	hyper weight;
 };
 
-/* Times in ms; the fields are those of route_spec_t. */
+/* Times in ms; fields as in route_spec_t. */
 struct link_route_t {
 	wire_bytes_t name;
 	wire_bytes_t host;
@@ -79,9 +79,9 @@
 	hyper connections_max;
 };
 
-/* What makes the routes of one text of those of another, or of none. */
+/* Delta from the routes of one config, or from none, to the routes of another. */
 struct link_routes_t {
-	unsigned hyper label;		/* the operators' own number of the text */
+	unsigned hyper label;		/* the operators' version of the config */
 	hyper header_bytes;
 	hyper body_bytes;
 	hyper header_ms;
@@ -94,9 +94,9 @@
 /* The routes in force. */
 struct link_config_t {
 	link_config_id_t text;
-	link_config_id_t base;		/* that the change is made on; number 0: none */
-	unsigned int size;		/* of the change, unpacked */
-	wire_bytes_t change;		/* an link_routes_t, deflated */
+	link_config_id_t base;		/* config that the delta applies to; number 0: none */
+	unsigned int size;		/* uncompressed size of the delta */
+	wire_bytes_t change;		/* link_routes_t, deflated */
 };
 
 struct link_upstream_t {
@@ -106,7 +106,7 @@
 	wire_bytes_t service;
 	unsigned int slots;
 	bool leaving;
-	unsigned hyper start_time;		/* when it started, Unix ms; 0: not known */
+	unsigned hyper start_time;	/* Unix ms; 0: unknown */
 };
 
 struct link_entry_t {
@@ -115,26 +115,26 @@
 };
 
 struct link_view_t {
-	unsigned int age_ms;		/* of the list of upstreams; UINT32_MAX: never read */
-	bool has_upstreams;		/* else those told before stand */
+	unsigned int age_ms;		/* age of the upstream list; UINT32_MAX: never read */
+	bool has_upstreams;		/* else the last ones sent still apply */
 	link_upstream_t upstreams<>;
 	bool has_entries;
-	link_entry_t entries<>;		/* that take callers */
-	wire_bytes_t controls<>;		/* ip:port of the RPC of each known control process */
+	link_entry_t entries<>;		/* entries that accept callers */
+	wire_bytes_t controls<>;	/* RPC ip:port of each known control process */
 };
 
-/* Asks for a place at a replica for an online request. */
+/* Requests a slot at a replica for an online request. */
 struct link_slot_request_t {
 	unsigned hyper request;
 	wire_bytes_t service;
 	unsigned int priority;		/* 0 goes first */
-	bool resumed;			/* goes on with a stream that its caller reads already */
-	bool returning;			/* its caller has waited elsewhere already */
-	int objective_ms;		/* left until the first byte is due; negative when it is past */
-	int deadline_ms;		/* left until its caller gives up */
-	int give_up_left_ms;			/* left until its caller leaves unless an event has come */
-	unsigned hyper prefix;		/* hash of the shared parts of its prompt */
-	wire_bytes_t avoid<>;		/* replicas that failed it */
+	bool resumed;			/* resumes a stream that its caller is reading */
+	bool returning;			/* its caller has already waited at another entry */
+	int objective_ms;		/* left until the first byte is due; negative if overdue */
+	int deadline_ms;		/* caller timeout: left until the caller gives up */
+	int give_up_left_ms;		/* left until the caller gives up unless an event arrives */
+	unsigned hyper prefix;		/* hash of the shared prompt prefix */
+	wire_bytes_t avoid<>;		/* replicas that have failed it */
 };
 
 struct link_grant_t {
@@ -151,20 +151,20 @@
 
 enum link_outcome_t {
 	LINK_OUTCOME_OK = 0,
-	LINK_OUTCOME_FULL = 1,			/* the replica said that it didn't run it for want of room */
-	LINK_OUTCOME_UNREACHABLE = 2,			/* no connection, or another replica answers there */
-	LINK_OUTCOME_BROKEN = 3,			/* the answer ended early or was malformed */
-	LINK_OUTCOME_SILENT = 4,			/* no event came for too long */
-	LINK_OUTCOME_FAILED = 5,			/* the replica answered with a failure */
-	LINK_OUTCOME_CANCELLED = 6,			/* the caller left, or the run was stopped */
-	LINK_OUTCOME_REPLICA_LEAVING = 7			/* the replica had said that it leaves, and wasn't asked */
+	LINK_OUTCOME_FULL = 1,		/* the replica rejected it unrun: no free capacity */
+	LINK_OUTCOME_UNREACHABLE = 2,	/* no connection, or another replica has the address */
+	LINK_OUTCOME_BROKEN = 3,	/* the response ended early or was malformed */
+	LINK_OUTCOME_SILENT = 4,	/* silence timeout: no event for too long */
+	LINK_OUTCOME_FAILED = 5,	/* the replica replied with an error */
+	LINK_OUTCOME_CANCELLED = 6,	/* the caller gave up, or the run was stopped */
+	LINK_OUTCOME_REPLICA_LEAVING = 7	/* the replica is leaving, so it was not called */
 };
 
 struct link_ended_t {
 	unsigned hyper request;
 	wire_bytes_t replica;
 	link_outcome_t outcome;
-	int first_ms;			/* until the first byte; -1: none came */
+	int first_ms;			/* time to the first byte; -1: none came */
 };
 
 struct link_item_run_t {
@@ -178,8 +178,8 @@
 	wire_bytes_t replica;
 	wire_bytes_t addr;		/* ip:port of the replica */
 	unsigned hyper start_time;
-	wire_bytes_t text;		/* made by earlier runs */
-	unsigned int events;		/* that text holds */
+	wire_bytes_t text;		/* produced by earlier runs */
+	unsigned int events;		/* number of events in text */
 	int deadline_ms;
 };
 
@@ -190,9 +190,9 @@
 
 enum link_item_end_t {
 	LINK_ITEM_END_DONE = 0,
-	LINK_ITEM_END_IMPOSSIBLE = 1,		/* the replica says that it can never be done */
-	LINK_ITEM_END_FAILED = 2,		/* the replica answered with a failure */
-	LINK_ITEM_END_UNFINISHED = 3		/* not finished: stopped, or its replica was lost */
+	LINK_ITEM_END_IMPOSSIBLE = 1,	/* rejected by the replica for good */
+	LINK_ITEM_END_FAILED = 2,	/* the replica replied with an error */
+	LINK_ITEM_END_UNFINISHED = 3	/* not finished: stopped, or its replica was lost */
 };
 
 struct link_item_ended_t {
@@ -205,7 +205,7 @@
 	unsigned int events;
 };
 
-/* Events of a running item since the last report. */
+/* New events of a running item since the last report. */
 struct link_item_progress_t {
 	wire_bytes_t job;
 	unsigned int item;
@@ -221,8 +221,8 @@
 	LINK_CALL_LOT_END = 4,
 	LINK_CALL_CONFIG_SUBMIT = 5,
 	LINK_CALL_CONFIG_GET = 6,
-	LINK_CALL_RETIRE = 7,		/* empty a control process */
-	LINK_CALL_RETIRE_STATUS = 8		/* how far that is */
+	LINK_CALL_RETIRE = 7,		/* retire a control process */
+	LINK_CALL_RETIRE_STATUS = 8	/* progress of the retirement */
 };
 
 struct link_lot_read_t {
@@ -269,10 +269,10 @@
 	unsigned hyper id;
 	int status;			/* status_t */
 	wire_bytes_t message;
-	wire_bytes_t bytes;		/* BODY, CONF */
-	unsigned int total;		/* READ: items of the job */
-	link_result_t results<>;		/* READ */
-	bool empty;			/* RETIRED: it holds nothing any more */
+	wire_bytes_t bytes;		/* ITEM_BODY, CONFIG_GET */
+	unsigned int total;		/* LOT_READ: number of items of the lot */
+	link_result_t results<>;	/* LOT_READ */
+	bool empty;			/* RETIRE_STATUS: it has no replica left */
 };
 
 enum link_kind_t {
@@ -283,7 +283,7 @@
 	LINK_SLOT_REQUEST = 5,
 	LINK_GRANT = 6,
 	LINK_REFUSE = 7,
-	LINK_WITHDRAW = 8,			/* the caller of a waiting request left */
+	LINK_WITHDRAW = 8,		/* the caller of a waiting request gave up */
 	LINK_ENDED = 9,
 	LINK_ITEM_RUN = 10,
 	LINK_ITEM_STOP = 11,
@@ -293,7 +293,7 @@
 	LINK_PING = 15,
 	LINK_ITEM_PROGRESS = 16,
 	LINK_LEAVING = 18,
-	LINK_CONFIG_IN_FORCE = 17			/* the sender has the routes of this text in force */
+	LINK_CONFIG_IN_FORCE = 17	/* the sender uses the routes of this config */
 };
 
 union link_msg_t switch (link_kind_t kind) {
--- a/src/proto/px_grow.c
+++ b/src/proto/px_grow.c
@@ -8,7 +8,7 @@
 #undef xdr_bytes
 
 #define FIRST_ITEMS 16
-#define FIRST_BYTES 65536 /* a multiple of 4: only the last part is padded */
+#define FIRST_BYTES 65536 /* a multiple of 4, so that only the last part has padding */
 
 static u_int next_cap(u_int cap, u_int first, u_int n)
 {
--- a/src/proto/px_grow.h
+++ b/src/proto/px_grow.h
@@ -1,13 +1,14 @@
-/** Decoders for arrays and bytes whose memory grows with what has arrived, never with a length that
- *  a message merely claims. The build puts them in the place of the library's in generated code. */
+/** Decoders of arrays and bytes whose memory grows as data arrives. They do not allocate the length
+ *  that a message claims, so that a short malformed message cannot exhaust memory. The build
+ *  substitutes them for the library's in generated code. */
 #ifndef AUBURN_PX_GROW_H
 #define AUBURN_PX_GROW_H
 
 #include <rpc/rpc.h>
 
-/** As xdr_array; when decoding, *items must be NULL, and after a failure *n counts what to free. */
+/** Like xdr_array. When decoding, *items must be NULL; after a failure *n is the number to free. */
 bool_t wire_xdr_array(XDR *x, caddr_t *items, u_int *n, u_int max, u_int item_size, xdrproc_t proc);
-/** As xdr_bytes; when decoding, *bytes must be NULL. */
+/** Like xdr_bytes. When decoding, *bytes must be NULL. */
 bool_t wire_xdr_bytes(XDR *x, char **bytes, u_int *n, u_int max);
 
 #define xdr_array wire_xdr_array
--- a/src/proto/raft.x
+++ b/src/proto/raft.x
@@ -1,5 +1,5 @@
 /*
- * Messages between the replicas of one group, and what a membership entry of the log holds.
+ * Raft messages between the replicas of a group, and the content of membership entries of the log.
  */
 
 enum raft_msg_type_t {
@@ -40,17 +40,19 @@
 	unsigned hyper term;
 	opaque addr<63>;		/* of the sender */
 	unsigned hyper index;		/* APPEND: entry before the first; VOTE: last of the log;
-					   APPEND_RESP: synced, or the refused one; SNAP: its last */
+					   APPEND_RESP: last synced, or the refused one;
+					   SNAPSHOT: last entry in it */
 	unsigned hyper log_term;	/* term of the entry at index */
 	unsigned hyper commit;
 	unsigned hyper round;		/* read index: number of the leader's round, echoed */
-	unsigned hyper hint;		/* refusal: where the logs may meet; SNAP_RESP: wanted
-					   offset; last SNAP: checksum of the whole */
+	unsigned hyper hint;		/* refusal: index where the logs may agree;
+					   SNAPSHOT_RESP: wanted offset;
+					   last SNAPSHOT: checksum of the whole */
 	bool reject;
-	bool force;			/* VOTE for a transfer of leadership: leases don't count */
+	bool force;			/* VOTE for a leadership transfer: ignores leader leases */
 	raft_entry_t entries<>;
-	unsigned hyper offset;		/* SNAP: place of data in the whole */
+	unsigned hyper offset;		/* SNAPSHOT: offset of data in the whole */
 	bool last;
-	opaque conf<>;			/* SNAP: members at index */
+	opaque conf<>;			/* SNAPSHOT: members at index */
 	opaque data<>;
 };
--- a/src/proto/wire.c
+++ b/src/proto/wire.c
@@ -46,7 +46,7 @@
 	used = xdr_getpos(&x);
 	xdr_destroy(&x);
 	if (!ok || used != s.n)
-		return status_fail(STATUS_CORRUPT, "message of %zu bytes can't be decoded", s.n);
+		return status_fail(STATUS_CORRUPT, "malformed XDR message of %zu bytes", s.n);
 	return STATUS_OK;
 }
 
--- a/src/proto/wire.h
+++ b/src/proto/wire.h
@@ -1,4 +1,4 @@
-/** Conversions between str_t and XDR bytes, and encoding of whole messages. */
+/** Conversions between str_t and XDR bytes, and XDR encoding of whole messages. */
 #ifndef AUBURN_WIRE_H
 #define AUBURN_WIRE_H
 
@@ -8,22 +8,22 @@
 
 /** A borrowed view of XDR bytes. */
 str_t wire_str(wire_bytes_t b);
-/** XDR bytes that borrow s; never free them with xdr_free. */
+/** XDR bytes that borrow s; not to be freed with xdr_free. */
 wire_bytes_t wire_bytes(str_t s);
 /** XDR bytes that own a copy of s; xdr_free frees them. */
 wire_bytes_t wire_copy(str_t s);
 /** Appends the encoding of msg to out. */
 void wire_encode(buf_t *out, xdrproc_t proc, const void *msg);
-/** Decodes all of s into *msg, which is zeroed first; STATUS_CORRUPT on a bad or longer encoding.
- *  The caller frees with wire_free, also after an error. */
+/** Decodes all of s into *msg, which is zeroed first. STATUS_CORRUPT: malformed, or s is longer
+ * than the message. The caller frees with wire_free, also after an error. */
 status_t wire_decode(str_t s, xdrproc_t proc, void *msg, size_t msg_size);
-/** Makes *out an own copy of msg, both of msg_size bytes; the caller frees it with wire_free. */
+/** Makes *out a deep copy of msg, both of msg_size bytes; the caller frees it with wire_free. */
 void wire_dup(xdrproc_t proc, const void *msg, void *out, size_t msg_size);
 void wire_free(xdrproc_t proc, void *msg);
-/** xdrproc_t of a generated type, e.g. XDR_PROC(wire_view_t). */
+/** XDR routine of a generated type, e.g. XDR_PROC(wire_view_t). */
 #define XDR_PROC(type) ((xdrproc_t)xdr_##type)
 
-/** Ledger group, from 1, that holds a caller's key or job. */
+/** Number, from 1, of the ledger group that stores the caller's key or job. */
 unsigned wire_ledger_group(str_t caller, str_t key, unsigned groups);
 
 #endif
--- a/src/proto/wire.x
+++ b/src/proto/wire.x
@@ -1,23 +1,27 @@
 /*
- * Messages between auburnwing's own processes (ONC RPC) and the commands that the
- * replicated logs carry. A command is XDR-encoded once and stored as it is.
- * Times that leave a process are wall-clock ms or milliseconds left.
+ * ONC RPC messages between auburnwing's own processes, and the commands in the replicated logs. A
+ * command is XDR-encoded once and stored as it is. Times that leave a process are wall-clock ms or
+ * milliseconds left.
  */
 
 typedef opaque wire_bytes_t<>;
 
 /* ---- group 0: the fleet ---- */
 
-enum wire_upstream_state_t { WIRE_UPSTREAM_LIVE = 0, WIRE_UPSTREAM_LEAVING = 1, WIRE_UPSTREAM_GONE = 2 };
+enum wire_upstream_state_t {
+	WIRE_UPSTREAM_LIVE = 0,
+	WIRE_UPSTREAM_LEAVING = 1,
+	WIRE_UPSTREAM_GONE = 2
+};
 
 struct wire_upstream_t {
 	wire_bytes_t id;
-	wire_bytes_t addr;		/* ip:port of its HTTP side */
+	wire_bytes_t addr;		/* HTTP ip:port */
 	wire_bytes_t zone;
 	wire_bytes_t service;
 	wire_upstream_state_t state;
 	unsigned hyper owner;		/* session of the owning entry, 0 = none */
-	unsigned hyper fence;		/* fencing number of this ownership */
+	unsigned hyper fence;		/* fencing token of this ownership */
 };
 
 struct wire_member_t {
@@ -26,7 +30,7 @@
 	wire_bytes_t peer;		/* ip:port for other entries (RPC) */
 	wire_bytes_t zone;
 	unsigned hyper boot;		/* random, new at each start */
-	unsigned hyper session;		/* given by group 0 */
+	unsigned hyper session;		/* assigned by group 0 */
 	bool draining;
 };
 
@@ -42,12 +46,12 @@
 };
 
 struct wire_owner_change_t {
-	wire_bytes_t id;			/* upstream */
-	unsigned hyper was_fence;	/* skipped unless it still stands */
+	wire_bytes_t id;		/* upstream */
+	unsigned hyper was_fence;	/* skipped unless this is still the fencing token */
 	unsigned hyper session;		/* new owner, 0 = none */
 };
 
-/* ---- group 0: batch lots, which are accepted whole and run item by item ---- */
+/* ---- group 0: batch lots, accepted as a whole and run item by item ---- */
 
 struct wire_lot_item_t {
 	wire_bytes_t id;
@@ -59,12 +63,12 @@
 
 struct wire_lot_open_t {
 	wire_bytes_t lot;
-	wire_bytes_t route;		/* whose quota it counts for */
+	wire_bytes_t route;		/* the lot counts for the quota of this route */
 	wire_bytes_t host;
 	hyper due_wall_ms;
-	hyper drop_wall_ms;		/* items that aren't done by then are given up */
-	hyper forget_wall_ms;		/* results are readable until then */
-	unsigned hyper quota;		/* tokens that may wait on the route; 0: no bound */
+	hyper drop_wall_ms;		/* items not done by then are dropped */
+	hyper forget_wall_ms;		/* results can be read until then */
+	unsigned hyper quota;		/* limit on the waiting tokens of the route; 0: none */
 	wire_lot_item_t items<>;
 };
 
@@ -75,16 +79,16 @@
 	wire_bytes_t text;
 };
 
-/* Events that an item has made since, so that no run begins anew after a fault. */
+/* Events that an item has produced, so that its next run resumes after a failure. */
 struct wire_lot_progress_t {
 	wire_bytes_t lot;
 	unsigned int item;
-	unsigned int from;		/* passed over unless as many are held */
-	unsigned int events;		/* held afterwards */
+	unsigned int from;		/* events held before; ignored unless it matches */
+	unsigned int events;		/* events held afterwards */
 	wire_bytes_t text;		/* appended */
 };
 
-/* What was gathered for one commit, in the order in which it is applied. */
+/* Changes of lots gathered for one commit, in the order in which they are applied. */
 struct wire_lots_cmd_t {
 	hyper now_wall_ms;
 	wire_lot_progress_t progress<>;
@@ -93,7 +97,7 @@
 	wire_lot_open_t opens<>;
 };
 
-/* A control process that is to hold nothing any more. */
+/* A control process that an operator retires: it must end up with no replica. */
 struct wire_retire_t {
 	wire_bytes_t name;
 	unsigned hyper replica;		/* id of its replica of group 0 */
@@ -106,7 +110,7 @@
 	WIRE_FLEET_SESSION_CLOSE = 4,
 	WIRE_FLEET_OWNERS = 5,
 	WIRE_FLEET_UPSTREAMS = 6,
-	WIRE_FLEET_FORGET = 7,		/* closed sessions that every ledger group was told of */
+	WIRE_FLEET_FORGET = 7,		/* closed sessions known to all ledger groups */
 	WIRE_FLEET_LOTS = 8,
 	WIRE_FLEET_RETIRE = 9
 };
@@ -135,9 +139,11 @@
 struct wire_fleet_res_t {
 	int status;			/* status_t */
 	wire_bytes_t message;
-	unsigned hyper number;		/* CONF_SUBMIT: the number in force; SESSION_OPEN: the session */
-	unsigned hyper winner_digest;	/* CONF_SUBMIT: digest of the text that holds the number asked for */
-	int opened<>;			/* LOTS: status_t of each of its opens */
+	unsigned hyper number;		/* CONFIG_SUBMIT: number of the config in force;
+					   SESSION_OPEN: the session */
+	unsigned hyper winner_digest;	/* CONFIG_SUBMIT: digest of the config that has the
+					   submitted number */
+	int opened<>;			/* LOTS: status_t of each lot opened */
 };
 
 struct wire_view_t {
@@ -158,9 +164,9 @@
 /* ---- ledger groups: requests, jobs, items ---- */
 
 enum wire_state_t {
-	WIRE_ACCEPTED = 0,	/* committed, no attempt that may not be repeated is open */
-	WIRE_ATTEMPTED = 1,	/* a call that may not be repeated was begun */
-	WIRE_DONE = 2,		/* ran, result stored */
+	WIRE_ACCEPTED = 0,		/* committed; no unrepeatable attempt is open */
+	WIRE_ATTEMPTED = 1,		/* an unrepeatable call was started */
+	WIRE_DONE = 2,			/* ran, result stored */
 	WIRE_FAILED = 3,		/* final, no result */
 	WIRE_CANCELLED = 4
 };
@@ -194,7 +200,8 @@
 	int http_status;
 	wire_bytes_t result;
 	hyper now_wall_ms;
-	unsigned hyper session;		/* of the sender; one that doesn't hold the request can't fail it. 0 = unchecked */
+	unsigned hyper session;		/* of the sender; only the session that holds the request
+					   can fail it; 0: unchecked */
 };
 
 struct wire_job_open_t {
@@ -206,7 +213,7 @@
 	unsigned int count;
 	wire_bytes_t trace;
 	hyper now_wall_ms;
-	unsigned int share;		/* the caller's weight in the fair share; 0 counts as 1 */
+	unsigned int share;		/* the caller's weight in fair sharing; 0 counts as 1 */
 };
 
 struct wire_job_items_t {
@@ -224,7 +231,8 @@
 
 struct wire_lease_t {
 	unsigned hyper session;
-	unsigned hyper seq;		/* the session's count of lease commands; a resend gets the same items */
+	unsigned hyper seq;		/* count of the session's lease commands; a resend
+					   gets the same items */
 	wire_bytes_t service;
 	unsigned int max;
 	hyper now_wall_ms;
@@ -232,11 +240,11 @@
 
 struct wire_item_t {
 	wire_bytes_t caller;
-	wire_bytes_t job;			/* empty for a request whose entry was lost */
-	wire_bytes_t key;			/* the request's key then */
+	wire_bytes_t job;		/* empty for a request whose entry was lost */
+	wire_bytes_t key;		/* key of the request if job is empty */
 	unsigned int index;
 	unsigned int attempt;
-	bool alone;			/* suspected of killing replicas: nothing else beside it */
+	bool alone;			/* suspected of killing replicas: runs alone on one */
 	bool repeatable;
 	hyper deadline_wall_ms;
 	wire_bytes_t path;
@@ -245,15 +253,15 @@
 };
 
 enum wire_blame_t {
-	WIRE_BLAME_NONE = 0,		/* given back unrun, preempted, or its entry stopped */
-	WIRE_BLAME_ITEM = 1,		/* it failed of itself */
-	WIRE_BLAME_REPLICA = 2		/* the replica or its VM died with it */
+	WIRE_BLAME_NONE = 0,		/* returned unrun, preempted, or the entry stopped */
+	WIRE_BLAME_ITEM = 1,		/* the item itself failed */
+	WIRE_BLAME_REPLICA = 2		/* the replica or its VM died while it ran */
 };
 
 struct wire_item_result_t {
 	wire_bytes_t caller;
 	wire_bytes_t job;
-	wire_bytes_t key;			/* as in wire_item_t: the request's key when job is empty */
+	wire_bytes_t key;		/* as in wire_item_t: key of the request if job is empty */
 	unsigned int index;
 	unsigned int attempt;
 	bool done;
@@ -317,11 +325,11 @@
 };
 
 struct wire_record_t {
-	bool fresh;			/* this command made it */
+	bool fresh;			/* created by this command */
 	wire_state_t state;
 	int verdict;
 	int http_status;
-	unsigned hyper session;		/* entry that works on it */
+	unsigned hyper session;		/* session of the entry that runs it */
 	wire_bytes_t service;
 	wire_bytes_t result;
 };
@@ -344,15 +352,16 @@
 	bool fresh;
 };
 
-/* answer to any ledger command or query */
+/* Answer to any ledger command or query. */
 struct wire_ledger_res_t {
 	int status;			/* status_t */
 	wire_bytes_t message;
 	wire_record_t record;		/* ACCEPT, ATTEMPT, FINISH */
 	wire_job_t job;			/* JOB_* */
 	wire_item_t items<>;		/* LEASE */
-	unsigned int count;		/* DONE: results taken; EXPIRE: things removed */
-	wire_job_ref_t cancelled<>;	/* DONE, LEASE: cancelled jobs with items still leased to this session */
+	unsigned int count;		/* DONE: results accepted; EXPIRE: records removed */
+	wire_job_ref_t cancelled<>;	/* DONE, LEASE: cancelled jobs with items that this
+					   session still leases */
 };
 
 /* ---- queries (linearizable reads, not logged) ---- */
@@ -386,7 +395,7 @@
 
 union wire_query_t switch (wire_query_kind_t kind) {
 case WIRE_QUERY_CONFIG:
-	unsigned hyper number;		/* 0 = the one in force */
+	unsigned hyper number;		/* 0: the one in force */
 case WIRE_QUERY_VIEW:
 	unsigned hyper known_version;
 case WIRE_QUERY_REQUEST:
@@ -421,7 +430,7 @@
 struct wire_exec_arg_t {
 	unsigned int group;
 	unsigned int wait_ms;		/* time left */
-	bool forward;			/* a process that doesn't lead passes it on to the leader */
+	bool forward;			/* a follower forwards it to the leader */
 	wire_bytes_t payload;		/* an encoded command or query */
 };
 
@@ -433,7 +442,7 @@
 };
 
 struct wire_heartbeat_arg_t {
-	wire_member_t member;		/* session 0 asks for one */
+	wire_member_t member;		/* session 0 asks for a new one */
 	unsigned hyper conf_number;	/* in force at the sender */
 	unsigned hyper view_version;
 	bool forward;			/* as in wire_exec_arg_t */
@@ -443,7 +452,7 @@
 	int status;
 	wire_bytes_t leader;
 	unsigned hyper session;
-	unsigned int lease_ms;		/* counted from when the sender sent */
+	unsigned int lease_ms;		/* from the time the request was sent */
 	unsigned hyper conf_number;
 	unsigned hyper view_version;
 };
@@ -468,14 +477,14 @@
 };
 
 struct wire_load_t {
-	wire_bytes_t id;			/* replica */
+	wire_bytes_t id;		/* replica */
 	unsigned hyper fence;
 	int free_slots;
 	int queued;
 	int running;
-	int step_us;			/* recent time between tokens */
-	int drain_ms;			/* until a stream offered now would give its first token */
-	unsigned hyper prefixes<>;	/* hashes of prefixes that its cache holds */
+	int step_us;			/* recent time between two tokens */
+	int drain_ms;			/* time to first token for a new stream */
+	unsigned hyper prefixes<>;	/* hashes of the prompt prefixes in its cache */
 };
 
 struct wire_load_arg_t {
