--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -1,4 +1,4 @@
-/** auburnctl: what its files show each other. */
+/** auburnctl: declarations shared by its files. */
 #ifndef AUBURN_CTL_H
 #define AUBURN_CTL_H
 
@@ -14,10 +14,10 @@
 	char *operator_key; /* operator's bearer key */
 } ctl_settings_t;
 
-/** Options and words of the command line. */
+/** Settings, and the options and words of the command line. */
 typedef struct {
-	ctl_settings_t s;
-	const char *words[4]; /* NULL-ended: group, action, argument */
+	ctl_settings_t settings;
+	const char *words[4]; /* NULL-terminated: group, action, argument */
 	const char *service;
 	const char *key;
 	const char *prompt;
@@ -29,7 +29,7 @@
 	bool wait;
 } ctl_t;
 
-/** Runs one command; gives the exit code. */
+/** Runs one command and returns the exit code. */
 typedef int (*ctl_command_t)(ctl_t *ct);
 
 int ctl_config_check(ctl_t *ct);
@@ -49,31 +49,33 @@
 
 status_t ctl_settings_load(const char *path, ctl_settings_t *s);
 
-/* ct_http.c */
+/* ---- ctl_http.c: calls of entries ---- */
+
 typedef struct {
 	const char *method;
 	const char *path;
 	str_t body;
 	bool as_operator;
 	const char *idempotency_key; /* may be NULL */
-	bool show_upload; /* a progress line on standard error */
-	/** Called with each piece of a good answer instead of keeping it; may be NULL. */
-	void (*on_piece)(void *ctx, str_t piece);
+	bool show_upload; /* print upload progress on standard error */
+	/** Called with each part of the body of a 200 response, which is not stored then; may be
+	 * NULL. */
+	void (*on_chunk)(void *ctx, str_t chunk);
 	void *ctx;
 } ctl_call_t;
 
-/** Asks the entries in turn, first those that GET /v1/addresses names; *http gets the status code.
- *  STATUS_UNAVAILABLE when none was reached. */
+/** Sends the call to the known entries in turn until one answers; *http gets the status code.
+ *  STATUS_UNAVAILABLE: none was reached. */
 status_t ctl_call(ctl_t *ct, const ctl_call_t *call, buf_t *out, long *http);
-/** The same to one entry only. */
+/** Sends the call to one entry. */
 status_t ctl_call_entry(ctl_t *ct, const char *addr, const ctl_call_t *call, buf_t *out,
 			long *http);
-/** All entries of the fleet that are known: from the view if one answers, else from the settings.
- */
+/** Addresses of the entries: from GET /v1/addresses of the first entry that answers, else those of
+ * the settings. */
 void ctl_list_entries(ctl_t *ct, toml_strs_t *out);
-/** Prints an error answer and gives the exit code. */
+/** Prints an error response and returns the exit code. */
 int ctl_print_error(status_t st, long http, const buf_t *body);
-/** Runs the call, prints the body and gives the exit code. */
+/** Sends the call, prints the body of the response and returns the exit code. */
 int ctl_call_print(ctl_t *ct, const ctl_call_t *call);
 /** Reads a file, "-" for standard input. */
 status_t ctl_read_file(const char *path, buf_t *out);
--- a/src/ctl/ctl_config.c
+++ b/src/ctl/ctl_config.c
@@ -6,18 +6,18 @@
 
 #define PATH_BYTES 128
 
-static status_t read_text(ctl_t *ct, buf_t *text)
+static status_t read_config_file(ctl_t *ctl, buf_t *text)
 {
-	if (!ct->words[2])
-		return status_fail(STATUS_INVALID, "config %s needs a file", ct->words[1]);
-	return ctl_read_file(ct->words[2], text);
+	if (!ctl->words[2])
+		return status_fail(STATUS_INVALID, "config %s needs a file", ctl->words[1]);
+	return ctl_read_file(ctl->words[2], text);
 }
 
-int ctl_config_check(ctl_t *ct)
+int ctl_config_check(ctl_t *ctl)
 {
 	AUTO_BUF text = {0};
 	AUTO_ROUTE_TABLE *routes = NULL;
-	status_t st = read_text(ct, &text);
+	status_t st = read_config_file(ctl, &text);
 
 	if (st == STATUS_OK)
 		st = routes_decode(str_buf(&text), 0, &routes);
@@ -29,8 +29,9 @@
 	return EXIT_OK;
 }
 
-/* The text in force and its number; number 0 when there is none. */
-static int fetch(ctl_t *ct, int number, buf_t *text, json_int_t *got)
+/* Fetches the config with this number, or the one in force if number is 0. *found: its number; 0 if
+ * there is none. */
+static int fetch_config(ctl_t *ctl, int number, buf_t *text, json_int_t *found)
 {
 	char path[PATH_BYTES];
 	ctl_call_t call = {.method = "GET", .path = path, .as_operator = true};
@@ -40,35 +41,35 @@
 	json_t *o;
 
 	snprintf(path, sizeof(path), number ? "/v1/config?number=%d" : "/v1/config", number);
-	*got = 0;
-	st = ctl_call(ct, &call, &body, &http);
+	*found = 0;
+	st = ctl_call(ctl, &call, &body, &http);
 	if (st == STATUS_OK && http == 404 && !number)
 		return EXIT_OK;
 	if (st != STATUS_OK || http != 200)
 		return ctl_print_error(st, http, &body);
 	o = json_loadb(body.p, body.n, 0, NULL);
-	*got = json_integer_value(json_object_get(o, "number"));
+	*found = json_integer_value(json_object_get(o, "number"));
 	if (json_is_string(json_object_get(o, "text")))
 		buf_add(text, str_c(json_string_value(json_object_get(o, "text"))));
 	json_decref(o);
 	return EXIT_OK;
 }
 
-int ctl_config_submit(ctl_t *ct)
+int ctl_config_submit(ctl_t *ctl)
 {
 	AUTO_BUF text = {0};
 	AUTO_BUF old = {0};
 	char path[PATH_BYTES];
 	ctl_call_t call = {.method = "PUT", .path = path, .as_operator = true};
 	json_int_t in_force = 0;
-	int number = ct->number;
+	int number = ctl->number;
 
-	if (read_text(ct, &text) != STATUS_OK) {
+	if (read_config_file(ctl, &text) != STATUS_OK) {
 		fprintf(stderr, "auburnctl: %s\n", status_message());
 		return EXIT_USAGE;
 	}
 	if (number == 0) {
-		int code = fetch(ct, 0, &old, &in_force);
+		int code = fetch_config(ctl, 0, &old, &in_force);
 
 		if (code != EXIT_OK)
 			return code;
@@ -76,18 +77,18 @@
 	}
 	snprintf(path, sizeof(path), "/v1/config?number=%d", number);
 	call.body = str_buf(&text);
-	return ctl_call_print(ct, &call);
+	return ctl_call_print(ctl, &call);
 }
 
-int ctl_config_show(ctl_t *ct)
+int ctl_config_show(ctl_t *ctl)
 {
 	AUTO_BUF text = {0};
 	json_int_t number = 0;
-	int code = fetch(ct, ct->number, &text, &number);
+	int code = fetch_config(ctl, ctl->number, &text, &number);
 
 	if (code != EXIT_OK)
 		return code;
-	if (ct->json) {
+	if (ctl->json) {
 		json_t *o = json_pack("{s:I,s:s}", "number", number, "text", text.p ? text.p : "");
 
 		json_dumpf(o, stdout, JSON_COMPACT);
@@ -120,32 +121,33 @@
 	return false;
 }
 
-static void print_missing(char mark, str_t from, str_t in)
+/* Prints the lines of text that other does not have. */
+static void print_only_in(char mark, str_t text, str_t other)
 {
-	while (from.n) {
-		str_t line = next_line(&from);
+	while (text.n) {
+		str_t line = next_line(&text);
 
-		if (line.n && !has_line(in, line))
+		if (line.n && !has_line(other, line))
 			printf("%c %.*s\n", mark, STR_ARG(line));
 	}
 }
 
-/* Lines that only one of the two texts has. */
-int ctl_config_diff(ctl_t *ct)
+/* Prints the lines that only one of the two configs has. */
+int ctl_config_diff(ctl_t *ctl)
 {
 	AUTO_BUF text = {0};
 	AUTO_BUF in_force = {0};
 	json_int_t number = 0;
 	int code;
 
-	if (read_text(ct, &text) != STATUS_OK) {
+	if (read_config_file(ctl, &text) != STATUS_OK) {
 		fprintf(stderr, "auburnctl: %s\n", status_message());
 		return EXIT_USAGE;
 	}
-	code = fetch(ct, ct->number, &in_force, &number);
+	code = fetch_config(ctl, ctl->number, &in_force, &number);
 	if (code != EXIT_OK)
 		return code;
-	print_missing('-', str_buf(&in_force), str_buf(&text));
-	print_missing('+', str_buf(&text), str_buf(&in_force));
+	print_only_in('-', str_buf(&in_force), str_buf(&text));
+	print_only_in('+', str_buf(&text), str_buf(&in_force));
 	return EXIT_OK;
 }
--- a/src/ctl/ctl_explain.c
+++ b/src/ctl/ctl_explain.c
@@ -5,10 +5,10 @@
 #include "client/control_client.h"
 #include "ctl/ctl.h"
 
-#define ASK_MS	    2000
-#define LINES_MAX   500
-#define PATH_BYTES  512
-#define TRACE_CHARS 32
+#define CONTROL_TIMEOUT_MS    2000
+#define LINES_PER_PROCESS_MAX 500
+#define PATH_BYTES	      512
+#define TRACE_CHARS	      32
 
 typedef struct {
 	char **v;
@@ -29,19 +29,20 @@
 	}
 }
 
-static void from_entries(ctl_t *ct, const char *needle, lines_t *l)
+static void collect_from_entries(ctl_t *ctl, const char *needle, lines_t *l)
 {
 	char path[PATH_BYTES];
 	ctl_call_t call = {.method = "GET", .path = path, .as_operator = true};
 	toml_strs_t addrs;
 
-	snprintf(path, sizeof(path), "/v1/events?key=%s&max=%d", needle, LINES_MAX);
-	ctl_list_entries(ct, &addrs);
+	snprintf(path, sizeof(path), "/v1/events?key=%s&max=%d", needle, LINES_PER_PROCESS_MAX);
+	ctl_list_entries(ctl, &addrs);
 	for (size_t i = 0; i < addrs.n; i++) {
 		AUTO_BUF body = {0};
 		long http = 0;
 
-		if (ctl_call_entry(ct, addrs.v[i], &call, &body, &http) == STATUS_OK && http == 200)
+		if (ctl_call_entry(ctl, addrs.v[i], &call, &body, &http) == STATUS_OK &&
+		    http == 200)
 			add_lines(l, str_buf(&body));
 		else
 			fprintf(stderr, "auburnctl: entry %s was not reached\n", addrs.v[i]);
@@ -49,33 +50,34 @@
 	toml_strs_free(&addrs);
 }
 
-static void from_controls(ctl_t *ct, const char *needle, lines_t *l)
+static void collect_from_controls(ctl_t *ctl, const char *needle, lines_t *l)
 {
 	control_client_t *cc;
 
-	if (ct->s.controls.n == 0)
+	if (ctl->settings.controls.n == 0)
 		return;
-	cc = control_client_new((const char *const *)ct->s.controls.v, ct->s.controls.n, 1);
-	for (size_t i = 0; i < ct->s.controls.n; i++) {
+	cc = control_client_new((const char *const *)ctl->settings.controls.v,
+				ctl->settings.controls.n, 1);
+	for (size_t i = 0; i < ctl->settings.controls.n; i++) {
 		AUTO_BUF text = {0};
 
-		if (control_client_events(cc, i, str_c(needle), LINES_MAX, &text,
-					  clock_now_ms() + ASK_MS) == STATUS_OK)
+		if (control_client_events(cc, i, str_c(needle), LINES_PER_PROCESS_MAX, &text,
+					  clock_now_ms() + CONTROL_TIMEOUT_MS) == STATUS_OK)
 			add_lines(l, str_buf(&text));
 		else
 			fprintf(stderr, "auburnctl: control %s was not reached\n",
-				ct->s.controls.v[i]);
+				ctl->settings.controls.v[i]);
 	}
 	control_client_free(cc);
 }
 
-/* Lines begin with t=MS, so their text order is their order in time. */
-static int by_time(const void *a, const void *b)
+/* Lines begin with t=MS, so that their text order is their order in time. */
+static int compare_lines(const void *a, const void *b)
 {
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-static bool has(const lines_t *l, const char *line)
+static bool has_line(const lines_t *l, const char *line)
 {
 	for (size_t i = 0; i < l->n; i++) {
 		if (strcmp(l->v[i], line) == 0)
@@ -84,14 +86,15 @@
 	return false;
 }
 
-static void gather(ctl_t *ct, const char *needle, lines_t *l)
+/* Adds the lines of all processes that contain needle, each once. */
+static void collect_lines(ctl_t *ctl, const char *needle, lines_t *l)
 {
 	lines_t found = {0};
 
-	from_entries(ct, needle, &found);
-	from_controls(ct, needle, &found);
+	collect_from_entries(ctl, needle, &found);
+	collect_from_controls(ctl, needle, &found);
 	for (size_t i = 0; i < found.n; i++) {
-		if (!has(l, found.v[i]))
+		if (!has_line(l, found.v[i]))
 			add_lines(l, str_c(found.v[i]));
 		free(found.v[i]);
 	}
@@ -101,7 +104,7 @@
 static int print_lines(lines_t *l, const char *needle)
 {
 	if (l->n)
-		qsort(l->v, l->n, sizeof(*l->v), by_time);
+		qsort(l->v, l->n, sizeof(*l->v), compare_lines);
 	for (size_t i = 0; i < l->n; i++) {
 		puts(l->v[i]);
 		free(l->v[i]);
@@ -109,24 +112,25 @@
 	free(l->v);
 	if (l->n)
 		return EXIT_OK;
-	fprintf(stderr, "auburnctl: no process remembers %s\n", needle);
+	fprintf(stderr, "auburnctl: no process has log lines about %s\n", needle);
 	return EXIT_FAILED;
 }
 
-int ctl_trace(ctl_t *ct)
+int ctl_trace(ctl_t *ctl)
 {
 	lines_t l = {0};
 
-	if (!ct->words[1]) {
+	if (!ctl->words[1]) {
 		fprintf(stderr, "auburnctl: a trace id is missing\n");
 		return EXIT_USAGE;
 	}
-	gather(ct, ct->words[1], &l);
-	return print_lines(&l, ct->words[1]);
+	collect_lines(ctl, ctl->words[1], &l);
+	return print_lines(&l, ctl->words[1]);
 }
 
-/* The trace ids that lines of the key name; spans at other hops know only those. */
-static void add_traces(ctl_t *ct, lines_t *l)
+/* Adds the lines of the traces named in lines of the key: other processes log spans of a trace
+ * without the key. */
+static void add_trace_lines(ctl_t *ctl, lines_t *l)
 {
 	char last[TRACE_CHARS + 1] = "";
 	size_t n = l->n;
@@ -141,19 +145,19 @@
 		if (strcmp(id, last) == 0)
 			continue;
 		memcpy(last, id, sizeof(last));
-		gather(ct, id, l);
+		collect_lines(ctl, id, l);
 	}
 }
 
-int ctl_explain(ctl_t *ct)
+int ctl_explain(ctl_t *ctl)
 {
 	lines_t l = {0};
 
-	if (!ct->words[1]) {
+	if (!ctl->words[1]) {
 		fprintf(stderr, "auburnctl: a key is missing\n");
 		return EXIT_USAGE;
 	}
-	gather(ct, ct->words[1], &l);
-	add_traces(ct, &l);
-	return print_lines(&l, ct->words[1]);
+	collect_lines(ctl, ctl->words[1], &l);
+	add_trace_lines(ctl, &l);
+	return print_lines(&l, ctl->words[1]);
 }
--- a/src/ctl/ctl_http.c
+++ b/src/ctl/ctl_http.c
@@ -15,20 +15,20 @@
 	const ctl_call_t *call;
 	CURL *curl;
 	buf_t *out;
-} sink_t;
+} response_sink_t;
 
 static size_t on_body(char *p, size_t size, size_t n, void *ctx)
 {
-	sink_t *s = ctx;
+	response_sink_t *s = ctx;
 	long code = 0;
-	str_t piece = {p, size * n};
+	str_t chunk = {p, size * n};
 
 	curl_easy_getinfo(s->curl, CURLINFO_RESPONSE_CODE, &code);
-	if (s->call->on_piece && code == 200)
-		s->call->on_piece(s->call->ctx, piece);
+	if (s->call->on_chunk && code == 200)
+		s->call->on_chunk(s->call->ctx, chunk);
 	else
-		buf_add(s->out, piece);
-	return piece.n;
+		buf_add(s->out, chunk);
+	return chunk.n;
 }
 
 static int on_progress(void *ctx, curl_off_t dltotal, curl_off_t dlnow, curl_off_t ultotal,
@@ -50,9 +50,9 @@
 	return curl_slist_append(h, line.p);
 }
 
-static struct curl_slist *headers_of(const ctl_t *ct, const ctl_call_t *call)
+static struct curl_slist *make_headers(const ctl_t *ctl, const ctl_call_t *call)
 {
-	const char *key = call->as_operator ? ct->s.operator_key : ct->s.key;
+	const char *key = call->as_operator ? ctl->settings.operator_key : ctl->settings.key;
 	struct curl_slist *h = curl_slist_append(NULL, "Expect:");
 	AUTO_BUF bearer = {0};
 
@@ -73,11 +73,12 @@
 	curl_easy_setopt(c, CURLOPT_POSTFIELDSIZE_LARGE, (curl_off_t)call->body.n);
 }
 
-status_t ctl_call_entry(ctl_t *ct, const char *addr, const ctl_call_t *call, buf_t *out, long *http)
+status_t ctl_call_entry(ctl_t *ctl, const char *addr, const ctl_call_t *call, buf_t *out,
+			long *http)
 {
 	CURL *c = curl_easy_init();
-	struct curl_slist *h = headers_of(ct, call);
-	sink_t sink = {call, c, out};
+	struct curl_slist *h = make_headers(ctl, call);
+	response_sink_t sink = {call, c, out};
 	AUTO_BUF url = {0};
 	CURLcode rc;
 
@@ -105,13 +106,13 @@
 	return STATUS_OK;
 }
 
-static void add_strs(toml_strs_t *s, const char *v)
+static void add_str(toml_strs_t *s, const char *v)
 {
 	s->v = mem_grow(s->v, (s->n + 1) * sizeof(*s->v));
 	s->v[s->n++] = str_dup(str_c(v));
 }
 
-static bool entries_from(ctl_t *ct, const char *addr, toml_strs_t *out)
+static bool fetch_entries(ctl_t *ctl, const char *addr, toml_strs_t *out)
 {
 	ctl_call_t call = {.method = "GET", .path = "/v1/addresses"};
 	AUTO_BUF body = {0};
@@ -121,7 +122,7 @@
 	json_t *a;
 	size_t i;
 
-	if (ctl_call_entry(ct, addr, &call, &body, &http) != STATUS_OK || http != 200)
+	if (ctl_call_entry(ctl, addr, &call, &body, &http) != STATUS_OK || http != 200)
 		return false;
 	root = json_loadb(body.p, body.n, 0, NULL);
 	list = json_object_get(root, "addresses");
@@ -130,46 +131,47 @@
 		const char *v = json_string_value(json_object_get(a, "addr"));
 
 		if (v)
-			add_strs(out, v);
+			add_str(out, v);
 	}
 	json_decref(root);
 	return out->n > 0;
 }
 
-void ctl_list_entries(ctl_t *ct, toml_strs_t *out)
+void ctl_list_entries(ctl_t *ctl, toml_strs_t *out)
 {
 	*out = (toml_strs_t){0};
-	for (size_t i = 0; i < ct->s.entries.n; i++) {
-		if (entries_from(ct, ct->s.entries.v[i], out))
+	for (size_t i = 0; i < ctl->settings.entries.n; i++) {
+		if (fetch_entries(ctl, ctl->settings.entries.v[i], out))
 			return;
 	}
-	for (size_t i = 0; i < ct->s.entries.n; i++)
-		add_strs(out, ct->s.entries.v[i]);
+	for (size_t i = 0; i < ctl->settings.entries.n; i++)
+		add_str(out, ctl->settings.entries.v[i]);
 }
 
-static status_t try_all(ctl_t *ct, const toml_strs_t *addrs, const ctl_call_t *call, buf_t *out,
-			long *http)
+/* One round over all entries, until one gives an answer other than 503. */
+static status_t call_entries(ctl_t *ctl, const toml_strs_t *addrs, const ctl_call_t *call,
+			     buf_t *out, long *http)
 {
 	status_t st = STATUS_UNAVAILABLE;
 
 	for (size_t i = 0; i < addrs->n; i++) {
 		out->n = 0;
-		st = ctl_call_entry(ct, addrs->v[i], call, out, http);
+		st = ctl_call_entry(ctl, addrs->v[i], call, out, http);
 		if (st == STATUS_OK && *http != 503)
 			return STATUS_OK;
 	}
 	return st;
 }
 
-/* Every call carries an idempotency key or is a read, so it may be sent again elsewhere. */
-status_t ctl_call(ctl_t *ct, const ctl_call_t *call, buf_t *out, long *http)
+/* Every call is a read or has an idempotency key, so that it can be sent again to another entry. */
+status_t ctl_call(ctl_t *ctl, const ctl_call_t *call, buf_t *out, long *http)
 {
 	toml_strs_t addrs;
 	status_t st = STATUS_UNAVAILABLE;
 
-	ctl_list_entries(ct, &addrs);
+	ctl_list_entries(ctl, &addrs);
 	for (int round = 0; round < RETRY_ROUNDS; round++) {
-		st = try_all(ct, &addrs, call, out, http);
+		st = call_entries(ctl, &addrs, call, out, http);
 		if (st == STATUS_OK && *http != 503)
 			break;
 	}
@@ -183,15 +185,15 @@
 		fprintf(stderr, "auburnctl: no entry was reached: %s\n", status_message());
 		return EXIT_UNREACHED;
 	}
-	fprintf(stderr, "auburnctl: status %ld: %s\n", http, body->p ? body->p : "");
+	fprintf(stderr, "auburnctl: HTTP status %ld: %s\n", http, body->p ? body->p : "");
 	return EXIT_FAILED;
 }
 
-int ctl_call_print(ctl_t *ct, const ctl_call_t *call)
+int ctl_call_print(ctl_t *ctl, const ctl_call_t *call)
 {
 	AUTO_BUF body = {0};
 	long http = 0;
-	status_t st = ctl_call(ct, call, &body, &http);
+	status_t st = ctl_call(ctl, call, &body, &http);
 
 	if (st != STATUS_OK || http >= 300)
 		return ctl_print_error(st, http, &body);
@@ -206,15 +208,15 @@
 status_t ctl_read_file(const char *path, buf_t *out)
 {
 	FILE *f = strcmp(path, "-") == 0 ? stdin : fopen(path, "rb");
-	char *piece;
+	char *chunk;
 	size_t n;
 
 	if (!f)
 		return status_fail(STATUS_NOT_FOUND, "%s: %s", path, strerror(errno));
-	piece = mem_new(READ_BYTES);
-	while ((n = fread(piece, 1, READ_BYTES, f)) > 0)
-		buf_add(out, (str_t){piece, n});
-	free(piece);
+	chunk = mem_new(READ_BYTES);
+	while ((n = fread(chunk, 1, READ_BYTES, f)) > 0)
+		buf_add(out, (str_t){chunk, n});
+	free(chunk);
 	if (f != stdin)
 		fclose(f);
 	return STATUS_OK;
--- a/src/ctl/ctl_settings.c
+++ b/src/ctl/ctl_settings.c
@@ -1,7 +1,7 @@
 #include "base/rpc.h"
 #include "ctl/ctl.h"
 
-#define LISTED_MAX 1000
+#define ADDRS_MAX 1000
 
 static status_t check_addrs(const toml_doc_t *c, const char *key, const toml_strs_t *s)
 {
@@ -20,8 +20,8 @@
 status_t ctl_settings_load(const char *path, ctl_settings_t *s)
 {
 	const toml_key_t keys[] = {
-		{"entries", TOML_STRS, true, 1, LISTED_MAX, &s->entries},
-		{"controls", TOML_STRS, false, 0, LISTED_MAX, &s->controls},
+		{"entries", TOML_STRS, true, 1, ADDRS_MAX, &s->entries},
+		{"controls", TOML_STRS, false, 0, ADDRS_MAX, &s->controls},
 		{"key", TOML_STR, false, 1, 200, &s->key},
 		{"operator_key", TOML_STR, false, 1, 200, &s->operator_key},
 		{0},
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -1,4 +1,4 @@
-/* auburnctl: the operator's and caller's command line. */
+/* auburnctl: command line of operators and callers. */
 #include <argtable2.h>
 #include <curl/curl.h>
 #include <stdio.h>
@@ -14,13 +14,13 @@
 	ctl_command_t run;
 	const char *help;
 } commands[] = {
-	{"config", "check", ctl_config_check, "config check FILE        check a text"},
+	{"config", "check", ctl_config_check, "config check FILE        check a config"},
 	{"config", "submit", ctl_config_submit,
-	 "config submit FILE       submit a text [--number N]"},
+	 "config submit FILE       submit a config [--number N]"},
 	{"config", "show", ctl_config_show,
-	 "config show              the text in force [--number N]"},
+	 "config show              the config in force [--number N]"},
 	{"config", "diff", ctl_config_diff,
-	 "config diff FILE         lines that differ from the one in force"},
+	 "config diff FILE         lines that differ from the config in force"},
 	{"job", "submit", ctl_job_submit,
 	 "job submit FILE          --service S --key ID [--deadline-ms N] [--wait]"},
 	{"job", "status", ctl_job_status, "job status ID            counts of a job [--wait]"},
@@ -32,19 +32,19 @@
 	{"request", "show", ctl_request_show,
 	 "request show KEY         state and result of a request"},
 	{"status", NULL, ctl_status,
-	 "status                   every process, its number in force, owners, queues"},
+	 "status                   all processes: config number, owners, queues"},
 	{"trace", NULL, ctl_trace, "trace ID                 the spans of a trace"},
 	{"explain", NULL, ctl_explain,
-	 "explain KEY              what the processes decided about a key"},
+	 "explain KEY              log lines of all processes about a key"},
 };
 
-static ctl_command_t find_command(const ctl_t *ct)
+static ctl_command_t find_command(const ctl_t *ctl)
 {
 	for (size_t i = 0; i < sizeof(commands) / sizeof(commands[0]); i++) {
-		if (!ct->words[0] || strcmp(ct->words[0], commands[i].group) != 0)
+		if (!ctl->words[0] || strcmp(ctl->words[0], commands[i].group) != 0)
 			continue;
 		if (!commands[i].action ||
-		    (ct->words[1] && strcmp(ct->words[1], commands[i].action) == 0))
+		    (ctl->words[1] && strcmp(ctl->words[1], commands[i].action) == 0))
 			return commands[i].run;
 	}
 	return NULL;
@@ -60,24 +60,24 @@
 	arg_print_glossary(stdout, table, "  %-24s %s\n");
 }
 
-static int run(ctl_t *ct, const char *config)
+static int run_command(ctl_t *ctl, const char *config)
 {
-	ctl_command_t command = find_command(ct);
+	ctl_command_t command = find_command(ctl);
 	bool local = command == ctl_config_check;
 
 	if (!command) {
-		fprintf(stderr, "auburnctl: no such command, see --help\n");
+		fprintf(stderr, "auburnctl: unknown command, see --help\n");
 		return EXIT_USAGE;
 	}
 	if (!config && !local) {
 		fprintf(stderr, "auburnctl: --config FILE is missing\n");
 		return EXIT_USAGE;
 	}
-	if (config && ctl_settings_load(config, &ct->s) != STATUS_OK) {
+	if (config && ctl_settings_load(config, &ctl->settings) != STATUS_OK) {
 		fprintf(stderr, "auburnctl: %s\n", status_message());
 		return EXIT_SETTINGS;
 	}
-	return command(ct);
+	return command(ctl);
 }
 
 int main(int argc, char **argv)
@@ -87,21 +87,22 @@
 	struct arg_file *config = arg_file0("c", "config", "FILE", "settings (TOML)");
 	struct arg_lit *check = arg_lit0(NULL, "check", "check the settings only");
 	struct arg_lit *json = arg_lit0(NULL, "json", "print JSON");
-	struct arg_lit *wait = arg_lit0(NULL, "wait", "wait until the job is over");
+	struct arg_lit *wait = arg_lit0(NULL, "wait", "wait until the job is finished");
 	struct arg_str *service = arg_str0(NULL, "service", "NAME", "service");
 	struct arg_str *key = arg_str0(NULL, "key", "KEY", "idempotency key or job id");
 	struct arg_str *prompt = arg_str0(NULL, "prompt", "TEXT", "prompt or body");
 	struct arg_str *path = arg_str0(NULL, "path", "PATH", "path at a plain service");
-	struct arg_int *number = arg_int0(NULL, "number", "N", "number of a text");
+	struct arg_int *number = arg_int0(NULL, "number", "N", "number of a config");
 	struct arg_int *tokens = arg_int0(NULL, "max-tokens", "N", "tokens at most");
-	struct arg_int *deadline = arg_int0(NULL, "deadline-ms", "N", "time until a job is due");
+	struct arg_int *deadline =
+		arg_int0(NULL, "deadline-ms", "N", "time until the deadline of a job");
 	struct arg_str *words =
 		arg_strn(NULL, NULL, "COMMAND", 0, WORDS_MAX, "command and its words");
 	struct arg_end *end = arg_end(8);
 	void *table[] = {help,	 version, config, check,  json,	    wait,  service, key,
 			 prompt, path,	  number, tokens, deadline, words, end};
 	int errors = arg_parse(argc, argv, table);
-	ctl_t ct = {0};
+	ctl_t ctl = {0};
 
 	if (help->count) {
 		print_help(table);
@@ -116,22 +117,22 @@
 		return EXIT_USAGE;
 	}
 	for (int i = 0; i < words->count; i++)
-		ct.words[i] = words->sval[i];
-	ct.service = service->count ? service->sval[0] : NULL;
-	ct.key = key->count ? key->sval[0] : NULL;
-	ct.prompt = prompt->count ? prompt->sval[0] : NULL;
-	ct.path = path->count ? path->sval[0] : NULL;
-	ct.number = number->count ? number->ival[0] : 0;
-	ct.max_tokens = tokens->count ? tokens->ival[0] : 0;
-	ct.deadline_ms = deadline->count ? deadline->ival[0] : 0;
-	ct.json = json->count > 0;
-	ct.wait = wait->count > 0;
+		ctl.words[i] = words->sval[i];
+	ctl.service = service->count ? service->sval[0] : NULL;
+	ctl.key = key->count ? key->sval[0] : NULL;
+	ctl.prompt = prompt->count ? prompt->sval[0] : NULL;
+	ctl.path = path->count ? path->sval[0] : NULL;
+	ctl.number = number->count ? number->ival[0] : 0;
+	ctl.max_tokens = tokens->count ? tokens->ival[0] : 0;
+	ctl.deadline_ms = deadline->count ? deadline->ival[0] : 0;
+	ctl.json = json->count > 0;
+	ctl.wait = wait->count > 0;
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	if (check->count && config->count) {
-		if (ctl_settings_load(config->filename[0], &ct.s) == STATUS_OK)
+		if (ctl_settings_load(config->filename[0], &ctl.settings) == STATUS_OK)
 			return EXIT_OK;
 		fprintf(stderr, "auburnctl: %s\n", status_message());
 		return EXIT_SETTINGS;
 	}
-	return run(&ct, config->count ? config->filename[0] : NULL);
+	return run_command(&ctl, config->count ? config->filename[0] : NULL);
 }
