--- a/src/base/args.h
+++ b/src/base/args.h
@@ -13,7 +13,7 @@
 	EXIT_SETTINGS = 3, /* invalid settings file */
 	EXIT_LISTEN = 4, /* cannot listen on a port */
 	EXIT_DATA = 5, /* data directory damaged or not writable */
-	EXIT_UNREACHED = 6 /* no process reached that could answer */
+	EXIT_UNREACHED = 6 /* no process that could answer was reached */
 };
 
 typedef struct {
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,10 +1,10 @@
-/** Clocks in milliseconds. Deadlines are points on the boot clock, which also counts suspend. */
+/** Clocks in milliseconds. Deadlines are times on the boot clock, which also counts suspend. */
 #ifndef AUBURN_CLOCK_H
 #define AUBURN_CLOCK_H
 
 #include <stdint.h>
 
-/** A point on CLOCK_BOOTTIME, in ms; valid within one process only. */
+/** A time on CLOCK_BOOTTIME, in ms, past or future; valid within one process only. */
 typedef int64_t deadline_t;
 #define DEADLINE_NEVER INT64_MAX
 
--- a/src/base/rpc.c
+++ b/src/base/rpc.c
@@ -429,6 +429,7 @@
 	cs = clnt_call(c->clnt, proc, xdr_arg, (caddr_t)arg, xdr_res, (caddr_t)res, tv);
 	if (cs == RPC_SUCCESS)
 		return STATUS_OK;
+	/* The request may have been sent, whatever the error is. */
 	disconnect(c);
 	return status_fail(STATUS_TIMEOUT, "call to %s: %s", c->addr, clnt_sperrno(cs));
 }
--- a/src/base/rpc.h
+++ b/src/base/rpc.h
@@ -1,5 +1,5 @@
-/** ONC RPC over TCP on sockets of this module: a server runs one thread per connection, a client
- * holds one connection. */
+/** ONC RPC over TCP, on sockets that this module opens itself: a server runs one thread per
+ * connection, a client holds one connection. */
 #ifndef AUBURN_RPC_H
 #define AUBURN_RPC_H
 
@@ -40,7 +40,8 @@
 rpc_client_t *rpc_client_new(const char *addr, unsigned prog, unsigned vers);
 void rpc_client_free(rpc_client_t *c);
 /** Calls a procedure, connecting first if need be; concurrent calls of one client are serialised.
- *  STATUS_UNAVAILABLE: the server has not received the call. STATUS_TIMEOUT: it may have run it. */
+ *  STATUS_UNAVAILABLE: the server has not received the call. STATUS_TIMEOUT: no answer or any other
+ *  failure of the call, which the server may have run. */
 status_t rpc_client_call(rpc_client_t *c, unsigned proc, xdrproc_t xdr_arg, const void *arg,
 			 xdrproc_t xdr_res, void *res, deadline_t deadline);
 
--- a/src/base/status.h
+++ b/src/base/status.h
@@ -1,4 +1,4 @@
-/** Status codes with an error message per thread, and the verdict on whether a request ran. */
+/** Status codes with an error message per thread, and the verdict whether a request has run. */
 #ifndef AUBURN_STATUS_H
 #define AUBURN_STATUS_H
 
@@ -6,18 +6,19 @@
 	STATUS_OK,
 	STATUS_INVALID, /* the input breaks a rule; nothing was done */
 	STATUS_NOT_FOUND,
-	STATUS_CONFLICT, /* the key or number is taken with another value */
-	STATUS_UNAVAILABLE, /* no process reached that could answer; surely not done */
-	STATUS_TIMEOUT, /* no answer in time; may have been done */
+	STATUS_CONFLICT, /* contradicts the current state, e.g. another value under the key */
+	STATUS_UNAVAILABLE, /* no process that could answer was reached; surely not done */
+	STATUS_TIMEOUT, /* no answer, or the call failed; may have been done */
 	STATUS_NOT_LEADER,
 	STATUS_IO,
-	STATUS_CORRUPT, /* a checksum or format error in stored data */
-	STATUS_LIMIT, /* a limit was exceeded */
-	STATUS_CANCELLED,
+	STATUS_CORRUPT, /* checksum or format error in stored data or in a message */
+	STATUS_LIMIT, /* a limit is exceeded, or a precondition does not hold yet */
+	STATUS_CANCELLED, /* the job is cancelled, or the session closed */
 	STATUS_COUNT
 } status_t;
 
-/** Whether a request that ended in an error may have run at its upstream. */
+/** States in results and error replies whether a request has run, may have run or surely has not.
+ */
 typedef enum { VERDICT_NOT_RUN, VERDICT_MAY_HAVE_RUN, VERDICT_RAN, VERDICT_COUNT } verdict_t;
 
 const char *status_name(status_t st);
--- a/src/base/str.h
+++ b/src/base/str.h
@@ -38,7 +38,8 @@
 unsigned long long str_hash(str_t s);
 
 void buf_add(buf_t *b, str_t s);
-/** Allocates exactly this many more bytes, before a large buffer is filled piece by piece. */
+/** Makes room for this many more bytes and no more, for a large buffer that is filled piece by
+ * piece. */
 void buf_reserve_exact(buf_t *b, size_t more);
 void buf_addc(buf_t *b, char c);
 void buf_addf(buf_t *b, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -30,26 +30,26 @@
 } ctl_t;
 
 /** Runs one command and returns the exit code. */
-typedef int (*ctl_command_t)(ctl_t *ct);
+typedef int (*ctl_command_t)(ctl_t *ctl);
 
-int ctl_config_check(ctl_t *ct);
-int ctl_config_submit(ctl_t *ct);
-int ctl_config_show(ctl_t *ct);
-int ctl_config_diff(ctl_t *ct);
-int ctl_job_submit(ctl_t *ct);
-int ctl_job_status(ctl_t *ct);
-int ctl_job_results(ctl_t *ct);
-int ctl_job_cancel(ctl_t *ct);
-int ctl_job_list(ctl_t *ct);
-int ctl_request_send(ctl_t *ct);
-int ctl_request_show(ctl_t *ct);
-int ctl_status(ctl_t *ct);
-int ctl_trace(ctl_t *ct);
-int ctl_explain(ctl_t *ct);
+int ctl_config_check(ctl_t *ctl);
+int ctl_config_submit(ctl_t *ctl);
+int ctl_config_show(ctl_t *ctl);
+int ctl_config_diff(ctl_t *ctl);
+int ctl_job_submit(ctl_t *ctl);
+int ctl_job_status(ctl_t *ctl);
+int ctl_job_results(ctl_t *ctl);
+int ctl_job_cancel(ctl_t *ctl);
+int ctl_job_list(ctl_t *ctl);
+int ctl_request_send(ctl_t *ctl);
+int ctl_request_show(ctl_t *ctl);
+int ctl_status(ctl_t *ctl);
+int ctl_trace(ctl_t *ctl);
+int ctl_explain(ctl_t *ctl);
 
 status_t ctl_settings_load(const char *path, ctl_settings_t *s);
 
-/* ---- ctl_http.c: calls of entries ---- */
+/* ---- ctl_http.c: calls to entries ---- */
 
 typedef struct {
 	const char *method;
@@ -64,19 +64,20 @@
 	void *ctx;
 } ctl_call_t;
 
-/** Sends the call to the known entries in turn until one answers; *http gets the status code.
- *  STATUS_UNAVAILABLE: none was reached. */
-status_t ctl_call(ctl_t *ct, const ctl_call_t *call, buf_t *out, long *http);
+/** Sends the call to the known entries in turn, for some rounds, until one replies with a status
+ * other than 503. *http: status code of the last reply. STATUS_UNAVAILABLE: the last entry was not
+ * reached. */
+status_t ctl_call(ctl_t *ctl, const ctl_call_t *call, buf_t *out, long *http);
 /** Sends the call to one entry. */
-status_t ctl_call_entry(ctl_t *ct, const char *addr, const ctl_call_t *call, buf_t *out,
+status_t ctl_call_entry(ctl_t *ctl, const char *addr, const ctl_call_t *call, buf_t *out,
 			long *http);
 /** Addresses of the entries: from GET /v1/addresses of the first entry that answers, else those of
  * the settings. */
-void ctl_list_entries(ctl_t *ct, toml_strs_t *out);
+void ctl_list_entries(ctl_t *ctl, toml_strs_t *out);
 /** Prints an error response and returns the exit code. */
 int ctl_print_error(status_t st, long http, const buf_t *body);
 /** Sends the call, prints the body of the response and returns the exit code. */
-int ctl_call_print(ctl_t *ct, const ctl_call_t *call);
+int ctl_call_print(ctl_t *ctl, const ctl_call_t *call);
 /** Reads a file, "-" for standard input. */
 status_t ctl_read_file(const char *path, buf_t *out);
 
--- a/src/ctl/ctl_http.c
+++ b/src/ctl/ctl_http.c
@@ -163,7 +163,8 @@
 	return st;
 }
 
-/* Every call is a read or has an idempotency key, so that it can be sent again to another entry. */
+/* A call can be sent again to another entry: it is idempotent or has an idempotency key, which
+ * entries require if the request may not be repeated. */
 status_t ctl_call(ctl_t *ctl, const ctl_call_t *call, buf_t *out, long *http)
 {
 	toml_strs_t addrs;
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -91,7 +91,8 @@
 	struct arg_str *service = arg_str0(NULL, "service", "NAME", "service");
 	struct arg_str *key = arg_str0(NULL, "key", "KEY", "idempotency key or job id");
 	struct arg_str *prompt = arg_str0(NULL, "prompt", "TEXT", "prompt or body");
-	struct arg_str *path = arg_str0(NULL, "path", "PATH", "path at a plain service");
+	struct arg_str *path =
+		arg_str0(NULL, "path", "PATH", "path of a call to a service of kind plain");
 	struct arg_int *number = arg_int0(NULL, "number", "N", "number of a config");
 	struct arg_int *tokens = arg_int0(NULL, "max-tokens", "N", "tokens at most");
 	struct arg_int *deadline =
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -67,7 +67,8 @@
 void http_reader_init(http_reader_t *p, const http_reader_options_t *o);
 void http_reader_free(http_reader_t *p);
 /** Feeds bytes; an empty input marks the end of the stream. *used: number of bytes consumed, fewer
- *  than given only after a pause. STATUS_LIMIT: the head is too large. STATUS_INVALID: not HTTP. */
+ *  than given only after a pause. STATUS_LIMIT: the head is too large. STATUS_INVALID: malformed,
+ * or a protocol upgrade. */
 status_t http_reader_feed(http_reader_t *p, str_t in, size_t *used);
 /** Continues after a pause. */
 void http_reader_resume(http_reader_t *p);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -13,7 +13,8 @@
 	HTTP_CALL_DONE, /* the response is complete */
 	HTTP_CALL_UNSENT, /* no connection was made: surely not received */
 	HTTP_CALL_BROKEN, /* the connection ended early; may have run */
-	HTTP_CALL_MALFORMED, /* the input is not a response; may have run */
+	HTTP_CALL_MALFORMED, /* the input is not a response, its head is too large, or there are
+			       too many interim heads; may have run */
 	HTTP_CALL_TOO_LONG /* more than max_bytes were received; may have run */
 } http_call_end_t;
 
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -15,8 +15,8 @@
 #define READ_BYTES	 16384
 /** Time for the client to read the last reply before the socket is closed, in ms. */
 #define LINGER_MS 1000
-/** Limit on the framing of a body: a multiple of the body's limit, and a constant. Chunks of one
- * byte take six times the bytes of their body. */
+/** Limit on a body with its framing: a multiple of the body's own limit, plus a constant. Chunks of
+ * one byte take six times the bytes of their body. */
 #define FRAMING_TIMES 8
 #define FRAMING_BYTES 65536
 /** Connections accepted in one iteration of the loop, so that open connections are served as well.
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -31,8 +31,8 @@
 	http_limits_t limits;
 	void *ctx;
 	void (*request)(void *ctx, http_conn_t *c, const http_request_t *r);
-	/** The client closed the connection before its reply was complete; c is closed after the
-	 * call. */
+	/** The client closed the connection, or the connection broke, before the reply was
+	 * complete; c is closed after the call. */
 	void (*client_gone)(void *ctx, http_conn_t *c);
 } http_server_options_t;
 
@@ -41,7 +41,7 @@
 /** Closes the server and all its connections; memory is freed in the loop's next iteration. */
 void http_server_close(http_server_t *s);
 void http_server_set_limits(http_server_t *s, const http_limits_t *limits);
-/** From now on every reply closes its connection. */
+/** Every reply that begins from now on closes its connection. */
 void http_server_drain(http_server_t *s);
 /** Number of requests without a complete reply. */
 size_t http_server_open_requests(const http_server_t *s);
--- a/src/net/msgconn.h
+++ b/src/net/msgconn.h
@@ -28,7 +28,8 @@
 void msgconn_close(msgconn_t *c);
 void msgconn_set_data(msgconn_t *c, void *data);
 void *msgconn_data(const msgconn_t *c);
-/** Time of the last input from the peer, or of the connection before any. */
+/** Time of the last input from the peer; before the first input, the time when the connection was
+ * made. */
 deadline_t msgconn_last_received(const msgconn_t *c);
 
 #endif
--- a/src/proto/wire.x
+++ b/src/proto/wire.x
@@ -430,7 +430,7 @@
 struct wire_exec_arg_t {
 	unsigned int group;
 	unsigned int wait_ms;		/* time left */
-	bool forward;			/* a follower forwards it to the leader */
+	bool forward;			/* the receiver forwards it if it is not the leader */
 	wire_bytes_t payload;		/* an encoded command or query */
 };
 
