--- a/src/base/log.c
+++ b/src/base/log.c
@@ -125,7 +125,7 @@
 	const char *event;
 	int64_t second;
 	unsigned written;
-	unsigned suppressed;
+	unsigned left_out;
 } line_limit_t;
 
 static line_limit_t line_limits[LIMITS_MAX];
@@ -144,24 +144,24 @@
 	return NULL;
 }
 
-/* False if the event has reached its limit in this second. *suppressed: number of lines suppressed
- * in an earlier second, which the caller reports now. */
-static bool admit_line(const char *event, int64_t second, unsigned *suppressed)
+/* False if the event has reached its limit in this second. *left_out: number of lines left out in
+ * an earlier second, which the caller reports now. */
+static bool admit_line(const char *event, int64_t second, unsigned *left_out)
 {
 	line_limit_t *l;
 	bool ok = true;
 
-	*suppressed = 0;
+	*left_out = 0;
 	pthread_mutex_lock(&limit_lock);
 	l = find_limit(event);
 	if (l && l->second != second) {
-		*suppressed = l->suppressed;
+		*left_out = l->left_out;
 		l->second = second;
 		l->written = 0;
-		l->suppressed = 0;
+		l->left_out = 0;
 	}
 	if (l && l->written >= LINES_PER_S_MAX) {
-		l->suppressed++;
+		l->left_out++;
 		ok = false;
 	} else if (l) {
 		l->written++;
@@ -173,17 +173,17 @@
 void log_write(log_level_t level, const char *event, const log_field_t *fields)
 {
 	AUTO_BUF b = {0};
-	unsigned suppressed;
+	unsigned left_out;
 
 	if (level > max_level)
 		return;
-	if (!admit_line(event, clock_now_ms() / 1000, &suppressed)) {
+	if (!admit_line(event, clock_now_ms() / 1000, &left_out)) {
 		METRIC_INC("auburn_log_lines_left_out_total");
 		return;
 	}
-	if (suppressed)
+	if (left_out)
 		log_event(LOG_LEVEL_WARN, "lines_left_out", LOG_CSTR("of", event),
-			  LOG_INT("count", suppressed));
+			  LOG_INT("count", left_out));
 	buf_addf(&b, "t=%lld level=%s process=%s event=%s", (long long)clock_wall_ms(),
 		 level_names[level], process_name, event);
 	for (const log_field_t *f = fields; f->type != LOG_TYPE_END; f++) {
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -35,9 +35,9 @@
 		  (const log_field_t[]){__VA_ARGS__, {NULL, LOG_TYPE_END, {0}, 0}})
 
 /** Sets the process name on each line and the highest level written. Lines go to standard output,
- * which never blocks the process: a line that does not fit is dropped and counted. Each event name
- * has a limit of lines per second; lines over the limit are suppressed, and one line in a later
- * second reports their number. */
+ * which never blocks the process: a line that does not fit is lost and counted. Each event name has
+ * a limit of lines per second; lines over the limit are left out, and one line in a later second
+ * reports their number. */
 void log_open(const char *process, log_level_t level);
 void log_write(log_level_t level, const char *event, const log_field_t *fields);
 /** Appends the newest ring lines that contain needle, oldest first; at most max. */
--- a/src/base/metric.h
+++ b/src/base/metric.h
@@ -17,6 +17,7 @@
 void metric_set(metric_t *m, int64_t v);
 /** Adds one value to a histogram. */
 void metric_record(metric_t *m, int64_t v);
+/** Value of a counter or gauge; sum of the values of a histogram. */
 int64_t metric_value(const metric_t *m);
 /** The q-quantile (q in 0..1) of the values of a histogram, within 4%. */
 int64_t metric_quantile(const metric_t *m, double q);
--- a/src/base/rpc.c
+++ b/src/base/rpc.c
@@ -16,8 +16,8 @@
 #include <unistd.h>
 #include "base/log.h"
 
-/* Largest record accepted from a peer. With this limit set, a peer that stops in the middle of a
- * record does not stall the reader either, see docs/DESIGN.md. */
+/* Largest record accepted from a peer. The limit also keeps a peer that stops in the middle of a
+ * record from stalling the reader, see docs/DESIGN.md. */
 #define RECORD_MAX_BYTES   (64 << 20)
 #define CONNECT_MAX_MS	   1000
 #define THREAD_STACK_BYTES (512 << 10)
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -17,7 +17,7 @@
 /** Settings, and the options and words of the command line. */
 typedef struct {
 	ctl_settings_t settings;
-	const char *words[4]; /* NULL-terminated: group, action, argument */
+	const char *words[4]; /* NULL-terminated: group, action if any, argument */
 	const char *service;
 	const char *key;
 	const char *prompt;
--- a/src/ctl/ctl_explain.c
+++ b/src/ctl/ctl_explain.c
@@ -86,7 +86,8 @@
 	return false;
 }
 
-/* Adds the lines of all processes that contain needle, each once. */
+/* Adds the log lines, of all processes, that contain needle (a key or a trace id), each line once.
+ */
 static void collect_lines(ctl_t *ctl, const char *needle, lines_t *l)
 {
 	lines_t found = {0};
@@ -129,10 +130,10 @@
 }
 
 /* Adds the lines of the traces named in lines of the key: other processes log spans of a trace
- * without the key. */
+ * without the key. A trace id that repeats the last one is skipped. */
 static void add_trace_lines(ctl_t *ctl, lines_t *l)
 {
-	char last[TRACE_CHARS + 1] = "";
+	char last_id[TRACE_CHARS + 1] = "";
 	size_t n = l->n;
 
 	for (size_t i = 0; i < n; i++) {
@@ -142,9 +143,9 @@
 		if (!at || strlen(at + 7) < TRACE_CHARS)
 			continue;
 		snprintf(id, sizeof(id), "%s", at + 7);
-		if (strcmp(id, last) == 0)
+		if (strcmp(id, last_id) == 0)
 			continue;
-		memcpy(last, id, sizeof(last));
+		memcpy(last_id, id, sizeof(last_id));
 		collect_lines(ctl, id, l);
 	}
 }
--- a/src/ctl/ctl_http.c
+++ b/src/ctl/ctl_http.c
@@ -64,7 +64,7 @@
 	return curl_slist_append(h, "Content-Type: application/octet-stream");
 }
 
-static void set_body(CURL *c, const ctl_call_t *call)
+static void set_method_and_body(CURL *c, const ctl_call_t *call)
 {
 	curl_easy_setopt(c, CURLOPT_CUSTOMREQUEST, call->method);
 	if (!call->body.p)
@@ -89,7 +89,7 @@
 	curl_easy_setopt(c, CURLOPT_HTTPHEADER, h);
 	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, &sink);
-	set_body(c, call);
+	set_method_and_body(c, call);
 	if (call->show_upload) {
 		curl_easy_setopt(c, CURLOPT_NOPROGRESS, 0L);
 		curl_easy_setopt(c, CURLOPT_XFERINFOFUNCTION, on_progress);
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -69,7 +69,8 @@
 	conn_t *conn;
 };
 
-/* Runs from the loop, as callers up the stack may still use the connection. */
+/* Called from the loop, not from conn_close: functions up the stack may still use the connection.
+ */
 static void conn_free(int events, void *arg)
 {
 	conn_t *c = arg;
@@ -401,7 +402,8 @@
 	conn_t *c = call->conn;
 
 	if (!c) {
-		/* report_unsent is scheduled already and must not call the owner. */
+		/* report_unsent is scheduled already and must not call the owner. No body can
+		 * arrive without a connection, so that ignore_body is never called. */
 		call->options.body = ignore_body;
 		call->options.end = ignore_end;
 		return;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -40,8 +40,8 @@
 bool http_call_reused_conn(const http_call_t *c);
 /** Ends a call and closes its connection; no callback follows. */
 void http_call_cancel(http_call_t *c);
-/** Ends all calls without a callback and closes all connections; memory is freed in the loop's next
- * iteration. */
+/** Ends all calls and closes all connections; memory is freed in the loop's next iteration. No
+ * callback follows, except the end of a call whose connection could not be started. */
 void http_client_close(http_client_t *h);
 /** Number of connections made so far. */
 uint64_t http_client_connects(const http_client_t *h);
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -42,7 +42,7 @@
 	buf_t in;
 	buf_t body;
 	buf_t out;
-	deadline_t first_byte_at; /* time of the first byte of the request; 0 between requests */
+	deadline_t parse_started; /* when parsing of the request began; 0 between requests */
 	size_t request_bytes; /* of this request so far, with framing and read-ahead */
 	bool have_head;
 	bool body_too_long; /* Content-Length is over the limit */
@@ -89,7 +89,8 @@
 	return "Unknown";
 }
 
-/* Runs from the loop, as callers up the stack may still use the connection. */
+/* Called from the loop, not from conn_close: functions up the stack may still use the connection.
+ */
 static void conn_free(int events, void *arg)
 {
 	http_conn_t *c = arg;
@@ -187,7 +188,7 @@
 
 static void deliver_request(http_conn_t *c)
 {
-	http_request_t r = {c->reader.head, str_buf(&c->body), c->first_byte_at};
+	http_request_t r = {c->reader.head, str_buf(&c->body), c->parse_started};
 
 	timeout_stop(&c->timer);
 	c->keep_alive = c->reader.head.keep_alive;
@@ -207,8 +208,8 @@
 	size_t used;
 
 	while (!c->closed && !c->busy && !c->closing && c->in.n > 0) {
-		if (!c->first_byte_at) {
-			c->first_byte_at = clock_now_ms();
+		if (!c->parse_started) {
+			c->parse_started = clock_now_ms();
 			timeout_set(&c->timer, m->header_timeout_ms);
 		}
 		st = http_reader_feed(&c->reader, str_buf(&c->in), &used);
@@ -262,7 +263,7 @@
 {
 	http_conn_t *c = ctx;
 
-	if (c->first_byte_at && !c->busy && !c->closing)
+	if (c->parse_started && !c->busy && !c->closing)
 		refuse_request(c, 408, "request not received in time");
 	else
 		conn_close(c);
@@ -333,7 +334,7 @@
 bool http_server_pending(const http_server_t *s)
 {
 	for (const http_conn_t *c = s->conns; c; c = c->next) {
-		if (c->busy || c->first_byte_at || c->out.n > 0)
+		if (c->busy || c->parse_started || c->out.n > 0)
 			return true;
 	}
 	return false;
@@ -385,7 +386,7 @@
 	c->busy = false;
 	c->server->open_requests--;
 	c->data = NULL;
-	c->first_byte_at = 0;
+	c->parse_started = 0;
 	c->have_head = false;
 	c->body.n = 0;
 	c->request_bytes = c->in.n;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -14,7 +14,8 @@
 typedef struct {
 	http_head_t head;
 	str_t body;
-	deadline_t received; /* time of its first byte */
+	deadline_t received; /* when its first byte was parsed; for a pipelined request that is
+			       after the reply before it */
 } http_request_t;
 
 /** Limits on the size and the duration of a request. */
@@ -45,7 +46,8 @@
 void http_server_drain(http_server_t *s);
 /** Number of requests without a complete reply. */
 size_t http_server_open_requests(const http_server_t *s);
-/** Accepts the connections that are pending, then refuses further ones. */
+/** Accepts the pending connections, until none is left or accepting fails, then refuses further
+ * ones. */
 void http_server_stop_accepting(http_server_t *s);
 /** True while a request is being read or answered, or a reply is not completely sent. */
 bool http_server_pending(const http_server_t *s);
--- a/src/net/msgconn.c
+++ b/src/net/msgconn.c
@@ -9,7 +9,7 @@
 
 #define LENGTH_BYTES 4
 #define READ_BYTES   16384
-/** A larger frame means a peer that speaks another protocol; twice the largest batch job. */
+/** A larger frame means a peer that speaks another protocol; twice the largest lot. */
 #define FRAME_MAX_BYTES (64U << 20)
 /** A connection with more unsent bytes is closed: its peer does not read. */
 #define UNSENT_MAX_BYTES (96U << 20)
@@ -27,7 +27,8 @@
 	void *data;
 };
 
-/* Runs from the loop, as callers up the stack may still use the connection. */
+/* Called from the loop, not from msgconn_close: functions up the stack may still use the
+ * connection. */
 static void conn_free(int events, void *arg)
 {
 	msgconn_t *c = arg;
--- a/src/net/msgconn.h
+++ b/src/net/msgconn.h
@@ -1,5 +1,6 @@
-/** Framed messages over one TCP connection on an event loop, for links between own processes: both
- * ends may send at any time. A frame is a length of four bytes in network order and as many bytes.
+/** Framed messages over one TCP connection on an event loop, for links between processes of the
+ * product: both ends may send at any time. A frame is a length of four bytes in network order and
+ * as many bytes.
  */
 #ifndef AUBURN_MSGCONN_H
 #define AUBURN_MSGCONN_H
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -7,7 +7,7 @@
 
 /** Listens on "ip:port"; -1 with a message on failure. */
 int tcp_listen(const char *addr);
-/** Accepts one connection; -1 if none is pending. */
+/** Accepts one connection; -1 if none is pending or accepting failed. */
 int tcp_accept(int listener);
 /** Starts to connect; -1 if that fails at once. */
 int tcp_connect(const char *addr);
