--- a/tests/proc/fleet.py
+++ b/tests/proc/fleet.py
@@ -131,6 +131,7 @@
     def __init__(self, fleet, program, name, settings, args=()):
         self.fleet, self.program, self.name, self.settings = fleet, program, name, settings
         self.args, self.env = list(args), {}
+        self.bin = BIN  # folder of the build that it is started from
         self.path = os.path.join(fleet.dir, name + ".toml")
         self.log = os.path.join(fleet.dir, name + ".log")
         self.p = None
@@ -138,7 +139,7 @@
     def start(self, args=None):
         with open(self.path, "w") as f:
             f.write(toml(self.settings))
-        argv = [os.path.join(BIN, self.program), "--config", self.path] + (self.args if args is None else args)
+        argv = [os.path.join(self.bin, self.program), "--config", self.path] + (self.args if args is None else args)
         with open(self.log, "ab") as log:
             self.p = subprocess.Popen(argv, stdout=log, stderr=log, env=dict(os.environ, **self.env))
         return self
--- a/tests/proc/platform_kit.py
+++ b/tests/proc/platform_kit.py
@@ -112,6 +112,9 @@
             self.writers.discard(writer)
             writer.close()
 
+    def events_of(self, run):
+        return self.events
+
     def copy_of(self, rid):
         body = "".join("id: %d\ndata: %s\n\n" % (n, event_text(rid, n)) for n in range(1, self.events + 1)).encode()
         head = "HTTP/1.1 200 OK\r\nSignature: sig-%s\r\nContent-Type: text/event-stream\r\nContent-Length: %d\r\n" % (
@@ -157,7 +160,7 @@
         writer.write((head % "".join("%s: %s\r\n" % x for x in mark + self.marks())).encode())
         left = asyncio.ensure_future(reader.read(1))
         try:
-            for n in range(run["after"] + 1, self.events + 1):
+            for n in range(run["after"] + 1, self.events_of(run) + 1):
                 done, _ = await asyncio.wait([left], timeout=EVENT_S)
                 if done:
                     run["end"] = "left"
@@ -196,6 +199,7 @@
     def __init__(self, kit, program, name, zone, settings):
         self.kit, self.program, self.name, self.zone = kit, program, name, zone
         self.ip = settings.pop("_ip")
+        self.bin = kit.bin_of(name)  # folder of the build that it is started from
         self.path = os.path.join(kit.dir, name + ".toml")
         self.log = os.path.join(kit.dir, name + ".log")
         with open(self.path, "w") as f:
@@ -207,7 +211,7 @@
     def start(self):
         self.expected_end = False
         with open(self.log, "a") as log:
-            self.p = subprocess.Popen([os.path.join(BIN, self.program), "--config", self.path],
+            self.p = subprocess.Popen([os.path.join(self.bin, self.program), "--config", self.path],
                                       stdout=log, stderr=subprocess.STDOUT)
 
     def signal(self, sig):
@@ -228,8 +232,9 @@
 
 
 class Kit:
-    def __init__(self, controls=3, fronts=2, replicas=3, slots=4, seed=None, memory_mib=0):
-        self.memory_mib = memory_mib
+    def __init__(self, controls=3, fronts=2, replicas=3, slots=4, seed=None, memory_mib=0,
+                 bin_of=lambda name: BIN):
+        self.memory_mib, self.bin_of = memory_mib, bin_of
         self.dir = tempfile.mkdtemp(prefix="auburn-platform-")
         self.net = "127.%d.%d" % (random.randint(1, 250), random.randint(1, 250))
         self.port = random.randint(20000, 28000)
