--- a/Makefile
+++ b/Makefile
@@ -21,9 +21,9 @@
 CTL      := $(call objs,src/ctl/*.c)
 FRONT    := $(call objs,src/front/*.c)
 BENCH    := $(call objs,bench/*.c)
-FAKE_COMMON := $(call objs,fakes/fk_*.c)
-FAKES    := $(patsubst fakes/%.c,$(B)/bin/auburn-%,$(filter-out fakes/fk_%,$(wildcard fakes/*.c)))
-TOOLS    := $(patsubst tools/%.c,$(B)/bin/auburn-%,$(filter-out tools/lb_%,$(wildcard tools/*.c)))
+FAKE_COMMON := $(call objs,fakes/fake_*.c)
+FAKES    := $(patsubst fakes/%.c,$(B)/bin/auburn-%,$(filter-out fakes/fake_%,$(wildcard fakes/*.c)))
+TOOLS    := $(patsubst tools/%.c,$(B)/bin/auburn-%,$(filter-out tools/inproc_%,$(wildcard tools/*.c)))
 PROGS    := $(if $(CONTROL),$(B)/bin/auburn-control) $(B)/bin/auburn-front $(if $(ENTRY),$(B)/bin/auburn-entry) \
             $(if $(CTL),$(B)/bin/auburnctl) $(if $(BENCH),$(B)/bin/auburn-bench) $(FAKES) $(TOOLS)
 UNIT     := $(patsubst tests/unit/%.c,$(B)/test/%,$(wildcard tests/unit/test_*.c))
@@ -74,7 +74,7 @@
 # The randomised run of the log's core is shared by its tool and its test.
 SIM      := $(patsubst %.c,$(B)/obj/%.o,$(wildcard tests/unit/sim*.c))
 $(B)/bin/auburn-core-random $(B)/test/test_raft: $(SIM)
-$(B)/bin/auburn-log-bench: $(B)/obj/tools/lb_nodes.o
+$(B)/bin/auburn-log-bench: $(B)/obj/tools/inproc_replicas.o
 $(B)/bin/auburn-core-random $(B)/test/test_raft $(B)/bin/auburn-log-bench: LDLIBS := $(LIB) $(LDLIBS)
 $(B)/test/%: $(B)/obj/tests/unit/%.o $(LIB)
 	@mkdir -p $(@D); $(CC) $(CFLAGS) -o $@ $^ -lcheck -lsubunit -lrt $(LDLIBS)
--- a/bench/bn_addr.c
+++ b/bench/address_pool.c
@@ -1,4 +1,4 @@
-#include "bn_addr.h"
+#include "address_pool.h"
 
 #include <curl/curl.h>
 #include <jansson.h>
@@ -9,7 +9,7 @@
 #include <string.h>
 #include "base/clock.h"
 #include "base/str.h"
-#include "bn_http.h"
+#include "sync_http.h"
 
 #define ADDR_MAX 64
 #define ASK_MS	 1000
@@ -17,11 +17,11 @@
 #define POLL_MS	 20
 
 typedef struct {
-	char addr[ADDR_MAX][BN_ADDR_BYTES];
+	char addr[ADDR_MAX][ADDRESS_BYTES];
 	size_t n;
 } list_t;
 
-struct bn_addr {
+struct address_pool {
 	pthread_mutex_t lock;
 	list_t known;
 	list_t ask;
@@ -33,9 +33,9 @@
 
 static void list_add(list_t *l, const char *addr)
 {
-	if (l->n == ADDR_MAX || strlen(addr) >= BN_ADDR_BYTES)
+	if (l->n == ADDR_MAX || strlen(addr) >= ADDRESS_BYTES)
 		return;
-	snprintf(l->addr[l->n++], BN_ADDR_BYTES, "%s", addr);
+	snprintf(l->addr[l->n++], ADDRESS_BYTES, "%s", addr);
 }
 
 static void list_parse(list_t *l, const char *text)
@@ -67,7 +67,7 @@
 	return out->n ? STATUS_OK : STATUS_UNAVAILABLE;
 }
 
-static status_t ask_one(bn_addr_t *a, const char *addr)
+static status_t ask_one(address_pool_t *a, const char *addr)
 {
 	AUTO_BUF url = {0};
 	AUTO_BUF body = {0};
@@ -76,7 +76,7 @@
 	int64_t asked = clock_now_ms();
 
 	buf_addf(&url, "http://%s/v1/addresses", addr);
-	if (bn_http_get(url.p, NULL, ASK_MS, &body) != 200)
+	if (sync_http_get(url.p, NULL, ASK_MS, &body) != 200)
 		return STATUS_UNAVAILABLE;
 	if (read_answer(body.p ? body.p : "", &got, &valid_ms) != STATUS_OK)
 		return STATUS_UNAVAILABLE;
@@ -87,7 +87,7 @@
 	return STATUS_OK;
 }
 
-static void ask_all(bn_addr_t *a)
+static void ask_all(address_pool_t *a)
 {
 	for (size_t i = 0; i < a->ask.n; i++) {
 		if (ask_one(a, a->ask.addr[i]) == STATUS_OK)
@@ -98,7 +98,7 @@
 
 static void *refresh(void *ctx)
 {
-	bn_addr_t *a = ctx;
+	address_pool_t *a = ctx;
 
 	while (!atomic_load(&a->stop)) {
 		if (clock_now_ms() >= a->expires)
@@ -108,9 +108,9 @@
 	return NULL;
 }
 
-bn_addr_t *bn_addr_new(const char *list, const char *ask)
+address_pool_t *address_pool_new(const char *list, const char *ask)
 {
-	bn_addr_t *a = mem_new(sizeof(*a));
+	address_pool_t *a = mem_new(sizeof(*a));
 
 	pthread_mutex_init(&a->lock, NULL);
 	if (list)
@@ -124,7 +124,7 @@
 	return a;
 }
 
-void bn_addr_free(bn_addr_t *a)
+void address_pool_free(address_pool_t *a)
 {
 	if (!a)
 		return;
@@ -135,13 +135,13 @@
 	free(a);
 }
 
-status_t bn_addr_pick(bn_addr_t *a, unsigned long rnd, char out[BN_ADDR_BYTES])
+status_t address_pool_pick(address_pool_t *a, unsigned long rnd, char out[ADDRESS_BYTES])
 {
 	status_t st = STATUS_UNAVAILABLE;
 
 	pthread_mutex_lock(&a->lock);
 	if (a->known.n) {
-		memcpy(out, a->known.addr[rnd % a->known.n], BN_ADDR_BYTES);
+		memcpy(out, a->known.addr[rnd % a->known.n], ADDRESS_BYTES);
 		st = STATUS_OK;
 	}
 	pthread_mutex_unlock(&a->lock);
--- a/bench/bn_job.c
+++ b/bench/batch_load.c
@@ -1,4 +1,4 @@
-#include "bn_job.h"
+#include "batch_load.h"
 
 #include <gsl/gsl_randist.h>
 #include <gsl/gsl_rng.h>
@@ -10,7 +10,7 @@
 #include <string.h>
 #include "base/clock.h"
 #include "base/str.h"
-#include "bn_http.h"
+#include "sync_http.h"
 
 #define JOBS_MAX    64
 #define ID_BYTES    128
@@ -25,8 +25,8 @@
 	unsigned long done, failed; /* as last read */
 } job_t;
 
-struct bn_jobs {
-	bn_job_options_t o;
+struct batch_load {
+	batch_load_options_t o;
 	gsl_rng *rng;
 	pthread_mutex_t lock;
 	pthread_t thread;
@@ -36,18 +36,18 @@
 	unsigned long number;
 	unsigned long faults; /* submits that weren't taken */
 	atomic_ulong tokens; /* of all items made */
-	bn_job_counts_t counts; /* of jobs that ended */
+	batch_load_counts_t counts; /* of jobs that ended */
 };
 
-static void add_item(bn_jobs_t *j, buf_t *body, int index)
+static void add_item(batch_load_t *j, buf_t *body, int index)
 {
 	AUTO_BUF prompt = {0};
-	unsigned tokens = gsl_ran_geometric(j->rng, 1.0 / j->o.max_tokens);
-	unsigned cap = (unsigned)j->o.max_tokens * TOKENS_CAP;
+	unsigned tokens = gsl_ran_geometric(j->rng, 1.0 / j->o.mean_tokens);
+	unsigned cap = (unsigned)j->o.mean_tokens * TOKENS_CAP;
 
 	tokens = tokens < cap ? tokens : cap;
 	atomic_fetch_add(&j->tokens, tokens);
-	buf_addf(&prompt, "%s/digest %lu/%lu/%d ", j->o.run, j->o.seed, j->number, index);
+	buf_addf(&prompt, "%s/digest %lu/%lu/%d ", j->o.run_name, j->o.seed, j->number, index);
 	while (prompt.n < (size_t)j->o.prompt_bytes)
 		buf_addf(&prompt, "%06lx ", gsl_rng_get(j->rng) & 0xffffff);
 	buf_add(body, STR("{\"prompt\":"));
@@ -55,23 +55,23 @@
 	buf_addf(body, ",\"max_tokens\":%u}\n", tokens);
 }
 
-static void submit(bn_jobs_t *j, job_t *job)
+static void submit(batch_load_t *j, job_t *job)
 {
-	char addr[BN_ADDR_BYTES];
+	char addr[ADDRESS_BYTES];
 	AUTO_BUF body = {0};
 	AUTO_BUF url = {0};
 	AUTO_BUF answer = {0};
 	long code;
 
-	if (bn_addr_pick(j->o.addr, gsl_rng_get(j->rng), addr) != STATUS_OK)
+	if (address_pool_pick(j->o.addr, gsl_rng_get(j->rng), addr) != STATUS_OK)
 		return;
-	snprintf(job->id, sizeof(job->id), "%s-job-%lu-%lu", j->o.run, j->o.seed, j->number);
-	for (int i = 0; i < j->o.items; i++)
+	snprintf(job->id, sizeof(job->id), "%s-job-%lu-%lu", j->o.run_name, j->o.seed, j->number);
+	for (int i = 0; i < j->o.items_per_job; i++)
 		add_item(j, &body, i);
 	j->number++;
 	buf_addf(&url, "http://%s/v1/jobs?service=%s&deadline_ms=%d", addr, j->o.service,
 		 j->o.deadline_ms);
-	code = bn_http_post(url.p, j->o.key, job->id, str_buf(&body), CALL_MS, &answer);
+	code = sync_http_post(url.p, j->o.key, job->id, str_buf(&body), CALL_MS, &answer);
 	if (code != 202) {
 		if (j->faults++ < FAULTS_TOLD)
 			fprintf(stderr, "bench: job %s: status %ld %.*s\n", job->id, code,
@@ -82,23 +82,23 @@
 	job->open = true;
 	job->done = 0;
 	job->failed = 0;
-	j->counts.submitted++;
+	j->counts.jobs_submitted++;
 	pthread_mutex_unlock(&j->lock);
 }
 
-static void close_job(bn_jobs_t *j, job_t *job, const char *state, bool adds_up)
+static void close_job(batch_load_t *j, job_t *job, const char *state, bool adds_up)
 {
 	job->open = false;
-	j->counts.done += job->done;
-	j->counts.failed += job->failed;
+	j->counts.items_done += job->done;
+	j->counts.items_failed += job->failed;
 	job->done = 0;
 	job->failed = 0;
-	j->counts.finished += strcmp(state, "done") == 0;
-	j->counts.cancelled += strcmp(state, "cancelled") == 0;
-	j->counts.lost += !adds_up;
+	j->counts.jobs_finished += strcmp(state, "done") == 0;
+	j->counts.jobs_cancelled += strcmp(state, "cancelled") == 0;
+	j->counts.miscounted += !adds_up;
 }
 
-static void read_job(bn_jobs_t *j, job_t *job, const char *body)
+static void read_job(batch_load_t *j, job_t *job, const char *body)
 {
 	json_t *v = json_loads(body, 0, NULL);
 	const char *state = json_string_value(json_object_get(v, "state"));
@@ -114,7 +114,7 @@
 		if (strcmp(state, "running") != 0) {
 			long all = waiting + leased + dropped + (long)job->done + (long)job->failed;
 
-			close_job(j, job, state, all == count && count == j->o.items);
+			close_job(j, job, state, all == count && count == j->o.items_per_job);
 		}
 	}
 	pthread_mutex_unlock(&j->lock);
@@ -122,30 +122,30 @@
 }
 
 /* Address of the job at some entry; false when none is known. */
-static bool job_url(bn_jobs_t *j, const job_t *job, buf_t *url)
+static bool job_url(batch_load_t *j, const job_t *job, buf_t *url)
 {
-	char addr[BN_ADDR_BYTES];
+	char addr[ADDRESS_BYTES];
 
-	if (bn_addr_pick(j->o.addr, gsl_rng_get(j->rng), addr) != STATUS_OK)
+	if (address_pool_pick(j->o.addr, gsl_rng_get(j->rng), addr) != STATUS_OK)
 		return false;
 	buf_addf(url, "http://%s/v1/jobs/%s", addr, job->id);
 	return true;
 }
 
-static void watch(bn_jobs_t *j, job_t *job)
+static void watch(batch_load_t *j, job_t *job)
 {
 	AUTO_BUF url = {0};
 	AUTO_BUF body = {0};
 
 	if (!job_url(j, job, &url))
 		return;
-	if (bn_http_get(url.p, j->o.key, CALL_MS, &body) == 200)
+	if (sync_http_get(url.p, j->o.key, CALL_MS, &body) == 200)
 		read_job(j, job, body.p ? body.p : "");
 }
 
-static void round_of(bn_jobs_t *j)
+static void round_of(batch_load_t *j)
 {
-	for (int i = 0; i < j->o.jobs; i++) {
+	for (int i = 0; i < j->o.open_jobs; i++) {
 		if (j->job[i].open)
 			watch(j, &j->job[i]);
 		if (!j->job[i].open && atomic_load(&j->submits))
@@ -155,7 +155,7 @@
 
 static void *feed(void *ctx)
 {
-	bn_jobs_t *j = ctx;
+	batch_load_t *j = ctx;
 
 	while (!atomic_load(&j->stop)) {
 		round_of(j);
@@ -164,13 +164,13 @@
 	return NULL;
 }
 
-bn_jobs_t *bn_jobs_start(const bn_job_options_t *o)
+batch_load_t *batch_load_start(const batch_load_options_t *o)
 {
-	bn_jobs_t *j = mem_new(sizeof(*j));
+	batch_load_t *j = mem_new(sizeof(*j));
 
 	j->o = *o;
-	if (j->o.jobs > JOBS_MAX)
-		j->o.jobs = JOBS_MAX;
+	if (j->o.open_jobs > JOBS_MAX)
+		j->o.open_jobs = JOBS_MAX;
 	j->rng = gsl_rng_alloc(gsl_rng_mt19937);
 	gsl_rng_set(j->rng, o->seed);
 	pthread_mutex_init(&j->lock, NULL);
@@ -179,30 +179,30 @@
 	return j;
 }
 
-void bn_jobs_read(bn_jobs_t *j, bn_job_counts_t *out)
+void batch_load_get_counts(batch_load_t *j, batch_load_counts_t *out)
 {
 	pthread_mutex_lock(&j->lock);
 	*out = j->counts;
-	out->tokens = atomic_load(&j->tokens);
-	for (int i = 0; i < j->o.jobs; i++) {
-		out->done += j->job[i].done;
-		out->failed += j->job[i].failed;
+	out->item_tokens = atomic_load(&j->tokens);
+	for (int i = 0; i < j->o.open_jobs; i++) {
+		out->items_done += j->job[i].done;
+		out->items_failed += j->job[i].failed;
 	}
 	pthread_mutex_unlock(&j->lock);
 }
 
-static bool any_open(bn_jobs_t *j)
+static bool any_open(batch_load_t *j)
 {
 	bool open = false;
 
 	pthread_mutex_lock(&j->lock);
-	for (int i = 0; i < j->o.jobs; i++)
+	for (int i = 0; i < j->o.open_jobs; i++)
 		open = open || j->job[i].open;
 	pthread_mutex_unlock(&j->lock);
 	return open;
 }
 
-void bn_jobs_wait(bn_jobs_t *j, int wait_ms)
+void batch_load_wait(batch_load_t *j, int wait_ms)
 {
 	deadline_t until = clock_now_ms() + wait_ms;
 
@@ -211,23 +211,23 @@
 		clock_sleep_ms(POLL_MS);
 }
 
-static void cancel(bn_jobs_t *j, const job_t *job)
+static void cancel(batch_load_t *j, const job_t *job)
 {
 	AUTO_BUF url = {0};
 	AUTO_BUF body = {0};
 
 	if (!job_url(j, job, &url))
 		return;
-	if (bn_http_delete(url.p, j->o.key, CALL_MS, &body) != 200)
+	if (sync_http_delete(url.p, j->o.key, CALL_MS, &body) != 200)
 		fprintf(stderr, "bench: job %s wasn't cancelled\n", job->id);
 }
 
-void bn_jobs_stop(bn_jobs_t *j, bool cancel_open)
+void batch_load_stop(batch_load_t *j, bool cancel_open)
 {
 	atomic_store(&j->submits, false);
 	atomic_store(&j->stop, true);
 	pthread_join(j->thread, NULL);
-	for (int i = 0; cancel_open && i < j->o.jobs; i++) {
+	for (int i = 0; cancel_open && i < j->o.open_jobs; i++) {
 		if (j->job[i].open)
 			cancel(j, &j->job[i]);
 	}
--- a/bench/main.c
+++ b/bench/main.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include "base/args.h"
 #include "base/clock.h"
-#include "bn_job.h"
-#include "bn_load.h"
+#include "batch_load.h"
+#include "online_load.h"
 
 #define DEFAULT_SECONDS	    10
 #define DEFAULT_RATE	    10
@@ -45,107 +45,109 @@
 	return a->count ? a->sval[0] : other;
 }
 
-static status_t read_load(const args_t *a, bn_load_options_t *o)
+static status_t read_load(const args_t *a, online_load_options_t *o)
 {
-	*o = (bn_load_options_t){
+	*o = (online_load_options_t){
 		.key = str_or(a->key, ""),
 		.service = str_or(a->service, "sammandrag-llm"),
 		.rate.per_s = dbl_or(a->rate, DEFAULT_RATE),
 		.seconds = dbl_or(a->seconds, DEFAULT_SECONDS),
 		.warmup_s = dbl_or(a->warmup, 0),
-		.run = str_or(a->run, "bench"),
+		.run_name = str_or(a->run, "bench"),
 		.seed = (unsigned long)int_or(a->seed, 1),
 		.prompt_bytes = int_or(a->prompt_bytes, DEFAULT_PROMPT),
-		.prefixes = int_or(a->prefixes, 0),
-		.max_tokens = int_or(a->max_tokens, DEFAULT_TOKENS),
+		.prefix_count = int_or(a->prefixes, 0),
+		.mean_tokens = int_or(a->max_tokens, DEFAULT_TOKENS),
 		.deadline_ms = int_or(a->deadline_ms, 0),
-		.goal_ms = int_or(a->goal_ms, DEFAULT_GOAL_MS),
-		.timeout_ms = int_or(a->timeout_ms, DEFAULT_TIMEOUT_MS),
-		.resends = int_or(a->resends, DEFAULT_RESENDS),
+		.first_token_goal_ms = int_or(a->goal_ms, DEFAULT_GOAL_MS),
+		.silence_timeout_ms = int_or(a->timeout_ms, DEFAULT_TIMEOUT_MS),
+		.max_resends = int_or(a->resends, DEFAULT_RESENDS),
 		.verbose = a->verbose->count > 0,
 	};
-	if (o->rate.per_s <= 0 || o->seconds <= 0 || o->max_tokens < 1)
+	if (o->rate.per_s <= 0 || o->seconds <= 0 || o->mean_tokens < 1)
 		return status_fail(STATUS_INVALID,
 				   "--rate, --seconds and --max-tokens are above zero");
 	if (a->burst->count &&
-	    bn_window_parse(a->burst->sval[0], true, &o->rate.burst) != STATUS_OK)
+	    arrival_window_parse(a->burst->sval[0], true, &o->rate.burst) != STATUS_OK)
 		return STATUS_INVALID;
 	if (a->gap->count)
-		return bn_window_parse(a->gap->sval[0], false, &o->rate.gap);
+		return arrival_window_parse(a->gap->sval[0], false, &o->rate.pause);
 	return STATUS_OK;
 }
 
-static void read_jobs(const args_t *a, const bn_load_options_t *load, bn_job_options_t *o)
+static void read_jobs(const args_t *a, const online_load_options_t *load, batch_load_options_t *o)
 {
-	*o = (bn_job_options_t){
+	*o = (batch_load_options_t){
 		.key = str_or(a->job_key, load->key),
 		.service = load->service,
-		.items = int_or(a->job_items, 0),
-		.jobs = int_or(a->jobs, DEFAULT_JOBS),
+		.items_per_job = int_or(a->job_items, 0),
+		.open_jobs = int_or(a->jobs, DEFAULT_JOBS),
 		.prompt_bytes = load->prompt_bytes,
-		.max_tokens = int_or(a->job_tokens, DEFAULT_TOKENS),
+		.mean_tokens = int_or(a->job_tokens, DEFAULT_TOKENS),
 		.deadline_ms = int_or(a->job_deadline_ms, DEFAULT_JOB_TIME_MS),
-		.run = load->run,
+		.run_name = load->run_name,
 		.seed = load->seed,
 	};
 }
 
-static void print_phases(const bn_load_options_t *o, bn_stat_t stat[BN_PHASES])
+static void print_phases(const online_load_options_t *o, load_stat_t stat[ARRIVAL_PHASES])
 {
-	static const char *const names[BN_PHASES] = {"steady", "burst", "gap"};
+	static const char *const names[ARRIVAL_PHASES] = {"steady", "burst", "gap"};
 	double counted_s = o->seconds - o->warmup_s;
-	bn_stat_t all = {0};
+	load_stat_t all = {0};
 
-	for (int i = 0; i < BN_PHASES; i++) {
-		bn_stat_merge(&all, &stat[i]);
-		if (i != BN_GAP && o->rate.burst.every_s > 0)
-			bn_stat_print(stdout, names[i], &stat[i], counted_s);
+	for (int i = 0; i < ARRIVAL_PHASES; i++) {
+		load_stat_merge(&all, &stat[i]);
+		if (i != ARRIVAL_PAUSE && o->rate.burst.every_s > 0)
+			load_stat_print(stdout, names[i], &stat[i], counted_s);
 	}
-	bn_stat_print(stdout, "all", &all, counted_s);
-	bn_stat_free(&all);
+	load_stat_print(stdout, "all", &all, counted_s);
+	load_stat_free(&all);
 }
 
-static void print_jobs(const bn_job_counts_t *from, const bn_job_counts_t *to, double seconds)
+static void print_jobs(const batch_load_counts_t *from, const batch_load_counts_t *to,
+		       double seconds)
 {
 	printf("phase=batch seconds=%.1f jobs=%lu finished=%lu cancelled=%lu items_done=%lu "
 	       "items_failed=%lu items_per_s=%.2f item_tokens=%lu not_adding_up=%lu\n",
-	       seconds, to->submitted, to->finished, to->cancelled, to->done - from->done,
-	       to->failed - from->failed, (double)(to->done - from->done) / seconds, to->tokens,
-	       to->lost);
+	       seconds, to->jobs_submitted, to->jobs_finished, to->jobs_cancelled,
+	       to->items_done - from->items_done, to->items_failed - from->items_failed,
+	       (double)(to->items_done - from->items_done) / seconds, to->item_tokens,
+	       to->miscounted);
 	fflush(stdout);
 }
 
 /** Online load with batch beside it. */
-static void run(const args_t *a, bn_load_options_t *load, const bn_job_options_t *jobs)
+static void run(const args_t *a, online_load_options_t *load, const batch_load_options_t *jobs)
 {
-	bn_stat_t stat[BN_PHASES] = {0};
-	bn_job_counts_t before = {0};
-	bn_job_counts_t after = {0};
-	bn_jobs_t *j = jobs->items > 0 ? bn_jobs_start(jobs) : NULL;
+	load_stat_t stat[ARRIVAL_PHASES] = {0};
+	batch_load_counts_t before = {0};
+	batch_load_counts_t after = {0};
+	batch_load_t *j = jobs->items_per_job > 0 ? batch_load_start(jobs) : NULL;
 	int64_t start = clock_now_ms();
 	int wait_ms = int_or(a->job_wait_ms, 0);
 
 	if (a->no_online->count)
 		clock_sleep_ms((int64_t)(load->seconds * MS_PER_S));
 	else
-		bn_load_run(load, stat);
+		online_load_run(load, stat);
 	if (j && wait_ms > 0)
-		bn_jobs_wait(j, wait_ms);
+		batch_load_wait(j, wait_ms);
 	if (j) {
-		bn_jobs_read(j, &after);
+		batch_load_get_counts(j, &after);
 		print_jobs(&before, &after, (double)(clock_now_ms() - start) / MS_PER_S);
-		bn_jobs_stop(j, wait_ms == 0);
+		batch_load_stop(j, wait_ms == 0);
 	}
 	if (!a->no_online->count)
 		print_phases(load, stat);
-	for (int i = 0; i < BN_PHASES; i++)
-		bn_stat_free(&stat[i]);
+	for (int i = 0; i < ARRIVAL_PHASES; i++)
+		load_stat_free(&stat[i]);
 }
 
 static int start(const args_t *a)
 {
-	bn_load_options_t load;
-	bn_job_options_t jobs;
+	online_load_options_t load;
+	batch_load_options_t jobs;
 
 	if (!a->entry->count && !a->addresses->count) {
 		fputs("auburn-bench: --entry or --addresses is missing\n", stderr);
@@ -157,10 +159,10 @@
 	}
 	read_jobs(a, &load, &jobs);
 	curl_global_init(CURL_GLOBAL_ALL);
-	load.addr = bn_addr_new(str_or(a->entry, NULL), str_or(a->addresses, NULL));
+	load.addr = address_pool_new(str_or(a->entry, NULL), str_or(a->addresses, NULL));
 	jobs.addr = load.addr;
 	run(a, &load, &jobs);
-	bn_addr_free(load.addr);
+	address_pool_free(load.addr);
 	return EXIT_OK;
 }
 
--- a/bench/bn_load.c
+++ b/bench/online_load.c
@@ -1,8 +1,8 @@
-#include "bn_load.h"
+#include "online_load.h"
 
 #include <stdlib.h>
 #include "base/clock.h"
-#include "bn_request.h"
+#include "online_request.h"
 
 #define US_PER_S       1e6
 #define POLL_MAX_MS    20
@@ -12,14 +12,14 @@
 
 /** A request that waits until it is sent again. */
 typedef struct again {
-	bn_request_t *r;
+	online_request_t *r;
 	int64_t at_us;
 	struct again *next;
 } again_t;
 
 typedef struct {
-	const bn_load_options_t *o;
-	bn_stat_t *stat;
+	const online_load_options_t *o;
+	load_stat_t *stat;
 	gsl_rng *plan; /* arrivals and sizes: the same for the same seed, whatever is answered */
 	gsl_rng *choice; /* addresses */
 	CURLM *multi;
@@ -35,7 +35,7 @@
 	return (double)(clock_now_us() - l->start_us) / US_PER_S;
 }
 
-static void later(load_t *l, bn_request_t *r)
+static void later(load_t *l, online_request_t *r)
 {
 	again_t *a = mem_new(sizeof(*a));
 
@@ -43,9 +43,9 @@
 	l->again = a;
 }
 
-static void attempt(load_t *l, bn_request_t *r)
+static void attempt(load_t *l, online_request_t *r)
 {
-	CURL *c = bn_request_attempt(r, l->choice);
+	CURL *c = online_request_start_attempt(r, l->choice);
 
 	if (c)
 		curl_multi_add_handle(l->multi, c);
@@ -73,28 +73,28 @@
 
 static void arrive(load_t *l)
 {
-	bn_request_t *r = bn_request_new(l->o, l->sent, l->plan);
+	online_request_t *r = online_request_new(l->o, l->sent, l->plan);
 
-	r->arrived_us = l->start_us + (int64_t)(l->next_s * US_PER_S);
+	r->scheduled_us = l->start_us + (int64_t)(l->next_s * US_PER_S);
 	if (l->next_s >= l->o->warmup_s)
-		r->stat = &l->stat[bn_rate_phase(&l->o->rate, l->next_s)];
+		r->stat = &l->stat[arrival_phase_at(&l->o->rate, l->next_s)];
 	l->sent++;
 	l->open++;
 	attempt(l, r);
-	l->next_s = bn_rate_next(&l->o->rate, l->next_s, l->plan);
+	l->next_s = arrival_next(&l->o->rate, l->next_s, l->plan);
 }
 
 static void finish(load_t *l, CURL *c, CURLcode code)
 {
-	bn_request_t *r;
+	online_request_t *r;
 
 	curl_easy_getinfo(c, CURLINFO_PRIVATE, (char **)&r);
 	curl_multi_remove_handle(l->multi, c);
-	if (bn_request_ended(r, code) == BN_AGAIN) {
+	if (online_request_end_attempt(r, code) == ONLINE_REQUEST_RESEND) {
 		later(l, r);
 		return;
 	}
-	bn_request_free(r);
+	online_request_free(r);
 	l->open--;
 }
 
@@ -121,7 +121,7 @@
 /** Counts what has no end yet as failed. Transfers are freed with the process. */
 static void give_up(load_t *l)
 {
-	l->stat[BN_STEADY].outcome[BN_FAILED] += l->open;
+	l->stat[ARRIVAL_STEADY].outcome[LOAD_FAILED] += l->open;
 	if (l->open)
 		fprintf(stderr, "bench: %lu requests without an end after %d s\n", l->open,
 			DRAIN_S);
@@ -145,7 +145,7 @@
 	}
 }
 
-void bn_load_run(const bn_load_options_t *o, bn_stat_t stat[BN_PHASES])
+void online_load_run(const online_load_options_t *o, load_stat_t stat[ARRIVAL_PHASES])
 {
 	load_t l = {.o = o,
 		    .stat = stat,
@@ -157,7 +157,7 @@
 	gsl_rng_set(l.choice, o->seed + 1);
 	curl_multi_setopt(l.multi, CURLMOPT_MAXCONNECTS, CONNECTIONS);
 	l.start_us = clock_now_us();
-	l.next_s = bn_rate_next(&o->rate, 0, l.plan);
+	l.next_s = arrival_next(&o->rate, 0, l.plan);
 	loop(&l);
 	give_up(&l);
 	gsl_rng_free(l.plan);
--- a/bench/bn_http.c
+++ b/bench/sync_http.c
@@ -1,12 +1,12 @@
-#include "bn_http.h"
+#include "sync_http.h"
 
-size_t bn_http_append(char *p, size_t size, size_t n, void *out)
+size_t sync_http_append(char *p, size_t size, size_t n, void *out)
 {
 	buf_add(out, (str_t){p, size * n});
 	return size * n;
 }
 
-struct curl_slist *bn_http_header(struct curl_slist *h, const char *name, const char *value)
+struct curl_slist *sync_http_add_header(struct curl_slist *h, const char *name, const char *value)
 {
 	AUTO_BUF line = {0};
 
@@ -21,7 +21,7 @@
 	if (!key)
 		return h;
 	buf_addf(&bearer, "Bearer %s", key);
-	return bn_http_header(h, "Authorization", bearer.p);
+	return sync_http_add_header(h, "Authorization", bearer.p);
 }
 
 static long finish(CURL *c, const char *url, struct curl_slist *h, long timeout_ms, buf_t *out)
@@ -32,7 +32,7 @@
 	curl_easy_setopt(c, CURLOPT_HTTPHEADER, h);
 	curl_easy_setopt(c, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, timeout_ms);
-	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, bn_http_append);
+	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, sync_http_append);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, out);
 	if (curl_easy_perform(c) == CURLE_OK)
 		curl_easy_getinfo(c, CURLINFO_RESPONSE_CODE, &code);
@@ -41,12 +41,12 @@
 	return code;
 }
 
-long bn_http_get(const char *url, const char *key, long timeout_ms, buf_t *out)
+long sync_http_get(const char *url, const char *key, long timeout_ms, buf_t *out)
 {
 	return finish(curl_easy_init(), url, with_key(NULL, key), timeout_ms, out);
 }
 
-long bn_http_delete(const char *url, const char *key, long timeout_ms, buf_t *out)
+long sync_http_delete(const char *url, const char *key, long timeout_ms, buf_t *out)
 {
 	CURL *c = curl_easy_init();
 
@@ -54,14 +54,14 @@
 	return finish(c, url, with_key(NULL, key), timeout_ms, out);
 }
 
-long bn_http_post(const char *url, const char *key, const char *idempotency_key, str_t body,
-		  long timeout_ms, buf_t *out)
+long sync_http_post(const char *url, const char *key, const char *idempotency_key, str_t body,
+		    long timeout_ms, buf_t *out)
 {
 	CURL *c = curl_easy_init();
 	struct curl_slist *h = with_key(NULL, key);
 
-	h = bn_http_header(h, "Idempotency-Key", idempotency_key);
-	h = bn_http_header(h, "Content-Type", "application/x-ndjson");
+	h = sync_http_add_header(h, "Idempotency-Key", idempotency_key);
+	h = sync_http_add_header(h, "Content-Type", "application/x-ndjson");
 	h = curl_slist_append(h, "Expect:");
 	curl_easy_setopt(c, CURLOPT_POSTFIELDSIZE_LARGE, (curl_off_t)body.n);
 	curl_easy_setopt(c, CURLOPT_POSTFIELDS, body.p);
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/clock.h"
-#include "fk_common.h"
+#include "fake_common.h"
 
 #define MAX_LAG_MS     3600000
 #define MAX_RATE       100000
@@ -79,7 +79,7 @@
 	for (size_t i = 0; st == STATUS_OK && i < toml_table_count(root, "vm"); i++)
 		st = read_vm(c, toml_table_at(root, "vm", i), vms);
 	add_version(p, vms);
-	return st == STATUS_OK ? fk_check_address(c, "listen", p->listen) : st;
+	return st == STATUS_OK ? fake_check_address(c, "listen", p->listen) : st;
 }
 
 static void drop_older(version_t *v)
@@ -114,21 +114,21 @@
 	pthread_mutex_lock(&p->lock);
 	body = json_pack("{s:o}", "vms", json_deep_copy(visible_version(p)->vms));
 	pthread_mutex_unlock(&p->lock);
-	return fk_answer(r, 200, body);
+	return fake_reply(r, 200, body);
 }
 
 static int handle_put_vms(const struct _u_request *q, struct _u_response *r, void *ctx)
 {
 	platform_t *p = ctx;
-	AUTO_JSON *body = fk_body(q);
+	AUTO_JSON *body = fake_request_json(q);
 	json_t *vms = json_object_get(body, "vms");
 
 	if (!json_is_array(vms))
-		return fk_answer_error(r, 400, "no list of VMs");
+		return fake_reply_error(r, 400, "no list of VMs");
 	pthread_mutex_lock(&p->lock);
 	add_version(p, json_incref(vms));
 	pthread_mutex_unlock(&p->lock);
-	return fk_answer(r, 200, json_object());
+	return fake_reply(r, 200, json_object());
 }
 
 /* Tells whether one more answer stays within weight_rate of any minute. */
@@ -157,10 +157,10 @@
 	pthread_mutex_unlock(&p->lock);
 	if (!taken) {
 		u_map_put(r->map_header, "Retry-After", "1");
-		return fk_answer_error(r, 429, "over the rate");
+		return fake_reply_error(r, 429, "over the rate");
 	}
 	clock_sleep_ms(p->weight_ms);
-	return fk_answer(r, 200, json_pack("{s:s}", "name", name ? name : ""));
+	return fake_reply(r, 200, json_pack("{s:s}", "name", name ? name : ""));
 }
 
 static int handle_counts(const struct _u_request *q, struct _u_response *r, void *ctx)
@@ -172,12 +172,12 @@
 	body = json_pack("{s:I,s:I}", "weights", (json_int_t)p->weights, "refused",
 			 (json_int_t)p->refused);
 	pthread_mutex_unlock(&p->lock);
-	return fk_answer(r, 200, body);
+	return fake_reply(r, 200, body);
 }
 
 static status_t start(void *ctx)
 {
-	static const fk_route_t routes[] = {
+	static const fake_route_t routes[] = {
 		{"GET", "/v1/vms", handle_get_vms},
 		{"PUT", "/v1/vms", handle_put_vms},
 		{"GET", "/v1/weights/:name", handle_weight},
@@ -187,7 +187,7 @@
 	platform_t *p = ctx;
 
 	p->served_ms = mem_new((size_t)p->weight_rate * sizeof(*p->served_ms));
-	return fk_http_start(&(fk_http_options_t){p->listen, routes, NULL, p});
+	return fake_http_start(&(fake_http_options_t){p->listen, routes, NULL, p});
 }
 
 int main(int argc, char **argv)
@@ -198,8 +198,8 @@
 		.weight_ms = 50,
 		.weight_rate = 60,
 	};
-	const fk_program_t program = {"auburn-fake-platform", "stand-in of the platform", configure,
-				      start, &p};
+	const fake_program_t program = {"auburn-fake-platform", "stand-in of the platform",
+					configure, start, &p};
 
-	return fk_main(argc, argv, &program);
+	return fake_main(argc, argv, &program);
 }
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/clock.h"
-#include "fk_common.h"
+#include "fake_common.h"
 
 #define MAX_DELAY_MS 600000
 
@@ -29,7 +29,7 @@
 	};
 	status_t st = toml_read(c, toml_root(c), keys, NULL);
 
-	return st == STATUS_OK ? fk_check_address(c, "listen", s->listen) : st;
+	return st == STATUS_OK ? fake_check_address(c, "listen", s->listen) : st;
 }
 
 static bool take(int64_t *left)
@@ -42,7 +42,7 @@
 
 static int64_t count_run(service_t *s, const char *key)
 {
-	int64_t n = fk_int(s->keys, key, 0) + 1;
+	int64_t n = fake_json_int(s->keys, key, 0) + 1;
 
 	json_object_set_new(s->keys, key, json_integer(n));
 	s->total++;
@@ -58,11 +58,11 @@
 	bool lose;
 
 	if (strcmp(q->http_verb, "POST") != 0)
-		return fk_answer_error(r, 404, "not found");
+		return fake_reply_error(r, 404, "not found");
 	pthread_mutex_lock(&s->lock);
 	if (take(&s->fail)) {
 		pthread_mutex_unlock(&s->lock);
-		return fk_answer_error(r, 503, "not run");
+		return fake_reply_error(r, 503, "not run");
 	}
 	run = count_run(s, key ? key : "");
 	lose = take(&s->lose);
@@ -70,8 +70,8 @@
 	pthread_mutex_unlock(&s->lock);
 	clock_sleep_ms(delay_ms);
 	if (lose)
-		fk_http_drop(q);
-	return fk_answer(
+		fake_http_drop(q);
+	return fake_reply(
 		r, 200,
 		json_pack("{s:b,s:I,s:s}", "ok", 1, "run", (json_int_t)run, "key", key ? key : ""));
 }
@@ -85,27 +85,27 @@
 	body = json_pack("{s:I,s:o}", "total", (json_int_t)s->total, "keys",
 			 json_deep_copy(s->keys));
 	pthread_mutex_unlock(&s->lock);
-	return fk_answer(r, 200, body);
+	return fake_reply(r, 200, body);
 }
 
 static int handle_fault(const struct _u_request *q, struct _u_response *r, void *ctx)
 {
 	service_t *s = ctx;
-	AUTO_JSON *body = fk_body(q);
+	AUTO_JSON *body = fake_request_json(q);
 
 	if (!body)
-		return fk_answer_error(r, 400, "not a JSON object");
+		return fake_reply_error(r, 400, "not a JSON object");
 	pthread_mutex_lock(&s->lock);
-	s->lose = fk_int(body, "lose", s->lose);
-	s->fail = fk_int(body, "fail", s->fail);
-	s->delay_ms = fk_int(body, "delay_ms", s->delay_ms);
+	s->lose = fake_json_int(body, "lose", s->lose);
+	s->fail = fake_json_int(body, "fail", s->fail);
+	s->delay_ms = fake_json_int(body, "delay_ms", s->delay_ms);
 	pthread_mutex_unlock(&s->lock);
-	return fk_answer(r, 200, json_object());
+	return fake_reply(r, 200, json_object());
 }
 
 static status_t start(void *ctx)
 {
-	static const fk_route_t routes[] = {
+	static const fake_route_t routes[] = {
 		{"GET", "/runs", handle_runs},
 		{"POST", "/fault", handle_fault},
 		{NULL, NULL, NULL},
@@ -113,14 +113,14 @@
 	service_t *s = ctx;
 
 	s->keys = json_object();
-	return fk_http_start(&(fk_http_options_t){s->listen, routes, handle_run, s});
+	return fake_http_start(&(fake_http_options_t){s->listen, routes, handle_run, s});
 }
 
 int main(int argc, char **argv)
 {
 	service_t s = {.lock = PTHREAD_MUTEX_INITIALIZER, .delay_ms = 20};
-	const fk_program_t program = {"auburn-fake-service", "stand-in of a plain service",
-				      configure, start, &s};
+	const fake_program_t program = {"auburn-fake-service", "stand-in of a plain service",
+					configure, start, &s};
 
-	return fk_main(argc, argv, &program);
+	return fake_main(argc, argv, &program);
 }
--- a/fakes/fk_engine_cache.c
+++ b/fakes/fake_engine_cache.c
@@ -3,26 +3,26 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/clock.h"
-#include "fk_engine.h"
+#include "fake_engine.h"
 
-static void publish(fk_cache_t *c, uint64_t prefix, bool added)
+static void publish(fake_cache_t *c, uint64_t prefix, bool added)
 {
-	c->last++;
-	c->events[c->last % FK_CACHE_EVENTS] = (fk_cache_event_t){
+	c->last_seq++;
+	c->events[c->last_seq % FAKE_CACHE_EVENTS] = (fake_cache_event_t){
 		.at_ms = clock_now_ms(),
 		.prefix = prefix,
 		.added = added,
-		.lost = rand_r(&c->seed) % 100 < c->gap_percent,
+		.dropped = rand_r(&c->seed) % 100 < c->gap_percent,
 	};
 }
 
-static void move_to_front(fk_cache_t *c, size_t at, uint64_t prefix)
+static void move_to_front(fake_cache_t *c, size_t at, uint64_t prefix)
 {
 	memmove(c->prefix + 1, c->prefix, at * sizeof(c->prefix[0]));
 	c->prefix[0] = prefix;
 }
 
-bool fk_cache_use(fk_cache_t *c, uint64_t prefix)
+bool fake_cache_use(fake_cache_t *c, uint64_t prefix)
 {
 	size_t i = 0;
 
@@ -32,9 +32,9 @@
 		move_to_front(c, i, prefix);
 		return true;
 	}
-	if (!c->max)
+	if (!c->capacity)
 		return false;
-	if (c->n == c->max)
+	if (c->n == c->capacity)
 		publish(c, c->prefix[--c->n], false);
 	move_to_front(c, c->n++, prefix);
 	publish(c, prefix, true);
@@ -46,19 +46,19 @@
 	return json_sprintf("%016llx", (unsigned long long)prefix);
 }
 
-json_t *fk_cache_events(const fk_cache_t *c, int64_t after, int64_t lag_ms)
+json_t *fake_cache_events_json(const fake_cache_t *c, int64_t after, int64_t lag_ms)
 {
 	int64_t until_ms = clock_now_ms() - lag_ms;
-	int64_t first = c->last - FK_CACHE_EVENTS + 1;
+	int64_t first = c->last_seq - FAKE_CACHE_EVENTS + 1;
 	int64_t last = after < 0 ? 0 : after;
 	json_t *list = json_array();
 	int64_t seq = last + 1 < first ? first : last + 1;
 
-	for (; seq <= c->last && c->events[seq % FK_CACHE_EVENTS].at_ms <= until_ms; seq++) {
-		const fk_cache_event_t *ev = &c->events[seq % FK_CACHE_EVENTS];
+	for (; seq <= c->last_seq && c->events[seq % FAKE_CACHE_EVENTS].at_ms <= until_ms; seq++) {
+		const fake_cache_event_t *ev = &c->events[seq % FAKE_CACHE_EVENTS];
 
 		last = seq;
-		if (!ev->lost)
+		if (!ev->dropped)
 			json_array_append_new(list,
 					      json_pack("{s:I,s:s,s:o}", "seq", (json_int_t)seq,
 							"op", ev->added ? "add" : "remove",
@@ -67,11 +67,11 @@
 	return json_pack("{s:o,s:I}", "events", list, "last", (json_int_t)last);
 }
 
-json_t *fk_cache_list(const fk_cache_t *c)
+json_t *fake_cache_json(const fake_cache_t *c)
 {
 	json_t *list = json_array();
 
 	for (size_t i = 0; i < c->n; i++)
 		json_array_append_new(list, prefix_text(c->prefix[i]));
-	return json_pack("{s:I,s:o}", "last", (json_int_t)c->last, "prefixes", list);
+	return json_pack("{s:I,s:o}", "last", (json_int_t)c->last_seq, "prefixes", list);
 }
--- a/fakes/fk_engine_orders.c
+++ b/fakes/fake_engine_orders.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/clock.h"
-#include "fk_common.h"
-#include "fk_engine.h"
+#include "fake_common.h"
+#include "fake_engine.h"
 
 #define WEIGHT_RETRY_MS	 200
 #define WEIGHT_TIMEOUT_S 30ul
@@ -25,12 +25,12 @@
 	return done;
 }
 
-static void load_weight(const fk_settings_t *s, const json_t *load)
+static void load_weight(const fake_engine_settings_t *s, const json_t *load)
 {
 	AUTO_BUF url = {0};
 
 	if (s->weight_store && *s->weight_store) {
-		buf_addf(&url, "%s/v1/weights/%s", s->weight_store, fk_str(load, "model"));
+		buf_addf(&url, "%s/v1/weights/%s", s->weight_store, fake_json_str(load, "model"));
 		while (!fetch_weight(url.p))
 			clock_sleep_ms(WEIGHT_RETRY_MS);
 	}
@@ -39,12 +39,12 @@
 
 static bool same_place(const json_t *a, const json_t *b)
 {
-	return strcmp(fk_str(a, "model"), fk_str(b, "model")) == 0 &&
-	       strcmp(fk_str(a, "adapter"), fk_str(b, "adapter")) == 0;
+	return strcmp(fake_json_str(a, "model"), fake_json_str(b, "model")) == 0 &&
+	       strcmp(fake_json_str(a, "adapter"), fake_json_str(b, "adapter")) == 0;
 }
 
 /* Another version of a model and adapter takes the place of the one before. */
-static void note_loaded(fk_orders_t *o, json_t *load)
+static void note_loaded(fake_orders_t *o, json_t *load)
 {
 	size_t i = 0;
 
@@ -58,39 +58,39 @@
 
 static void *run_loads(void *arg)
 {
-	fk_orders_t *o = arg;
+	fake_orders_t *o = arg;
 	json_t *load;
 
 	pthread_mutex_lock(&o->lock);
 	for (;;) {
-		while (!json_array_size(o->loading))
-			pthread_cond_wait(&o->changed, &o->lock);
-		load = json_array_get(o->loading, 0);
+		while (!json_array_size(o->load_queue))
+			pthread_cond_wait(&o->load_queued, &o->lock);
+		load = json_array_get(o->load_queue, 0);
 		pthread_mutex_unlock(&o->lock);
 		load_weight(o->settings, load);
 		pthread_mutex_lock(&o->lock);
 		note_loaded(o, load);
-		json_array_remove(o->loading, 0);
+		json_array_remove(o->load_queue, 0);
 	}
 	return NULL;
 }
 
-void fk_orders_init(fk_orders_t *o, const fk_settings_t *s)
+void fake_orders_init(fake_orders_t *o, const fake_engine_settings_t *s)
 {
 	pthread_t t;
 
 	pthread_mutex_init(&o->lock, NULL);
-	pthread_cond_init(&o->changed, NULL);
+	pthread_cond_init(&o->load_queued, NULL);
 	o->settings = s;
 	o->role = str_dup(STR("mixed"));
 	o->loaded = json_array();
-	o->loading = json_array();
+	o->load_queue = json_array();
 	if (pthread_create(&t, NULL, run_loads, o) != 0)
 		abort();
 	pthread_detach(t);
 }
 
-bool fk_orders_pass(fk_orders_t *o, int64_t fence)
+bool fake_orders_check_fence(fake_orders_t *o, int64_t fence)
 {
 	bool old;
 
@@ -102,7 +102,7 @@
 	return !(old && o->settings->fencing);
 }
 
-int64_t fk_orders_fence(fk_orders_t *o)
+int64_t fake_orders_fence(fake_orders_t *o)
 {
 	int64_t fence;
 
@@ -112,19 +112,20 @@
 	return fence;
 }
 
-void fk_orders_load(fk_orders_t *o, const char *model, const char *version, const char *adapter)
+void fake_orders_queue_load(fake_orders_t *o, const char *model, const char *version,
+			    const char *adapter)
 {
 	json_t *load =
 		json_pack("{s:s,s:s,s:s}", "model", model, "version", version, "adapter", adapter);
 
 	pthread_mutex_lock(&o->lock);
-	json_array_append_new(o->loading, load);
+	json_array_append_new(o->load_queue, load);
 	o->loads_total++;
-	pthread_cond_signal(&o->changed);
+	pthread_cond_signal(&o->load_queued);
 	pthread_mutex_unlock(&o->lock);
 }
 
-void fk_orders_role(fk_orders_t *o, const char *role)
+void fake_orders_set_role(fake_orders_t *o, const char *role)
 {
 	pthread_mutex_lock(&o->lock);
 	free(o->role);
@@ -132,14 +133,14 @@
 	pthread_mutex_unlock(&o->lock);
 }
 
-json_t *fk_orders_state(fk_orders_t *o)
+json_t *fake_orders_json(fake_orders_t *o)
 {
 	json_t *state;
 
 	pthread_mutex_lock(&o->lock);
 	state = json_pack("{s:I,s:s,s:o,s:o,s:I}", "fence", (json_int_t)o->fence, "role", o->role,
 			  "loaded", json_deep_copy(o->loaded), "loading",
-			  json_deep_copy(o->loading), "loads_total", (json_int_t)o->loads_total);
+			  json_deep_copy(o->load_queue), "loads_total", (json_int_t)o->loads_total);
 	pthread_mutex_unlock(&o->lock);
 	return state;
 }
--- a/fakes/fk_engine.c
+++ b/fakes/fake_engine_streams.c
@@ -6,7 +6,7 @@
 #include <time.h>
 #include <unistd.h>
 #include <utlist.h>
-#include "fk_engine.h"
+#include "fake_engine.h"
 
 #define BYTES_PER_TOKEN	     4
 #define TOKENS_BEFORE_STALL  2
@@ -18,8 +18,8 @@
 
 typedef enum { STREAM_WAITING, STREAM_RUNNING, STREAM_WHOLE, STREAM_BROKEN } stream_state_t;
 
-struct fk_stream {
-	fk_engine_t *e;
+struct fake_stream {
+	fake_engine_t *e;
 	char *id;
 	char *shown_id; /* the id in its events */
 	buf_t prompt;
@@ -34,26 +34,26 @@
 	stream_state_t state;
 	buf_t out;
 	pthread_cond_t ready;
-	fk_stream_t *prev, *next_stream;
+	fake_stream_t *prev, *next_stream;
 };
 
-static void note_load(fk_engine_t *e)
+static void note_load(fake_engine_t *e)
 {
 	if (e->running_n > e->counts.max_running)
 		e->counts.max_running = e->running_n;
 	if (e->waiting_n > e->counts.max_waiting)
 		e->counts.max_waiting = e->waiting_n;
-	fk_report_add(&e->report, &(fk_sample_t){
-					  .at_ms = clock_now_ms(),
-					  .running = e->running_n,
-					  .waiting = e->waiting_n,
-					  .step_us = e->step_us,
-				  });
+	fake_report_add(&e->report, &(fake_report_sample_t){
+					    .at_ms = clock_now_ms(),
+					    .running = e->running_n,
+					    .waiting = e->waiting_n,
+					    .step_us = e->step_us,
+				    });
 }
 
-static void leave(fk_stream_t *s)
+static void leave(fake_stream_t *s)
 {
-	fk_engine_t *e = s->e;
+	fake_engine_t *e = s->e;
 
 	if (s->state == STREAM_RUNNING) {
 		DL_DELETE2(e->running, s, prev, next_stream);
@@ -64,7 +64,7 @@
 	}
 }
 
-static void end_stream(fk_stream_t *s, stream_state_t state)
+static void end_stream(fake_stream_t *s, stream_state_t state)
 {
 	leave(s);
 	s->state = state;
@@ -72,14 +72,14 @@
 	pthread_cond_signal(&s->ready);
 }
 
-static int64_t prefill_tokens(fk_engine_t *e, const fk_stream_t *s)
+static int64_t prefill_tokens(fake_engine_t *e, const fake_stream_t *s)
 {
 	size_t prefix_n = (size_t)e->settings.prefix_bytes;
 	size_t known = 0;
 
 	if (prefix_n > s->prompt_n)
 		prefix_n = s->prompt_n;
-	if (fk_cache_use(&e->cache, str_hash((str_t){s->prompt.p, prefix_n}))) {
+	if (fake_cache_use(&e->cache, str_hash((str_t){s->prompt.p, prefix_n}))) {
 		e->counts.prefix_hits++;
 		known = prefix_n;
 	}
@@ -87,10 +87,10 @@
 }
 
 /* Fills free slots in order of arrival; the result is the tokens to prefill. */
-static int64_t admit(fk_engine_t *e)
+static int64_t admit(fake_engine_t *e)
 {
 	int64_t prefill = 0;
-	fk_stream_t *s;
+	fake_stream_t *s;
 
 	while (e->waiting && e->running_n < e->settings.slots) {
 		s = e->waiting;
@@ -105,7 +105,7 @@
 	return prefill;
 }
 
-static void add_token(fk_stream_t *s)
+static void add_token(fake_stream_t *s)
 {
 	AUTO_BUF seed = {0};
 	unsigned long long h;
@@ -119,7 +119,7 @@
 		 (long long)s->next, h & 0xffffff);
 }
 
-static void step_stream(fk_engine_t *e, fk_stream_t *s, int64_t now)
+static void step_stream(fake_engine_t *e, fake_stream_t *s, int64_t now)
 {
 	if (now < s->first_at || s->next == s->silent_at)
 		return;
@@ -148,10 +148,10 @@
 		;
 }
 
-static void wait_for_work(fk_engine_t *e)
+static void wait_for_work(fake_engine_t *e)
 {
 	while (!e->running && !e->waiting)
-		pthread_cond_wait(&e->work, &e->lock);
+		pthread_cond_wait(&e->work_queued, &e->lock);
 	while (clock_now_ms() < e->faults.frozen_until) {
 		pthread_mutex_unlock(&e->lock);
 		clock_sleep_ms(FREEZE_POLL_MS);
@@ -160,13 +160,13 @@
 }
 
 /* One step: admissions, the time it takes, then a token for each running stream. */
-static void step(fk_engine_t *e)
+static void step(fake_engine_t *e)
 {
-	const fk_settings_t *set = &e->settings;
+	const fake_engine_settings_t *set = &e->settings;
 	int64_t begin_us = clock_now_us();
 	int64_t prefill = admit(e);
-	fk_stream_t *s;
-	fk_stream_t *following;
+	fake_stream_t *s;
+	fake_stream_t *following;
 	int64_t now;
 
 	e->step_us = set->step_base_us + set->step_per_stream_us * e->running_n +
@@ -184,7 +184,7 @@
 
 static void *run_steps(void *arg)
 {
-	fk_engine_t *e = arg;
+	fake_engine_t *e = arg;
 
 	pthread_mutex_lock(&e->lock);
 	for (;;) {
@@ -194,24 +194,24 @@
 	return NULL;
 }
 
-void fk_engine_start(fk_engine_t *e)
+void fake_engine_start(fake_engine_t *e)
 {
 	pthread_t t;
 
 	pthread_mutex_init(&e->lock, NULL);
-	pthread_cond_init(&e->work, NULL);
-	e->cache.max = (size_t)e->settings.cache_prefixes;
+	pthread_cond_init(&e->work_queued, NULL);
+	e->cache.capacity = (size_t)e->settings.cache_prefixes;
 	e->cache.gap_percent = e->settings.event_gap_percent;
 	e->cache.seed = (unsigned)e->settings.seed;
 	e->counts.by_request = json_object();
-	fk_orders_init(&e->orders, &e->settings);
+	fake_orders_init(&e->orders, &e->settings);
 	note_load(e);
 	if (pthread_create(&t, NULL, run_steps, e) != 0)
 		abort();
 	pthread_detach(t);
 }
 
-static void count_start(fk_engine_t *e, const char *id)
+static void count_start(fake_engine_t *e, const char *id)
 {
 	json_t *by = e->counts.by_request;
 	json_int_t n = json_integer_value(json_object_get(by, id));
@@ -230,10 +230,10 @@
 }
 
 /* The id of another stream, as an engine that mixes up its answers would send it. */
-static char *other_id(fk_engine_t *e, const char *id)
+static char *other_id(fake_engine_t *e, const char *id)
 {
 	AUTO_BUF b = {0};
-	const fk_stream_t *s;
+	const fake_stream_t *s;
 
 	for (s = e->running; s; s = s->next_stream) {
 		if (strcmp(s->id, id) != 0)
@@ -243,7 +243,7 @@
 	return str_dup(str_buf(&b));
 }
 
-static void apply_faults(fk_engine_t *e, fk_stream_t *s)
+static void apply_faults(fake_engine_t *e, fake_stream_t *s)
 {
 	int64_t left = s->end - s->next;
 
@@ -254,9 +254,9 @@
 	s->shown_id = take(&e->faults.cross) ? other_id(e, s->id) : str_dup(str_c(s->id));
 }
 
-fk_stream_t *fk_stream_new(fk_engine_t *e, const fk_stream_options_t *o)
+fake_stream_t *fake_stream_new(fake_engine_t *e, const fake_stream_options_t *o)
 {
-	fk_stream_t *s = mem_new(sizeof(*s));
+	fake_stream_t *s = mem_new(sizeof(*s));
 
 	s->e = e;
 	s->id = str_dup(o->id);
@@ -274,12 +274,12 @@
 	DL_APPEND2(e->waiting, s, prev, next_stream);
 	e->waiting_n++;
 	note_load(e);
-	pthread_cond_signal(&e->work);
+	pthread_cond_signal(&e->work_queued);
 	pthread_mutex_unlock(&e->lock);
 	return s;
 }
 
-static bool client_gone(const fk_stream_t *s)
+static bool client_gone(const fake_stream_t *s)
 {
 	char c;
 	ssize_t n;
@@ -290,7 +290,7 @@
 	return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-static void wait_ready(fk_stream_t *s)
+static void wait_ready(fake_stream_t *s)
 {
 	struct timespec until;
 
@@ -301,7 +301,7 @@
 	pthread_cond_clockwait(&s->ready, &s->e->lock, CLOCK_MONOTONIC, &until);
 }
 
-long fk_stream_read(fk_stream_t *s, char *out, size_t max)
+long fake_stream_read(fake_stream_t *s, char *out, size_t max)
 {
 	long n = 0;
 
@@ -321,7 +321,7 @@
 	return n;
 }
 
-void fk_stream_free(fk_stream_t *s)
+void fake_stream_free(fake_stream_t *s)
 {
 	pthread_mutex_lock(&s->e->lock);
 	if (s->state < STREAM_WHOLE) {
@@ -337,11 +337,11 @@
 	free(s);
 }
 
-static bool cancel_in(fk_engine_t *e, fk_stream_t *list, str_t id)
+static bool cancel_in(fake_engine_t *e, fake_stream_t *list, str_t id)
 {
 	bool found = false;
-	fk_stream_t *s;
-	fk_stream_t *following;
+	fake_stream_t *s;
+	fake_stream_t *following;
 
 	for (s = list; s; s = following) {
 		following = s->next_stream;
@@ -355,7 +355,7 @@
 	return found;
 }
 
-bool fk_engine_cancel(fk_engine_t *e, str_t id)
+bool fake_engine_cancel(fake_engine_t *e, str_t id)
 {
 	bool running;
 	bool waiting;
--- a/fakes/fk_http.c
+++ b/fakes/fake_http.c
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/rpc.h"
-#include "fk_common.h"
+#include "fake_common.h"
 
-#define FK_MAX_CONNECTIONS 4096
-#define FK_MAX_BODY	   (8u << 20)
-#define FK_PORTS	   65536
-#define FK_BACKLOG	   1024
+#define MAX_CONNECTIONS 4096
+#define MAX_BODY_BYTES	(8u << 20)
+#define PORT_COUNT	65536
+#define ACCEPT_BACKLOG	1024
 
 /* Sockets by the client's port; the stand-ins see loopback clients only. The address settles which
  * of two clients with equal ports is meant. */
@@ -22,7 +22,7 @@
 	struct socket_entry *next;
 } socket_entry_t;
 
-static socket_entry_t *sockets[FK_PORTS];
+static socket_entry_t *sockets[PORT_COUNT];
 static pthread_mutex_t sockets_lock = PTHREAD_MUTEX_INITIALIZER;
 
 static bool same_client(const struct sockaddr_in *a, const struct sockaddr_in *b)
@@ -78,7 +78,7 @@
 	}
 }
 
-int fk_http_socket(const struct _u_request *q)
+int fake_http_socket(const struct _u_request *q)
 {
 	struct sockaddr_in client;
 	const socket_entry_t *e;
@@ -93,15 +93,15 @@
 	return fd;
 }
 
-void fk_http_drop(const struct _u_request *q)
+void fake_http_drop(const struct _u_request *q)
 {
-	int fd = fk_http_socket(q);
+	int fd = fake_http_socket(q);
 
 	if (fd >= 0)
 		shutdown(fd, SHUT_RDWR);
 }
 
-status_t fk_address(const char *addr, struct sockaddr_in *out)
+status_t fake_parse_address(const char *addr, struct sockaddr_in *out)
 {
 	char ip[64];
 	unsigned port;
@@ -114,11 +114,11 @@
 	return STATUS_OK;
 }
 
-status_t fk_check_address(const toml_doc_t *c, const char *key, const char *addr)
+status_t fake_check_address(const toml_doc_t *c, const char *key, const char *addr)
 {
 	struct sockaddr_in ignored;
 
-	if (fk_address(addr, &ignored) == STATUS_OK)
+	if (fake_parse_address(addr, &ignored) == STATUS_OK)
 		return STATUS_OK;
 	return status_fail(STATUS_INVALID, "%s:%d: %s: %s is not ip:port", toml_name(c),
 			   toml_line(toml_root(c), key), key, addr);
@@ -131,8 +131,8 @@
 		{MHD_OPTION_URI_LOG_CALLBACK, (intptr_t)ulfius_uri_logger, NULL},
 		{MHD_OPTION_NOTIFY_CONNECTION, (intptr_t)on_connection, NULL},
 		{MHD_OPTION_SOCK_ADDR, 0, server->bind_address},
-		{MHD_OPTION_CONNECTION_LIMIT, FK_MAX_CONNECTIONS, NULL},
-		{MHD_OPTION_LISTEN_BACKLOG_SIZE, FK_BACKLOG, NULL},
+		{MHD_OPTION_CONNECTION_LIMIT, MAX_CONNECTIONS, NULL},
+		{MHD_OPTION_LISTEN_BACKLOG_SIZE, ACCEPT_BACKLOG, NULL},
 		{MHD_OPTION_LISTENING_ADDRESS_REUSE, 1, NULL},
 		{MHD_OPTION_END, 0, NULL},
 	};
@@ -143,12 +143,12 @@
 		options);
 }
 
-status_t fk_http_start(const fk_http_options_t *o)
+status_t fake_http_start(const fake_http_options_t *o)
 {
 	struct _u_instance *server = mem_new(sizeof(*server));
 	struct sockaddr_in *address = mem_new(sizeof(*address));
-	status_t st = fk_address(o->listen, address);
-	const fk_route_t *r;
+	status_t st = fake_parse_address(o->listen, address);
+	const fake_route_t *r;
 
 	if (st != STATUS_OK)
 		goto fail;
@@ -157,11 +157,11 @@
 		status_fail(STATUS_IO, "%s: can't prepare the server", o->listen);
 		goto fail;
 	}
-	server->max_post_body_size = FK_MAX_BODY;
+	server->max_post_body_size = MAX_BODY_BYTES;
 	for (r = o->routes; r->method; r++)
 		ulfius_add_endpoint_by_val(server, r->method, NULL, r->path, 0, r->handle, o->ctx);
-	if (o->other)
-		ulfius_set_default_endpoint(server, o->other, o->ctx);
+	if (o->fallback)
+		ulfius_set_default_endpoint(server, o->fallback, o->ctx);
 	if (start_server(server) == U_OK)
 		return STATUS_OK;
 	status_fail(STATUS_IO, "%s: can't listen", o->listen);
@@ -172,19 +172,19 @@
 	return st;
 }
 
-int fk_answer(struct _u_response *r, unsigned status, json_t *body)
+int fake_reply(struct _u_response *r, unsigned status, json_t *body)
 {
 	ulfius_set_json_body_response(r, status, body);
 	json_decref(body);
 	return U_CALLBACK_COMPLETE;
 }
 
-int fk_answer_error(struct _u_response *r, unsigned status, const char *what)
+int fake_reply_error(struct _u_response *r, unsigned status, const char *what)
 {
-	return fk_answer(r, status, json_pack("{s:s}", "error", what));
+	return fake_reply(r, status, json_pack("{s:s}", "error", what));
 }
 
-json_t *fk_body(const struct _u_request *q)
+json_t *fake_request_json(const struct _u_request *q)
 {
 	json_t *j = json_loadb(q->binary_body, q->binary_body_length, 0, NULL);
 
@@ -194,33 +194,33 @@
 	return NULL;
 }
 
-int64_t fk_int(const json_t *o, const char *key, int64_t absent)
+int64_t fake_json_int(const json_t *o, const char *key, int64_t absent)
 {
 	const json_t *v = json_object_get(o, key);
 
 	return json_is_integer(v) ? json_integer_value(v) : absent;
 }
 
-const char *fk_str(const json_t *o, const char *key)
+const char *fake_json_str(const json_t *o, const char *key)
 {
 	const char *v = json_string_value(json_object_get(o, key));
 
 	return v ? v : "";
 }
 
-bool fk_bool(const json_t *o, const char *key)
+bool fake_json_bool(const json_t *o, const char *key)
 {
 	return json_is_true(json_object_get(o, key));
 }
 
-int64_t fk_query_int(const struct _u_request *q, const char *key, int64_t absent)
+int64_t fake_query_int(const struct _u_request *q, const char *key, int64_t absent)
 {
 	const char *v = u_map_get(q->map_url, key);
 
 	return v ? strtoll(v, NULL, 10) : absent;
 }
 
-void fk_json_cleanup(json_t **j)
+void fake_json_cleanup(json_t **j)
 {
 	json_decref(*j);
 }
--- a/fakes/fk_main.c
+++ b/fakes/fake_main.c
@@ -5,7 +5,7 @@
 #include <unistd.h>
 #include "base/args.h"
 #include "base/log.h"
-#include "fk_common.h"
+#include "fake_common.h"
 
 static void block_stop_signals(sigset_t *set)
 {
@@ -16,7 +16,7 @@
 	pthread_sigmask(SIG_BLOCK, set, NULL);
 }
 
-static int run(const fk_program_t *p, const char *path, bool check_only)
+static int run(const fake_program_t *p, const char *path, bool check_only)
 {
 	AUTO_TOML *c = NULL;
 	sigset_t set;
@@ -40,7 +40,7 @@
 	_exit(EXIT_OK);
 }
 
-int fk_main(int argc, char **argv, const fk_program_t *p)
+int fake_main(int argc, char **argv, const fake_program_t *p)
 {
 	const args_options_t o = {p->name, p->about, NULL, NULL};
 	args_parsed_t args;
--- a/fakes/relay.c
+++ b/fakes/relay.c
@@ -11,7 +11,7 @@
 #include <unistd.h>
 #include <utlist.h>
 #include "base/clock.h"
-#include "fk_common.h"
+#include "fake_common.h"
 
 #define READ_BYTES    65536
 #define MAX_QUEUED    (1u << 20)
@@ -285,7 +285,7 @@
 static status_t start_listen(relay_t *r)
 {
 	struct sockaddr_in addr;
-	status_t st = fk_address(r->listen, &addr);
+	status_t st = fake_parse_address(r->listen, &addr);
 	int one = 1;
 
 	if (st != STATUS_OK)
@@ -302,10 +302,10 @@
 
 static int answer_mode(const relay_t *r, struct _u_response *rs)
 {
-	return fk_answer(rs, 200,
-			 json_pack("{s:s,s:I,s:I}", "mode", mode_names[atomic_load(&r->mode)], "ms",
-				   (json_int_t)atomic_load(&r->delay_ms), "connections",
-				   (json_int_t)atomic_load(&r->connections)));
+	return fake_reply(rs, 200,
+			  json_pack("{s:s,s:I,s:I}", "mode", mode_names[atomic_load(&r->mode)],
+				    "ms", (json_int_t)atomic_load(&r->delay_ms), "connections",
+				    (json_int_t)atomic_load(&r->connections)));
 }
 
 static int handle_get_mode(const struct _u_request *q, struct _u_response *rs, void *ctx)
@@ -316,14 +316,14 @@
 static int handle_set_mode(const struct _u_request *q, struct _u_response *rs, void *ctx)
 {
 	relay_t *r = ctx;
-	AUTO_JSON *body = fk_body(q);
-	int64_t ms = fk_int(body, "ms", 0);
+	AUTO_JSON *body = fake_request_json(q);
+	int64_t ms = fake_json_int(body, "ms", 0);
 	int mode = 0;
 
-	while (mode < MODE_COUNT && strcmp(mode_names[mode], fk_str(body, "mode")) != 0)
+	while (mode < MODE_COUNT && strcmp(mode_names[mode], fake_json_str(body, "mode")) != 0)
 		mode++;
 	if (mode == MODE_COUNT || ms < 0 || ms > MAX_DELAY_MS)
-		return fk_answer_error(rs, 400, "no such mode");
+		return fake_reply_error(rs, 400, "no such mode");
 	atomic_store(&r->delay_ms, ms);
 	atomic_store(&r->mode, mode);
 	return answer_mode(r, rs);
@@ -341,17 +341,17 @@
 	status_t st = toml_read(c, toml_root(c), keys, NULL);
 
 	if (st == STATUS_OK)
-		st = fk_check_address(c, "listen", r->listen);
+		st = fake_check_address(c, "listen", r->listen);
 	if (st == STATUS_OK)
-		st = fk_check_address(c, "control", r->control);
+		st = fake_check_address(c, "control", r->control);
 	if (st == STATUS_OK)
-		st = fk_check_address(c, "target", r->target);
-	return st == STATUS_OK ? fk_address(r->target, &r->target_addr) : st;
+		st = fake_check_address(c, "target", r->target);
+	return st == STATUS_OK ? fake_parse_address(r->target, &r->target_addr) : st;
 }
 
 static status_t start(void *ctx)
 {
-	static const fk_route_t routes[] = {
+	static const fake_route_t routes[] = {
 		{"GET", "/mode", handle_get_mode},
 		{"POST", "/mode", handle_set_mode},
 		{NULL, NULL, NULL},
@@ -365,14 +365,14 @@
 	if (pthread_create(&t, NULL, accept_clients, r) != 0)
 		return status_fail(STATUS_IO, "can't start a thread");
 	pthread_detach(t);
-	return fk_http_start(&(fk_http_options_t){r->control, routes, NULL, r});
+	return fake_http_start(&(fake_http_options_t){r->control, routes, NULL, r});
 }
 
 int main(int argc, char **argv)
 {
 	static relay_t r;
-	const fk_program_t program = {"auburn-relay", "TCP relay with network faults", configure,
-				      start, &r};
+	const fake_program_t program = {"auburn-relay", "TCP relay with network faults", configure,
+					start, &r};
 
-	return fk_main(argc, argv, &program);
+	return fake_main(argc, argv, &program);
 }
--- a/tools/lb_nodes.c
+++ b/tools/inproc_replicas.c
@@ -1,5 +1,5 @@
 /* The replicas that auburn-log-bench measures. */
-#include "lb_nodes.h"
+#include "inproc_replicas.h"
 
 #include <ftw.h>
 #include <stdio.h>
@@ -8,28 +8,28 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-lb_node_t lb_nodes[GROUPS_MAX][REPLICAS_MAX];
-char lb_root[64];
-const char *const lb_seeds[REPLICAS_MAX] = {"127.0.20.1:1", "127.0.20.2:1", "127.0.20.3:1",
-					    "127.0.20.4:1", "127.0.20.5:1"};
+inproc_replica_t inproc_replicas[GROUPS_MAX][REPLICAS_MAX];
+char inproc_root[64];
+const char *const inproc_seeds[REPLICAS_MAX] = {"127.0.20.1:1", "127.0.20.2:1", "127.0.20.3:1",
+						"127.0.20.4:1", "127.0.20.5:1"};
 
 static void on_apply(void *ctx, uint64_t index, str_t cmd, buf_t *result)
 {
-	lb_node_t *n = ctx;
+	inproc_replica_t *n = ctx;
 
 	__atomic_store_n(&n->applied, index, __ATOMIC_RELEASE);
 }
 
 static void on_snapshot(void *ctx, buf_t *out)
 {
-	lb_node_t *n = ctx;
+	inproc_replica_t *n = ctx;
 
 	buf_add(out, str_buf(&n->state));
 }
 
 static status_t on_restore(void *ctx, str_t snap)
 {
-	lb_node_t *n = ctx;
+	inproc_replica_t *n = ctx;
 
 	n->state.n = 0;
 	buf_add(&n->state, snap);
@@ -38,12 +38,12 @@
 
 static void on_send(void *ctx, const char *addr, unsigned group, str_t msg)
 {
-	const lb_node_t *from = ctx;
+	const inproc_replica_t *from = ctx;
 
 	for (unsigned i = 0; i < REPLICAS_MAX; i++) {
-		lb_node_t *n = &lb_nodes[group][i];
+		inproc_replica_t *n = &inproc_replicas[group][i];
 
-		if (from->cut || n->cut || strcmp(lb_seeds[i], addr) != 0)
+		if (from->isolated || n->isolated || strcmp(inproc_seeds[i], addr) != 0)
 			continue;
 		pthread_rwlock_rdlock(&n->lock);
 		if (n->g)
@@ -52,16 +52,16 @@
 	}
 }
 
-void lb_start(unsigned group, unsigned i, unsigned nseeds, uint64_t snapshot_entries)
+void inproc_start(unsigned group, unsigned i, unsigned nseeds, uint64_t snapshot_entries)
 {
-	lb_node_t *n = &lb_nodes[group][i];
+	inproc_replica_t *n = &inproc_replicas[group][i];
 	char dir[128];
 	group_t *g = NULL;
 	group_options_t o = {.group = group,
 			     .dir = dir,
-			     .addr = lb_seeds[i],
+			     .addr = inproc_seeds[i],
 			     .zone = "z",
-			     .seeds = lb_seeds,
+			     .seeds = inproc_seeds,
 			     .nseeds = nseeds,
 			     .bootstrap = nseeds > 0,
 			     .tick_ms = TICK_MS,
@@ -74,7 +74,7 @@
 			     .restore = on_restore,
 			     .send = on_send};
 
-	snprintf(dir, sizeof(dir), "%s/%u-%u", lb_root, group, i);
+	snprintf(dir, sizeof(dir), "%s/%u-%u", inproc_root, group, i);
 	n->group = group;
 	n->applied = 0;
 	if (group_open(&o, &g) != STATUS_OK) {
@@ -86,9 +86,9 @@
 	pthread_rwlock_unlock(&n->lock);
 }
 
-void lb_stop(unsigned group, unsigned i)
+void inproc_stop(unsigned group, unsigned i)
 {
-	lb_node_t *n = &lb_nodes[group][i];
+	inproc_replica_t *n = &inproc_replicas[group][i];
 	group_t *g = n->g;
 
 	if (!g)
@@ -105,18 +105,18 @@
 	return remove(path);
 }
 
-void lb_clear(void)
+void inproc_clear(void)
 {
 	for (unsigned g = 0; g < GROUPS_MAX; g++) {
 		for (unsigned i = 0; i < REPLICAS_MAX; i++)
-			lb_stop(g, i);
+			inproc_stop(g, i);
 	}
-	nftw(lb_root, remove_one, 16, FTW_DEPTH | FTW_PHYS);
-	if (mkdir(lb_root, 0700) != 0)
+	nftw(inproc_root, remove_one, 16, FTW_DEPTH | FTW_PHYS);
+	if (mkdir(inproc_root, 0700) != 0)
 		exit(1);
 }
 
-group_t *lb_wait_leader_but(unsigned group, const group_t *except)
+group_t *inproc_wait_other_leader(unsigned group, const group_t *except)
 {
 	deadline_t d = clock_now_ms() + WAIT_MS;
 
@@ -124,11 +124,12 @@
 		for (unsigned i = 0; i < REPLICAS_MAX; i++) {
 			group_status_t s;
 
-			if (!lb_nodes[group][i].g || lb_nodes[group][i].g == except)
+			if (!inproc_replicas[group][i].g || inproc_replicas[group][i].g == except)
 				continue;
-			group_get_status(lb_nodes[group][i].g, &s);
-			if (s.leader && group_read_barrier(lb_nodes[group][i].g, d) == STATUS_OK)
-				return lb_nodes[group][i].g;
+			group_get_status(inproc_replicas[group][i].g, &s);
+			if (s.leader &&
+			    group_read_barrier(inproc_replicas[group][i].g, d) == STATUS_OK)
+				return inproc_replicas[group][i].g;
 		}
 		clock_sleep_ms(1);
 	}
@@ -136,15 +137,15 @@
 	exit(1);
 }
 
-group_t *lb_wait_leader(unsigned group)
+group_t *inproc_wait_leader(unsigned group)
 {
-	return lb_wait_leader_but(group, NULL);
+	return inproc_wait_other_leader(group, NULL);
 }
 
-void lb_cut(const group_t *g, bool cut)
+void inproc_isolate(const group_t *g, bool cut)
 {
 	for (unsigned i = 0; i < REPLICAS_MAX; i++) {
-		if (lb_nodes[0][i].g == g)
-			lb_nodes[0][i].cut = cut;
+		if (inproc_replicas[0][i].g == g)
+			inproc_replicas[0][i].isolated = cut;
 	}
 }
--- a/tools/log-bench.c
+++ b/tools/log-bench.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 #include "base/metric.h"
-#include "lb_nodes.h"
+#include "inproc_replicas.h"
 
 #define PROPOSERS_MAX	 512
 #define FAILOVERS	 10
@@ -90,10 +90,10 @@
 	us = metric_get(METRIC_HISTOGRAM, "commit_us", label);
 	for (unsigned g = 0; g < l->groups; g++) {
 		for (unsigned i = 0; i < l->replicas; i++)
-			lb_start(g, i, l->replicas, 1ull << 40);
+			inproc_start(g, i, l->replicas, 1ull << 40);
 	}
 	for (unsigned g = 0; g < l->groups; g++)
-		leaders[g] = lb_wait_leader(g);
+		leaders[g] = inproc_wait_leader(g);
 	group_get_status(leaders[0], &before);
 	start_us = clock_now_us();
 	for (unsigned i = 0; i < l->proposers; i++) {
@@ -106,7 +106,7 @@
 	start_us = clock_now_us() - start_us;
 	group_get_status(leaders[0], &after);
 	print_load(l, p, us, start_us, &before, &after);
-	lb_clear();
+	inproc_clear();
 }
 
 static void propose_some(group_t *g, unsigned n)
@@ -130,7 +130,7 @@
 
 static void set_state(void *ctx, void *arg)
 {
-	lb_node_t *n = ctx;
+	inproc_replica_t *n = ctx;
 	size_t bytes = *(size_t *)arg;
 	char *fill = mem_new(bytes);
 
@@ -146,13 +146,13 @@
 	group_peer_t peer = {0};
 	group_status_t s;
 
-	lb_start(0, i, 0, 1ull << 40);
-	group_get_status(lb_nodes[0][i].g, &s);
+	inproc_start(0, i, 0, 1ull << 40);
+	group_get_status(inproc_replicas[0][i].g, &s);
 	peer.id = s.self;
-	snprintf(peer.addr, sizeof(peer.addr), "%s", lb_seeds[i]);
+	snprintf(peer.addr, sizeof(peer.addr), "%s", inproc_seeds[i]);
 	if (group_add_learner(leader, &peer, clock_now_ms() + WAIT_MS) != STATUS_OK)
 		exit(1);
-	return lb_nodes[0][i].g;
+	return inproc_replicas[0][i].g;
 }
 
 /* Lets an empty replica join and catch up; how long that took, in us. */
@@ -179,18 +179,18 @@
 	group_status_t ls;
 	group_t *g;
 
-	lb_start(0, 0, 1, 20);
-	g = lb_wait_leader(0);
+	inproc_start(0, 0, 1, 20);
+	g = inproc_wait_leader(0);
 	group_with_state(g, set_state, &bytes);
 	wait_snapshot(g, 0);
 	group_get_status(g, &ls);
 	wait_snapshot(g, ls.snapshot_index);
-	lb_stop(0, 0);
+	inproc_stop(0, 0);
 	open_us = clock_now_us();
-	lb_start(0, 0, 1, 1ull << 40);
+	inproc_start(0, 0, 1, 1ull << 40);
 	lead_us = clock_now_us();
 	open_us = lead_us - open_us;
-	g = lb_wait_leader(0);
+	g = inproc_wait_leader(0);
 	lead_us = clock_now_us() - lead_us;
 	propose_some(g, 10);
 	catch_us = catch_up(g, &ls);
@@ -199,7 +199,7 @@
 	       bytes, (double)open_us / 1000, (double)lead_us / 1000, (double)catch_us / 1000,
 	       (unsigned long)ls.snapshot_index);
 	fflush(stdout);
-	lb_clear();
+	inproc_clear();
 }
 
 /* Commit times of three replicas that keep writing snapshots of `bytes` meanwhile. */
@@ -216,10 +216,10 @@
 	snprintf(label, sizeof(label), "run=\"%u\"", run++);
 	us = metric_get(METRIC_HISTOGRAM, "snapshot_commit_us", label);
 	for (unsigned i = 0; i < 3; i++)
-		lb_start(0, i, 3, 2000);
-	g = lb_wait_leader(0);
+		inproc_start(0, i, 3, 2000);
+	g = inproc_wait_leader(0);
 	for (unsigned i = 0; i < 3; i++)
-		group_with_state(lb_nodes[0][i].g, set_state, &bytes);
+		group_with_state(inproc_replicas[0][i].g, set_state, &bytes);
 	for (unsigned i = 0; i < 8; i++) {
 		p[i] = (proposer_t){g, 256, clock_now_ms() + SNAPSHOT_LOAD_MS, us, 0, 0};
 		pthread_create(&t[i], NULL, propose_until, &p[i]);
@@ -234,7 +234,7 @@
 	       (long)metric_quantile(us, 0.5), (long)metric_quantile(us, 0.99),
 	       (long)metric_quantile(us, 0.999), (long)metric_quantile(us, 1.0), s.leader);
 	fflush(stdout);
-	lb_clear();
+	inproc_clear();
 }
 
 /* An empty replica catches up by entries alone; then a replica replays them at its start. */
@@ -249,8 +249,8 @@
 	group_status_t ls;
 	group_t *g;
 
-	lb_start(0, 0, 1, 1ull << 40);
-	g = lb_wait_leader(0);
+	inproc_start(0, 0, 1, 1ull << 40);
+	g = inproc_wait_leader(0);
 	while (s.applied < entries) {
 		for (unsigned i = 0; i < 64; i++) {
 			p[i] = (proposer_t){g, 128, clock_now_ms() + 50, us, 0, 0};
@@ -261,14 +261,14 @@
 		group_get_status(g, &s);
 	}
 	catch_us = catch_up(g, &ls);
-	lb_stop(0, 0);
+	inproc_stop(0, 0);
 	open_us = clock_now_us();
-	lb_start(0, 0, 1, 1ull << 40);
+	inproc_start(0, 0, 1, 1ull << 40);
 	open_us = clock_now_us() - open_us;
 	printf("measure=entries entries=%lu bytes=128 catch_up_ms=%.1f open_ms=%.1f\n",
 	       (unsigned long)ls.commit, (double)catch_us / 1000, (double)open_us / 1000);
 	fflush(stdout);
-	lb_clear();
+	inproc_clear();
 }
 
 static int compare_ms(const void *a, const void *b)
@@ -283,20 +283,20 @@
 	int64_t ms[FAILOVERS];
 
 	for (unsigned i = 0; i < 3; i++)
-		lb_start(0, i, 3, 1ull << 40);
+		inproc_start(0, i, 3, 1ull << 40);
 	for (unsigned i = 0; i < FAILOVERS; i++) {
-		group_t *old = lb_wait_leader(0);
+		group_t *old = inproc_wait_leader(0);
 		int64_t start_ms = clock_now_ms();
 
 		if (planned)
 			group_step_down(old, clock_now_ms() + WAIT_MS);
 		else
-			lb_cut(old, true);
-		while (group_propose(lb_wait_leader_but(0, old), STR("x"), clock_now_ms() + WAIT_MS,
-				     NULL) != STATUS_OK)
+			inproc_isolate(old, true);
+		while (group_propose(inproc_wait_other_leader(0, old), STR("x"),
+				     clock_now_ms() + WAIT_MS, NULL) != STATUS_OK)
 			;
 		ms[i] = clock_now_ms() - start_ms;
-		lb_cut(old, false);
+		inproc_isolate(old, false);
 		clock_sleep_ms(ELECTION_MS);
 	}
 	qsort(ms, FAILOVERS, sizeof(ms[0]), compare_ms);
@@ -304,7 +304,7 @@
 	       planned ? "handover" : "cut", ELECTION_MS, FAILOVERS, (long)ms[FAILOVERS / 2],
 	       (long)ms[FAILOVERS - 1]);
 	fflush(stdout);
-	lb_clear();
+	inproc_clear();
 }
 
 static void measure_loads(unsigned ms)
@@ -338,12 +338,12 @@
 		arg_print_errors(stderr, end, argv[0]);
 		return 2;
 	}
-	snprintf(lb_root, sizeof(lb_root), "%s/auburn-log-XXXXXX", tmp ? tmp : "/tmp");
-	if (!mkdtemp(lb_root))
+	snprintf(inproc_root, sizeof(inproc_root), "%s/auburn-log-XXXXXX", tmp ? tmp : "/tmp");
+	if (!mkdtemp(inproc_root))
 		return 1;
 	for (unsigned g = 0; g < GROUPS_MAX; g++) {
 		for (unsigned i = 0; i < REPLICAS_MAX; i++)
-			pthread_rwlock_init(&lb_nodes[g][i].lock, NULL);
+			pthread_rwlock_init(&inproc_replicas[g][i].lock, NULL);
 	}
 	if (!state->count)
 		measure_loads((unsigned)ms->ival[0]);
@@ -355,7 +355,7 @@
 	measure_entries(100000);
 	measure_failover(false);
 	measure_failover(true);
-	lb_clear();
-	rmdir(lb_root);
+	inproc_clear();
+	rmdir(inproc_root);
 	return 0;
 }
