--- a/bench/load_stat.c
+++ b/bench/load_stat.c
@@ -22,7 +22,7 @@
 	return gsl_stats_quantile_from_sorted_data(s->v, 1, s->n, q);
 }
 
-static void merge_values(samples_t *to, const samples_t *from)
+static void merge_samples(samples_t *to, const samples_t *from)
 {
 	for (size_t i = 0; i < from->n; i++)
 		samples_add(to, from->v[i]);
@@ -38,10 +38,10 @@
 	to->within_goal += from->within_goal;
 	to->tokens += from->tokens;
 	to->streaming_s += from->streaming_s;
-	merge_values(&to->first_token_ms, &from->first_token_ms);
-	merge_values(&to->first_token_unresent_ms, &from->first_token_unresent_ms);
-	merge_values(&to->token_gap_ms, &from->token_gap_ms);
-	merge_values(&to->refused_ms, &from->refused_ms);
+	merge_samples(&to->first_token_ms, &from->first_token_ms);
+	merge_samples(&to->first_token_unresent_ms, &from->first_token_unresent_ms);
+	merge_samples(&to->token_gap_ms, &from->token_gap_ms);
+	merge_samples(&to->refused_ms, &from->refused_ms);
 }
 
 void load_stat_print(FILE *out, const char *phase, load_stat_t *s, double seconds)
--- a/bench/load_stat.h
+++ b/bench/load_stat.h
@@ -1,4 +1,4 @@
-/** Outcomes and times of requests by phase; prints one key=value line for each. */
+/** Outcomes and latencies of the requests of one phase, printed as a line of key=value pairs. */
 #ifndef AUBURN_LOAD_STAT_H
 #define AUBURN_LOAD_STAT_H
 
@@ -8,36 +8,37 @@
 #include "arrival.h"
 
 typedef enum {
-	LOAD_OK, /* whole and right */
-	LOAD_REFUSED, /* an answer that says it was not run */
-	LOAD_FAILED, /* another error, or no end in time */
-	LOAD_BROKEN, /* a stream with a fault */
+	LOAD_OK, /* complete and correct */
+	LOAD_REFUSED, /* the error says that the request was not run */
+	LOAD_FAILED, /* any other error, or no end before the load tool gave up */
+	LOAD_BROKEN, /* an event stream with a fault */
 	LOAD_OUTCOMES
 } load_outcome_t;
 
-/** Values kept one by one, so that quantiles are exact. */
+/** All values are stored, so that quantiles are exact. */
 typedef struct {
 	double *v;
 	size_t n, cap;
 } samples_t;
 
+/** Latencies start at the scheduled arrival of the request, not at the time it was sent. */
 typedef struct {
 	uint64_t outcome[LOAD_OUTCOMES];
-	uint64_t fault[ANSWER_FAULTS];
+	uint64_t fault[ANSWER_FAULTS]; /* of broken answers */
 	uint64_t resends;
-	uint64_t within_goal; /* whole, with the first token in time */
-	uint64_t tokens;
-	double streaming_s; /* time from first token to end, summed */
+	uint64_t within_goal; /* complete, with the first token within the goal */
+	uint64_t tokens; /* of complete answers */
+	double streaming_s; /* sum over complete answers, first token to last */
 	samples_t first_token_ms;
-	samples_t first_token_unresent_ms; /* the same, of requests that were sent once */
-	samples_t token_gap_ms;
-	samples_t refused_ms; /* time until a refusal was said */
+	samples_t first_token_unresent_ms; /* of requests that needed no resend */
+	samples_t token_gap_ms; /* between consecutive tokens of one attempt */
+	samples_t refused_ms; /* until the refusal */
 } load_stat_t;
 
 void samples_add(samples_t *s, double v);
-/** Sorts the values; 0 when there are none. */
+/** Returns the q-quantile, 0 if there are no values. Sorts the values. */
 double samples_quantile(samples_t *s, double q);
-/** Adds the counts and values of one to the other. */
+/** Adds the counts and samples of `from` to `to`. */
 void load_stat_merge(load_stat_t *to, const load_stat_t *from);
 void load_stat_print(FILE *out, const char *phase, load_stat_t *s, double seconds);
 void load_stat_free(load_stat_t *s);
--- a/bench/main.c
+++ b/bench/main.c
@@ -1,4 +1,4 @@
-/* auburn-bench: offers load to a fleet and prints what came of it. */
+/* auburn-bench: offers load to a fleet and prints outcomes, latencies and throughput. */
 #include <argtable2.h>
 #include <curl/curl.h>
 #include <stdio.h>
@@ -35,7 +35,7 @@
 	return a->count ? a->ival[0] : other;
 }
 
-static double dbl_or(const struct arg_dbl *a, double other)
+static double double_or(const struct arg_dbl *a, double other)
 {
 	return a->count ? a->dval[0] : other;
 }
@@ -45,14 +45,14 @@
 	return a->count ? a->sval[0] : other;
 }
 
-static status_t read_load(const args_t *a, online_load_options_t *o)
+static status_t parse_online_options(const args_t *a, online_load_options_t *o)
 {
 	*o = (online_load_options_t){
-		.key = str_or(a->key, ""),
+		.bearer_key = str_or(a->key, ""),
 		.service = str_or(a->service, "sammandrag-llm"),
-		.rate.per_s = dbl_or(a->rate, DEFAULT_RATE),
-		.seconds = dbl_or(a->seconds, DEFAULT_SECONDS),
-		.warmup_s = dbl_or(a->warmup, 0),
+		.rate.per_s = double_or(a->rate, DEFAULT_RATE),
+		.duration_s = double_or(a->seconds, DEFAULT_SECONDS),
+		.warmup_s = double_or(a->warmup, 0),
 		.run_name = str_or(a->run, "bench"),
 		.seed = (unsigned long)int_or(a->seed, 1),
 		.prompt_bytes = int_or(a->prompt_bytes, DEFAULT_PROMPT),
@@ -64,9 +64,9 @@
 		.max_resends = int_or(a->resends, DEFAULT_RESENDS),
 		.verbose = a->verbose->count > 0,
 	};
-	if (o->rate.per_s <= 0 || o->seconds <= 0 || o->mean_tokens < 1)
+	if (o->rate.per_s <= 0 || o->duration_s <= 0 || o->mean_tokens < 1)
 		return status_fail(STATUS_INVALID,
-				   "--rate, --seconds and --max-tokens are above zero");
+				   "--rate, --seconds and --max-tokens must be greater than 0");
 	if (a->burst->count &&
 	    arrival_window_parse(a->burst->sval[0], true, &o->rate.burst) != STATUS_OK)
 		return STATUS_INVALID;
@@ -75,10 +75,11 @@
 	return STATUS_OK;
 }
 
-static void read_jobs(const args_t *a, const online_load_options_t *load, batch_load_options_t *o)
+static void parse_batch_options(const args_t *a, const online_load_options_t *load,
+				batch_load_options_t *o)
 {
 	*o = (batch_load_options_t){
-		.key = str_or(a->job_key, load->key),
+		.bearer_key = str_or(a->job_key, load->bearer_key),
 		.service = load->service,
 		.items_per_job = int_or(a->job_items, 0),
 		.open_jobs = int_or(a->jobs, DEFAULT_JOBS),
@@ -93,7 +94,7 @@
 static void print_phases(const online_load_options_t *o, load_stat_t stat[ARRIVAL_PHASES])
 {
 	static const char *const names[ARRIVAL_PHASES] = {"steady", "burst", "gap"};
-	double counted_s = o->seconds - o->warmup_s;
+	double counted_s = o->duration_s - o->warmup_s;
 	load_stat_t all = {0};
 
 	for (int i = 0; i < ARRIVAL_PHASES; i++) {
@@ -117,8 +118,8 @@
 	fflush(stdout);
 }
 
-/** Online load with batch beside it. */
-static void run(const args_t *a, online_load_options_t *load, const batch_load_options_t *jobs)
+/* Runs online load and batch load at the same time, as far as requested, and prints the results. */
+static void run_load(const args_t *a, online_load_options_t *load, const batch_load_options_t *jobs)
 {
 	load_stat_t stat[ARRIVAL_PHASES] = {0};
 	batch_load_counts_t before = {0};
@@ -128,7 +129,7 @@
 	int wait_ms = int_or(a->job_wait_ms, 0);
 
 	if (a->no_online->count)
-		clock_sleep_ms((int64_t)(load->seconds * MS_PER_S));
+		clock_sleep_ms((int64_t)(load->duration_s * MS_PER_S));
 	else
 		online_load_run(load, stat);
 	if (j && wait_ms > 0)
@@ -144,60 +145,64 @@
 		load_stat_free(&stat[i]);
 }
 
-static int start(const args_t *a)
+static int start_bench(const args_t *a)
 {
 	online_load_options_t load;
 	batch_load_options_t jobs;
 
 	if (!a->entry->count && !a->addresses->count) {
-		fputs("auburn-bench: --entry or --addresses is missing\n", stderr);
+		fputs("auburn-bench: --entry or --addresses is required\n", stderr);
 		return EXIT_USAGE;
 	}
-	if (read_load(a, &load) != STATUS_OK) {
+	if (parse_online_options(a, &load) != STATUS_OK) {
 		fprintf(stderr, "auburn-bench: %s\n", status_message());
 		return EXIT_USAGE;
 	}
-	read_jobs(a, &load, &jobs);
+	parse_batch_options(a, &load, &jobs);
 	curl_global_init(CURL_GLOBAL_ALL);
-	load.addr = address_pool_new(str_or(a->entry, NULL), str_or(a->addresses, NULL));
-	jobs.addr = load.addr;
-	run(a, &load, &jobs);
-	address_pool_free(load.addr);
+	load.addresses = address_pool_new(str_or(a->entry, NULL), str_or(a->addresses, NULL));
+	jobs.addresses = load.addresses;
+	run_load(a, &load, &jobs);
+	address_pool_free(load.addresses);
 	return EXIT_OK;
 }
 
 int main(int argc, char **argv)
 {
 	args_t a = {
-		.entry = arg_str0(NULL, "entry", "LIST", "entries to call, ip:port,ip:port"),
+		.entry = arg_str0(NULL, "entry", "LIST", "entries to send to, ip:port,ip:port"),
 		.addresses = arg_str0(NULL, "addresses", "LIST",
-				      "entries to ask which ones to call, ip:port,ip:port"),
-		.key = arg_str0(NULL, "key", "KEY", "bearer key of the caller"),
+				      "entries to get the addresses from, ip:port,ip:port"),
+		.key = arg_str0(NULL, "key", "KEY", "bearer key of the requests"),
 		.service = arg_str0(NULL, "service", "NAME", "service to call"),
-		.run = arg_str0(NULL, "run", "NAME", "begins each key and prompt"),
-		.rate = arg_dbl0(NULL, "rate", "N", "online requests a second"),
+		.run = arg_str0(NULL, "run", "NAME", "prefix of each key and prompt"),
+		.rate = arg_dbl0(NULL, "rate", "N", "online requests per second"),
 		.burst = arg_str0(NULL, "burst", "TEXT", "\"xF:every S:for S\", rate times F"),
 		.gap = arg_str0(NULL, "gap", "TEXT", "\"every S:for S\", no arrivals"),
 		.seconds = arg_dbl0(NULL, "seconds", "S", "length of the run"),
-		.warmup = arg_dbl0(NULL, "warmup", "S", "part of it that isn't counted"),
-		.seed = arg_int0(NULL, "seed", "N", "of arrivals, prompts and lengths"),
+		.warmup = arg_dbl0(NULL, "warmup", "S", "first part of the run, not counted"),
+		.seed = arg_int0(NULL, "seed", "N", "seed of arrivals, prompts and lengths"),
 		.prompt_bytes = arg_int0(NULL, "prompt-bytes", "N", "length of a prompt"),
-		.prefixes = arg_int0(NULL, "prefixes", "N", "different beginnings of prompts"),
-		.max_tokens = arg_int0(NULL, "max-tokens", "N", "mean tokens of an answer"),
+		.prefixes =
+			arg_int0(NULL, "prefixes", "N", "number of prefixes that prompts share"),
+		.max_tokens =
+			arg_int0(NULL, "max-tokens", "N", "mean length of an answer in tokens"),
 		.goal_ms = arg_int0(NULL, "goal-ms", "N", "time to first token for goodput"),
-		.deadline_ms = arg_int0(NULL, "deadline-ms", "N", "deadline told to the system"),
-		.timeout_ms = arg_int0(NULL, "timeout-ms", "N", "silence until a resend"),
-		.resends = arg_int0(NULL, "resends", "N", "resends of one request"),
-		.job_items = arg_int0(NULL, "job-items", "N", "items of a batch job"),
-		.jobs = arg_int0(NULL, "jobs", "N", "batch jobs open at once"),
+		.deadline_ms =
+			arg_int0(NULL, "deadline-ms", "N", "deadline sent with each request"),
+		.timeout_ms =
+			arg_int0(NULL, "timeout-ms", "N", "time without a byte before a resend"),
+		.resends = arg_int0(NULL, "resends", "N", "maximum resends of one request"),
+		.job_items = arg_int0(NULL, "job-items", "N", "items per batch job; 0: no jobs"),
+		.jobs = arg_int0(NULL, "jobs", "N", "batch jobs open at the same time"),
 		.job_key = arg_str0(NULL, "job-key", "KEY", "bearer key of the jobs"),
-		.job_tokens = arg_int0(NULL, "job-tokens", "N", "mean tokens of an item"),
-		.job_deadline_ms = arg_int0(NULL, "job-deadline-ms", "N", "time for a job"),
+		.job_tokens = arg_int0(NULL, "job-tokens", "N", "mean length of an item in tokens"),
+		.job_deadline_ms = arg_int0(NULL, "job-deadline-ms", "N", "deadline of a job"),
 		.job_wait_ms = arg_int0(NULL, "job-wait-ms", "N",
-					"wait for open jobs at the end; else they are cancelled"),
-		.no_online = arg_lit0(NULL, "no-online", "batch only"),
-		.verbose = arg_lit0("v", "verbose", "say what went wrong with each request"),
-		.help = arg_lit0("h", "help", "this text"),
+					"at the end, wait so long for open jobs; 0: cancel them"),
+		.no_online = arg_lit0(NULL, "no-online", "no online requests, only batch jobs"),
+		.verbose = arg_lit0("v", "verbose", "print each request that did not succeed"),
+		.help = arg_lit0("h", "help", "print this help"),
 		.version = arg_lit0(NULL, "version", "version"),
 		.end = arg_end(ERRORS_MAX),
 	};
@@ -218,5 +223,5 @@
 		arg_print_errors(stderr, a.end, "auburn-bench");
 		return EXIT_USAGE;
 	}
-	return start(&a);
+	return start_bench(&a);
 }
--- a/bench/online_request.c
+++ b/bench/online_request.c
@@ -6,21 +6,20 @@
 #include "base/clock.h"
 #include "sync_http.h"
 
-#define PREFIX_BYTES  256
-#define TOKENS_CAP    4 /* means */
-#define MS_PER_US     0.001
-#define US_PER_MS     1000
-#define S_PER_US      1e-6
-#define REFUSED_FROM  429
-#define CONFLICT      409
-#define SERVER_FAULTS 500
-
-/** Random words, the same for the same number. */
-static void add_words(buf_t *b, unsigned long number, size_t until)
+#define PREFIX_BYTES	  256
+#define TOKENS_CAP_FACTOR 4 /* bound of the length of an answer, in means */
+#define MS_PER_US	  0.001
+#define US_PER_MS	  1000
+#define S_PER_US	  1e-6
+#define HTTP_CONFLICT	  409
+#define HTTP_SERVER_ERROR 500
+
+/* Appends pseudo-random words until b has `length` bytes; the words depend on `number` only. */
+static void append_words(buf_t *b, unsigned long number, size_t length)
 {
 	unsigned long x = number * 2654435761UL + 1;
 
-	while (b->n < until) {
+	while (b->n < length) {
 		x = x * 6364136223846793005UL + 1442695040888963407UL;
 		buf_addf(b, "%06lx ", (x >> 40) & 0xffffff);
 	}
@@ -31,10 +30,10 @@
 	const online_load_options_t *o = r->options;
 
 	if (o->prefix_count > 0)
-		add_words(&r->prompt, gsl_rng_uniform_int(rng, (unsigned long)o->prefix_count),
-			  PREFIX_BYTES);
+		append_words(&r->prompt, gsl_rng_uniform_int(rng, (unsigned long)o->prefix_count),
+			     PREFIX_BYTES);
 	buf_addf(&r->prompt, "%s/%lu/%lu ", o->run_name, o->seed, number);
-	add_words(&r->prompt, o->seed * 1000003 + number, (size_t)o->prompt_bytes);
+	append_words(&r->prompt, o->seed * 1000003 + number, (size_t)o->prompt_bytes);
 }
 
 static void make_body(online_request_t *r)
@@ -57,13 +56,13 @@
 	r->check.prompt = str_buf(&r->prompt);
 	r->check.expected_id = r->key;
 	r->check.expected_tokens = (int)gsl_ran_geometric(rng, 1.0 / o->mean_tokens);
-	if (r->check.expected_tokens > o->mean_tokens * TOKENS_CAP)
-		r->check.expected_tokens = o->mean_tokens * TOKENS_CAP;
+	if (r->check.expected_tokens > o->mean_tokens * TOKENS_CAP_FACTOR)
+		r->check.expected_tokens = o->mean_tokens * TOKENS_CAP_FACTOR;
 	make_body(r);
 	return r;
 }
 
-static void drop_attempt(online_request_t *r)
+static void free_transfer(online_request_t *r)
 {
 	curl_easy_cleanup(r->curl);
 	curl_slist_free_all(r->headers);
@@ -73,7 +72,7 @@
 
 void online_request_free(online_request_t *r)
 {
-	drop_attempt(r);
+	free_transfer(r);
 	answer_check_reset(&r->check);
 	buf_free(&r->prompt);
 	buf_free(&r->body);
@@ -81,6 +80,7 @@
 	free(r);
 }
 
+/* Records the times of tokens. Several tokens in one piece have no measurable gap. */
 static void on_tokens(online_request_t *r, int tokens)
 {
 	int64_t now = clock_now_us();
@@ -108,12 +108,12 @@
 	tokens = answer_check_feed(&r->check, piece);
 	if (tokens > 0)
 		on_tokens(r, tokens);
-	if (r->check.error && r->error_body.n == 0)
+	if (r->check.error_received && r->error_body.n == 0)
 		buf_add(&r->error_body, piece);
 	return piece.n;
 }
 
-/** Ends an attempt after a silence: the entry is taken for dead. */
+/* Progress callback: aborts an attempt whose entry has sent nothing for the silence timeout. */
 static int on_progress(void *ctx, curl_off_t dltotal, curl_off_t dlnow, curl_off_t ultotal,
 		       curl_off_t ulnow)
 {
@@ -128,7 +128,7 @@
 	AUTO_BUF bearer = {0};
 	AUTO_BUF left = {0};
 
-	buf_addf(&bearer, "Bearer %s", r->options->key);
+	buf_addf(&bearer, "Bearer %s", r->options->bearer_key);
 	h = sync_http_add_header(h, "Authorization", bearer.p);
 	h = sync_http_add_header(h, "Idempotency-Key", r->key);
 	h = curl_slist_append(h, "Expect:");
@@ -148,9 +148,9 @@
 	AUTO_BUF url = {0};
 	CURL *c;
 
-	if (address_pool_pick(r->options->addr, gsl_rng_get(rng), addr) != STATUS_OK)
+	if (address_pool_pick(r->options->addresses, gsl_rng_get(rng), addr) != STATUS_OK)
 		return NULL;
-	drop_attempt(r);
+	free_transfer(r);
 	answer_check_reset(&r->check);
 	buf_free(&r->error_body);
 	r->last_token_us = 0;
@@ -174,7 +174,7 @@
 	return c;
 }
 
-static void count_ok(const online_request_t *r)
+static void record_complete(const online_request_t *r)
 {
 	double first_ms = (double)(r->first_token_us - r->scheduled_us) * MS_PER_US;
 
@@ -186,37 +186,38 @@
 	r->stat->streaming_s += (double)(r->last_token_us - r->first_token_us) * S_PER_US;
 }
 
-static void count(online_request_t *r, load_outcome_t what, long http)
+static void record_outcome(online_request_t *r, load_outcome_t outcome, long http)
 {
-	if (r->options->verbose && what != LOAD_OK)
+	if (r->options->verbose && outcome != LOAD_OK)
 		fprintf(stderr, "bench: key=%s outcome=%d http=%ld fault=%s tokens=%d/%d %.*s\n",
-			r->key, (int)what, http, answer_fault_name(r->check.fault),
+			r->key, (int)outcome, http, answer_fault_name(r->check.fault),
 			r->check.next_index, r->check.expected_tokens,
 			STR_ARG(str_buf(&r->error_body)));
 	if (!r->stat)
 		return;
-	r->stat->outcome[what]++;
+	r->stat->outcome[outcome]++;
 	r->stat->resends += (uint64_t)r->resends;
-	if (what == LOAD_OK)
-		count_ok(r);
-	if (what == LOAD_REFUSED)
+	if (outcome == LOAD_OK)
+		record_complete(r);
+	if (outcome == LOAD_REFUSED)
 		samples_add(&r->stat->refused_ms,
 			    (double)(clock_now_us() - r->scheduled_us) * MS_PER_US);
-	if (what == LOAD_BROKEN)
+	if (outcome == LOAD_BROKEN)
 		r->stat->fault[r->check.fault]++;
 }
 
-static bool says_not_run(const online_request_t *r)
+static bool response_says_not_run(const online_request_t *r)
 {
 	return r->error_body.p && strstr(r->error_body.p, "\"not_run\"") != NULL;
 }
 
-/** Does the stream hold something that no network fault explains? */
-static bool is_wrong(const online_request_t *r)
+/* Returns true for a fault that no network error explains. Missing tokens count only if [DONE]
+ * arrived: a broken connection also ends a stream early. */
+static bool has_corrupt_stream(const online_request_t *r)
 {
 	answer_fault_t f = r->check.fault;
 
-	return f != ANSWER_FAULT_NONE && (f != ANSWER_FAULT_MISSING || r->check.done);
+	return f != ANSWER_FAULT_NONE && (f != ANSWER_FAULT_MISSING || r->check.done_received);
 }
 
 online_request_next_t online_request_end_attempt(online_request_t *r, CURLcode code)
@@ -225,22 +226,24 @@
 
 	curl_easy_getinfo(r->curl, CURLINFO_RESPONSE_CODE, &http);
 	if (code == CURLE_OK && http == 200 && answer_check_complete(&r->check)) {
-		count(r, LOAD_OK, http);
+		record_outcome(r, LOAD_OK, http);
 		return ONLINE_REQUEST_FINISHED;
 	}
-	if (is_wrong(r)) {
-		count(r, LOAD_BROKEN, http);
+	if (has_corrupt_stream(r)) {
+		record_outcome(r, LOAD_BROKEN, http);
 		return ONLINE_REQUEST_FINISHED;
 	}
-	if (http >= 400 && http != CONFLICT && says_not_run(r)) {
-		count(r, LOAD_REFUSED, http);
+	if (http >= 400 && http != HTTP_CONFLICT && response_says_not_run(r)) {
+		record_outcome(r, LOAD_REFUSED, http);
 		return ONLINE_REQUEST_FINISHED;
 	}
-	if (r->resends < r->options->max_resends &&
-	    (code != CURLE_OK || http == CONFLICT || http == 200 || http >= SERVER_FAULTS)) {
+	/* The connection failed or fell silent, the stream ended early, the entry had an error, or
+	 * an earlier attempt still runs (409). The idempotency key makes a resend safe. */
+	if (r->resends < r->options->max_resends && (code != CURLE_OK || http == HTTP_CONFLICT ||
+						     http == 200 || http >= HTTP_SERVER_ERROR)) {
 		r->resends++;
 		return ONLINE_REQUEST_RESEND;
 	}
-	count(r, http == 200 ? LOAD_BROKEN : LOAD_FAILED, http);
+	record_outcome(r, http == 200 ? LOAD_BROKEN : LOAD_FAILED, http);
 	return ONLINE_REQUEST_FINISHED;
 }
--- a/bench/sync_http.c
+++ b/bench/sync_http.c
@@ -14,7 +14,7 @@
 	return curl_slist_append(h, line.p);
 }
 
-static struct curl_slist *with_key(struct curl_slist *h, const char *key)
+static struct curl_slist *add_bearer_key(struct curl_slist *h, const char *key)
 {
 	AUTO_BUF bearer = {0};
 
@@ -24,7 +24,7 @@
 	return sync_http_add_header(h, "Authorization", bearer.p);
 }
 
-static long finish(CURL *c, const char *url, struct curl_slist *h, long timeout_ms, buf_t *out)
+static long perform(CURL *c, const char *url, struct curl_slist *h, long timeout_ms, buf_t *out)
 {
 	long code = 0;
 
@@ -43,7 +43,7 @@
 
 long sync_http_get(const char *url, const char *key, long timeout_ms, buf_t *out)
 {
-	return finish(curl_easy_init(), url, with_key(NULL, key), timeout_ms, out);
+	return perform(curl_easy_init(), url, add_bearer_key(NULL, key), timeout_ms, out);
 }
 
 long sync_http_delete(const char *url, const char *key, long timeout_ms, buf_t *out)
@@ -51,19 +51,19 @@
 	CURL *c = curl_easy_init();
 
 	curl_easy_setopt(c, CURLOPT_CUSTOMREQUEST, "DELETE");
-	return finish(c, url, with_key(NULL, key), timeout_ms, out);
+	return perform(c, url, add_bearer_key(NULL, key), timeout_ms, out);
 }
 
 long sync_http_post(const char *url, const char *key, const char *idempotency_key, str_t body,
 		    long timeout_ms, buf_t *out)
 {
 	CURL *c = curl_easy_init();
-	struct curl_slist *h = with_key(NULL, key);
+	struct curl_slist *h = add_bearer_key(NULL, key);
 
 	h = sync_http_add_header(h, "Idempotency-Key", idempotency_key);
 	h = sync_http_add_header(h, "Content-Type", "application/x-ndjson");
 	h = curl_slist_append(h, "Expect:");
 	curl_easy_setopt(c, CURLOPT_POSTFIELDSIZE_LARGE, (curl_off_t)body.n);
 	curl_easy_setopt(c, CURLOPT_POSTFIELDS, body.p);
-	return finish(c, url, h, timeout_ms, out);
+	return perform(c, url, h, timeout_ms, out);
 }
--- a/tests/unit/test_bench.c
+++ b/tests/unit/test_bench.c
@@ -15,9 +15,9 @@
 static void feed(answer_check_t *c, const char *id, int index, int text_of)
 {
 	AUTO_BUF line = {0};
-	char text[TEXT_BYTES];
+	char text[TOKEN_TEXT_BYTES];
 
-	expected_text(c, text_of, text);
+	expected_token_text(c, text_of, text);
 	buf_addf(&line,
 		 "data: "
 		 "{\"id\":\"%s\",\"index\":%d,\"choices\":[{\"index\":0,\"text\":\"%s\"}]}\n\n",
@@ -45,10 +45,10 @@
 	answer_check_t c = check_of(3);
 	AUTO_BUF text = {0};
 	AUTO_BUF line = {0};
-	char one[TEXT_BYTES];
+	char one[TOKEN_TEXT_BYTES];
 
 	for (int i = 0; i < 3; i++) {
-		expected_text(&c, i, one);
+		expected_token_text(&c, i, one);
 		buf_add(&text, str_c(one));
 	}
 	buf_addf(&line,
@@ -98,7 +98,7 @@
 	answer_check_reset(&c);
 	feed(&c, "k1", 0, 0);
 	answer_check_feed(&c, STR("event: error\ndata: {\"error\":{}}\n\n"));
-	ck_assert(c.error && !answer_check_complete(&c));
+	ck_assert(c.error_received && !answer_check_complete(&c));
 	answer_check_reset(&c);
 	answer_check_feed(&c, STR("data: nonsense\n\n"));
 	ck_assert_int_eq(c.fault, ANSWER_FAULT_MALFORMED);
