--- a/fakes/fake-engine.c
+++ b/fakes/fake-engine.c
@@ -1,4 +1,4 @@
-/* Stand-in of one replica of a model engine: settings and HTTP API. */
+/* auburn-fake-engine: settings and HTTP API of the fake model engine. */
 #include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
@@ -38,7 +38,7 @@
 	return st == STATUS_OK ? fake_check_address(c, "listen", s->listen) : st;
 }
 
-static int answer_old_fence(fake_engine_t *e, struct _u_response *r)
+static int reply_old_fence(fake_engine_t *e, struct _u_response *r)
 {
 	return fake_reply(r, 409,
 			  json_pack("{s:s,s:I}", "error", "old fence", "fence",
@@ -54,12 +54,12 @@
 	return n == 0 ? U_STREAM_END : U_STREAM_ERROR;
 }
 
-static void free_stream(void *ctx)
+static void close_stream(void *ctx)
 {
 	fake_stream_free(ctx);
 }
 
-static str_t member(const json_t *o, const char *key)
+static str_t json_member(const json_t *o, const char *key)
 {
 	const json_t *v = json_object_get(o, key);
 
@@ -71,8 +71,8 @@
 	fake_engine_t *e = ctx;
 	AUTO_JSON *body = fake_request_json(q);
 	const fake_stream_options_t o = {
-		.id = member(body, "request_id"),
-		.prompt = member(body, "prompt"),
+		.id = json_member(body, "request_id"),
+		.prompt = json_member(body, "prompt"),
 		.resume_from = fake_json_int(body, "resume_from", 0),
 		.max_tokens = fake_json_int(body, "max_tokens", DEFAULT_TOKENS),
 		.socket = fake_http_socket(q),
@@ -84,11 +84,11 @@
 	    o.resume_from > o.max_tokens)
 		return fake_reply_error(r, 400, "max_tokens or resume_from is out of bounds");
 	if (!fake_orders_check_fence(&e->orders, fake_json_int(body, "fence", -1)))
-		return answer_old_fence(e, r);
+		return reply_old_fence(e, r);
 	if (str_find(o.prompt, STR("{never}")) >= 0)
 		return fake_reply_error(r, 422, "the prompt can't be completed");
 	u_map_put(r->map_header, "Content-Type", "text/event-stream");
-	ulfius_set_stream_response(r, 200, read_stream, free_stream, U_STREAM_SIZE_UNKNOWN,
+	ulfius_set_stream_response(r, 200, read_stream, close_stream, U_STREAM_SIZE_UNKNOWN,
 				   STREAM_BLOCK, fake_stream_new(e, &o));
 	return U_CALLBACK_COMPLETE;
 }
@@ -96,7 +96,7 @@
 static int handle_cancel(const struct _u_request *q, struct _u_response *r, void *ctx)
 {
 	AUTO_JSON *body = fake_request_json(q);
-	str_t id = member(body, "request_id");
+	str_t id = json_member(body, "request_id");
 
 	if (!id.p)
 		return fake_reply_error(r, 400, "request_id is needed");
@@ -152,7 +152,7 @@
 	if (!(load && *fake_json_str(body, "model")) && !(role && *fake_json_str(body, "role")))
 		return fake_reply_error(r, 400, "not an order");
 	if (!fake_orders_check_fence(&e->orders, fake_json_int(body, "fence", -1)))
-		return answer_old_fence(e, r);
+		return reply_old_fence(e, r);
 	if (load)
 		fake_orders_queue_load(&e->orders, fake_json_str(body, "model"),
 				       fake_json_str(body, "version"),
@@ -248,7 +248,7 @@
 				.fencing = true,
 			},
 	};
-	const fake_program_t program = {"auburn-fake-engine", "stand-in of a model engine replica",
+	const fake_program_t program = {"auburn-fake-engine", "fake replica of a model engine",
 					configure, start, &e};
 
 	return fake_main(argc, argv, &program);
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -1,4 +1,5 @@
-/* Stand-in of the platform: a lagging list of VMs and a rate-limited weight store. */
+/* auburn-fake-platform: fakes the platform's list of VMs, which lags behind, and its rate-limited
+ * weight store. */
 #include <pthread.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,7 +10,7 @@
 #define MAX_RATE       100000
 #define RATE_PERIOD_MS 60000
 
-/* One version of the list; older ones follow. */
+/* One version of the list; `older` links to the versions before. */
 typedef struct version {
 	int64_t since_ms;
 	json_t *vms;
@@ -23,9 +24,9 @@
 	int64_t weight_rate; /* per minute */
 	pthread_mutex_t lock;
 	version_t *newest;
-	int64_t *served_ms; /* ring of the last weight_rate answers' times */
-	int64_t weights;
-	int64_t refused;
+	int64_t *weight_times_ms; /* ring buffer: when the last weight_rate downloads began */
+	int64_t weights; /* downloads served */
+	int64_t refused; /* downloads over the rate */
 } platform_t;
 
 static void add_version(platform_t *p, json_t *vms)
@@ -63,7 +64,7 @@
 
 static status_t configure(void *ctx, const toml_doc_t *c)
 {
-	static const char *const sub[] = {"vm", NULL};
+	static const char *const table_arrays[] = {"vm", NULL};
 	platform_t *p = ctx;
 	const toml_table_t *root = toml_root(c);
 	const toml_key_t keys[] = {
@@ -73,7 +74,7 @@
 		{"weight_rate", TOML_INT, false, 1, MAX_RATE, &p->weight_rate},
 		{NULL, TOML_STR, false, 0, 0, NULL},
 	};
-	status_t st = toml_read(c, root, keys, sub);
+	status_t st = toml_read(c, root, keys, table_arrays);
 	json_t *vms = json_array();
 
 	for (size_t i = 0; st == STATUS_OK && i < toml_table_count(root, "vm"); i++)
@@ -82,7 +83,7 @@
 	return st == STATUS_OK ? fake_check_address(c, "listen", p->listen) : st;
 }
 
-static void drop_older(version_t *v)
+static void free_older_versions(version_t *v)
 {
 	version_t *next;
 
@@ -94,7 +95,8 @@
 	v->older = NULL;
 }
 
-/* The newest version that is lag_ms old; the first one holds from the start. */
+/* Returns the newest version that is at least lag_ms old, or the first one if none is. Frees the
+ * versions before it. */
 static version_t *visible_version(platform_t *p)
 {
 	int64_t at = clock_now_ms() - p->lag_ms;
@@ -102,7 +104,7 @@
 
 	while (v->since_ms > at && v->older)
 		v = v->older;
-	drop_older(v);
+	free_older_versions(v);
 	return v;
 }
 
@@ -131,11 +133,11 @@
 	return fake_reply(r, 200, json_object());
 }
 
-/* Tells whether one more answer stays within weight_rate of any minute. */
-static bool take_weight(platform_t *p)
+/* Counts one download; returns false if it would exceed weight_rate within the last minute. */
+static bool take_rate_quota(platform_t *p)
 {
 	int64_t now = clock_now_ms();
-	int64_t *oldest = &p->served_ms[p->weights % p->weight_rate];
+	int64_t *oldest = &p->weight_times_ms[p->weights % p->weight_rate];
 
 	if (p->weights >= p->weight_rate && now - *oldest < RATE_PERIOD_MS) {
 		p->refused++;
@@ -153,7 +155,7 @@
 	bool taken;
 
 	pthread_mutex_lock(&p->lock);
-	taken = take_weight(p);
+	taken = take_rate_quota(p);
 	pthread_mutex_unlock(&p->lock);
 	if (!taken) {
 		u_map_put(r->map_header, "Retry-After", "1");
@@ -186,7 +188,7 @@
 	};
 	platform_t *p = ctx;
 
-	p->served_ms = mem_new((size_t)p->weight_rate * sizeof(*p->served_ms));
+	p->weight_times_ms = mem_new((size_t)p->weight_rate * sizeof(*p->weight_times_ms));
 	return fake_http_start(&(fake_http_options_t){p->listen, routes, NULL, p});
 }
 
@@ -198,8 +200,9 @@
 		.weight_ms = 50,
 		.weight_rate = 60,
 	};
-	const fake_program_t program = {"auburn-fake-platform", "stand-in of the platform",
-					configure, start, &p};
+	const fake_program_t program = {"auburn-fake-platform",
+					"fake platform: list of VMs and weight store", configure,
+					start, &p};
 
 	return fake_main(argc, argv, &program);
 }
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -1,4 +1,4 @@
-/* Stand-in of a plain service: counts how often each idempotency key was run. */
+/* auburn-fake-service: fakes a plain service that counts how often each idempotency key was run. */
 #include <pthread.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,9 +12,9 @@
 	char *name;
 	pthread_mutex_t lock;
 	int64_t delay_ms;
-	int64_t lose; /* requests still to run without an answer */
-	int64_t fail; /* requests still to refuse */
-	int64_t total;
+	int64_t lose; /* fault: how many of the next requests are run without a reply */
+	int64_t fail; /* fault: how many of the next requests are refused with 503 */
+	int64_t total; /* runs */
 	json_t *keys; /* runs by key */
 } service_t;
 
@@ -32,7 +32,8 @@
 	return st == STATUS_OK ? fake_check_address(c, "listen", s->listen) : st;
 }
 
-static bool take(int64_t *left)
+/* Returns true if the fault affects one more request, and counts it. */
+static bool take_fault(int64_t *left)
 {
 	if (*left <= 0)
 		return false;
@@ -60,12 +61,12 @@
 	if (strcmp(q->http_verb, "POST") != 0)
 		return fake_reply_error(r, 404, "not found");
 	pthread_mutex_lock(&s->lock);
-	if (take(&s->fail)) {
+	if (take_fault(&s->fail)) {
 		pthread_mutex_unlock(&s->lock);
 		return fake_reply_error(r, 503, "not run");
 	}
 	run = count_run(s, key ? key : "");
-	lose = take(&s->lose);
+	lose = take_fault(&s->lose);
 	delay_ms = s->delay_ms;
 	pthread_mutex_unlock(&s->lock);
 	clock_sleep_ms(delay_ms);
@@ -119,8 +120,8 @@
 int main(int argc, char **argv)
 {
 	service_t s = {.lock = PTHREAD_MUTEX_INITIALIZER, .delay_ms = 20};
-	const fake_program_t program = {"auburn-fake-service", "stand-in of a plain service",
-					configure, start, &s};
+	const fake_program_t program = {"auburn-fake-service", "fake plain service", configure,
+					start, &s};
 
 	return fake_main(argc, argv, &program);
 }
--- a/fakes/fake_engine.h
+++ b/fakes/fake_engine.h
@@ -1,4 +1,5 @@
-/** A small emulator of a model engine that batches continuously. */
+/** Fake of one replica of a model engine with continuous batching. Streams run in slots; each step
+ * gives every running stream one token. */
 #ifndef AUBURN_FAKE_ENGINE_H
 #define AUBURN_FAKE_ENGINE_H
 
@@ -10,21 +11,22 @@
 #include "base/str.h"
 
 typedef struct {
-	char *listen;
+	char *listen; /* ip:port */
 	char *name;
-	char *weight_store; /* base URL; empty: orders load without one */
-	int64_t slots;
+	char *weight_store; /* base URL; if empty, model loads fetch no weights */
+	int64_t slots; /* streams that run at the same time */
+	/* duration of a step: base + running streams * per_stream + prefilled tokens * prefill */
 	int64_t step_base_us;
 	int64_t step_per_stream_us;
 	int64_t prefill_us_per_token;
-	int64_t cache_prefixes;
-	int64_t prefix_bytes;
-	int64_t report_lag_ms;
-	int64_t event_lag_ms;
-	int64_t event_gap_percent;
-	int64_t load_ms;
-	int64_t seed;
-	bool fencing; /* false: old fencing numbers are ignored */
+	int64_t cache_prefixes; /* capacity of the prefix cache */
+	int64_t prefix_bytes; /* the part of a prompt that the prefix cache stores */
+	int64_t report_lag_ms; /* age of the load in load reports */
+	int64_t event_lag_ms; /* delay of cache events */
+	int64_t event_gap_percent; /* share of cache events that are lost */
+	int64_t load_ms; /* duration of a model load, besides fetching the weights */
+	int64_t seed; /* selects the lost cache events */
+	bool fencing; /* false: requests with an old fencing token are accepted */
 } fake_engine_settings_t;
 
 /* Prefix cache, fake_engine_cache.c. */
@@ -36,25 +38,26 @@
 	int64_t at_ms;
 	uint64_t prefix;
 	bool added;
-	bool dropped; /* never shown */
+	bool dropped; /* lost: never reported */
 } fake_cache_event_t;
 
-/** Least recently used prefixes; one that is known needs no prefill. */
+/** LRU cache of prompt prefixes, by hash. A cached prefix needs no prefill. */
 typedef struct {
 	uint64_t prefix[FAKE_CACHE_MAX_PREFIXES]; /* most recently used first */
 	size_t n;
 	size_t capacity;
-	fake_cache_event_t
-		events[FAKE_CACHE_EVENTS]; /* ring; that of seq is at seq % FAKE_CACHE_EVENTS */
-	int64_t last_seq; /* newest seq; the first is 1 */
+	/* ring buffer; event number seq is at seq % FAKE_CACHE_EVENTS */
+	fake_cache_event_t events[FAKE_CACHE_EVENTS];
+	int64_t last_seq; /* of the newest event; the first has 1 */
 	int64_t gap_percent;
 	unsigned seed;
 } fake_cache_t;
 
-/** Uses a prefix; tells whether it was known. */
+/** Looks up a prefix and caches it if missing; returns true if it was cached. */
 bool fake_cache_use(fake_cache_t *c, uint64_t prefix);
-/** Events after seq that are lag_ms old, without the lost ones. */
+/** Returns the events after number `after` that are at least lag_ms old, without the lost ones. */
 json_t *fake_cache_events_json(const fake_cache_t *c, int64_t after, int64_t lag_ms);
+/** Returns the cached prefixes. */
 json_t *fake_cache_json(const fake_cache_t *c);
 
 /* Load reports, fake_engine_report.c. */
@@ -68,36 +71,39 @@
 	int64_t step_us;
 } fake_report_sample_t;
 
+/** Ring buffer of load samples. */
 typedef struct {
 	fake_report_sample_t sample[FAKE_REPORT_SAMPLES];
 	uint64_t n;
 } fake_report_t;
 
 void fake_report_add(fake_report_t *r, const fake_report_sample_t *s);
-/** What held lag_ms ago. */
+/** Returns the load of lag_ms ago, or the oldest sample. */
 fake_report_sample_t fake_report_at(const fake_report_t *r, int64_t lag_ms);
 
-/* Orders, fake_engine_orders.c. */
+/* Orders (model loads and roles) and the fencing token, fake_engine_orders.c. */
 
 typedef struct {
 	pthread_mutex_t lock;
 	pthread_cond_t load_queued;
 	const fake_engine_settings_t *settings;
-	int64_t fence; /* highest seen */
+	int64_t fence; /* highest fencing token received */
 	char *role;
 	json_t *loaded;
-	json_t *load_queue; /* in order; a thread works on the first */
-	int64_t loads_total;
+	json_t *load_queue; /* in order of arrival; a thread runs the first */
+	int64_t loads_total; /* orders to load, queued ones included */
 } fake_orders_t;
 
 void fake_orders_init(fake_orders_t *o, const fake_engine_settings_t *s);
-/** Notes a fencing number, -1 for none; false when it is old and fencing is on. */
+/** Records a fencing token, -1 for none; returns false if it is old and fencing is enabled. */
 bool fake_orders_check_fence(fake_orders_t *o, int64_t fence);
+/** Returns the highest fencing token received. */
 int64_t fake_orders_fence(fake_orders_t *o);
-/** Puts a load into the queue. */
+
 void fake_orders_queue_load(fake_orders_t *o, const char *model, const char *version,
 			    const char *adapter);
 void fake_orders_set_role(fake_orders_t *o, const char *role);
+/** Returns the body of GET /v1/state. */
 json_t *fake_orders_json(fake_orders_t *o);
 
 /* Streams and steps, fake_engine.c. */
@@ -105,13 +111,13 @@
 typedef struct fake_engine fake_engine_t;
 typedef struct fake_stream fake_stream_t;
 
-/** What goes wrong from now on; each number but late_ms counts streams still to be hit. */
+/** Injected faults. The counters say how many of the next streams are affected. */
 typedef struct {
-	int64_t stall;
-	int64_t cross;
-	int64_t lose;
-	int64_t late_ms;
-	deadline_t frozen_until;
+	int64_t stall; /* streams that stop after a few tokens but stay open */
+	int64_t cross; /* streams whose events carry another request's id */
+	int64_t lose; /* streams whose connection is closed after a few tokens */
+	int64_t late_ms; /* delay of each stream's first token after its admission */
+	deadline_t frozen_until; /* no steps until then */
 } fake_faults_t;
 
 typedef struct {
@@ -123,15 +129,15 @@
 	int64_t tokens;
 	int64_t prefill_tokens;
 	int64_t prefix_hits;
-	json_t *by_request; /* starts by request id */
+	json_t *by_request; /* number of starts by request id */
 } fake_counts_t;
 
 struct fake_engine {
 	fake_engine_settings_t settings;
-	pthread_mutex_t lock; /* guards all but settings and orders */
+	pthread_mutex_t lock; /* guards everything but settings and orders */
 	pthread_cond_t work_queued;
 	fake_stream_t *running;
-	fake_stream_t *waiting; /* first come, first admitted */
+	fake_stream_t *waiting; /* FIFO */
 	int64_t running_n;
 	int64_t waiting_n;
 	int64_t step_us;
@@ -145,20 +151,21 @@
 typedef struct {
 	str_t id;
 	str_t prompt;
-	int64_t resume_from;
-	int64_t max_tokens;
-	int socket; /* watched for the client's end; -1: unknown */
+	int64_t resume_from; /* index of the first token to send */
+	int64_t max_tokens; /* end index, counted from the start of the answer */
+	int socket; /* of the client, to detect that it disconnects; -1: unknown */
 } fake_stream_options_t;
 
-/** Sets all up and starts the step thread. */
+/** Initializes the engine from its settings and starts the step thread. */
 void fake_engine_start(fake_engine_t *e);
-/** Queues a stream. */
+/** Creates a stream and queues it for a slot. */
 fake_stream_t *fake_stream_new(fake_engine_t *e, const fake_stream_options_t *o);
-/** Blocks for the next bytes; 0: ended whole, -1: broken off. */
+/** Waits for the next bytes of the event stream and returns their number; 0 after the last, -1 if
+ * the stream was aborted or its client disconnected. */
 long fake_stream_read(fake_stream_t *s, char *out, size_t max);
-/** Takes the stream off the engine; one that has not ended counts as cancelled. */
+/** Removes the stream from the engine; if it has not ended, it counts as cancelled. */
 void fake_stream_free(fake_stream_t *s);
-/** Breaks off all streams of a request; tells whether there was one. */
+/** Aborts all streams of a request; returns true if there was one. */
 bool fake_engine_cancel(fake_engine_t *e, str_t id);
 
 #endif
--- a/fakes/fake_engine_cache.c
+++ b/fakes/fake_engine_cache.c
@@ -1,11 +1,11 @@
-/* Prefix cache of the engine emulator and the events it publishes. */
+/* Prefix cache of the fake engine, and the events about its changes. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include "base/clock.h"
 #include "fake_engine.h"
 
-static void publish(fake_cache_t *c, uint64_t prefix, bool added)
+static void append_event(fake_cache_t *c, uint64_t prefix, bool added)
 {
 	c->last_seq++;
 	c->events[c->last_seq % FAKE_CACHE_EVENTS] = (fake_cache_event_t){
@@ -35,13 +35,13 @@
 	if (!c->capacity)
 		return false;
 	if (c->n == c->capacity)
-		publish(c, c->prefix[--c->n], false);
+		append_event(c, c->prefix[--c->n], false);
 	move_to_front(c, c->n++, prefix);
-	publish(c, prefix, true);
+	append_event(c, prefix, true);
 	return false;
 }
 
-static json_t *prefix_text(uint64_t prefix)
+static json_t *prefix_json(uint64_t prefix)
 {
 	return json_sprintf("%016llx", (unsigned long long)prefix);
 }
@@ -62,7 +62,7 @@
 			json_array_append_new(list,
 					      json_pack("{s:I,s:s,s:o}", "seq", (json_int_t)seq,
 							"op", ev->added ? "add" : "remove",
-							"prefix", prefix_text(ev->prefix)));
+							"prefix", prefix_json(ev->prefix)));
 	}
 	return json_pack("{s:o,s:I}", "events", list, "last", (json_int_t)last);
 }
@@ -72,6 +72,6 @@
 	json_t *list = json_array();
 
 	for (size_t i = 0; i < c->n; i++)
-		json_array_append_new(list, prefix_text(c->prefix[i]));
+		json_array_append_new(list, prefix_json(c->prefix[i]));
 	return json_pack("{s:I,s:o}", "last", (json_int_t)c->last_seq, "prefixes", list);
 }
--- a/fakes/fake_engine_orders.c
+++ b/fakes/fake_engine_orders.c
@@ -1,5 +1,4 @@
-/* Orders of the engine emulator: fencing, roles and loads, which one thread carries out in order.
- */
+/* Orders of the fake engine: fencing, roles, and model loads, which one thread runs in order. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/clock.h"
@@ -9,7 +8,7 @@
 #define WEIGHT_RETRY_MS	 200
 #define WEIGHT_TIMEOUT_S 30ul
 
-static bool fetch_weight(const char *url)
+static bool fetch_weights(const char *url)
 {
 	struct _u_request q;
 	struct _u_response r;
@@ -25,30 +24,32 @@
 	return done;
 }
 
-static void load_weight(const fake_engine_settings_t *s, const json_t *load)
+/* Fetches the weights, retrying until the weight store delivers, and takes load_ms in addition. */
+static void load_model(const fake_engine_settings_t *s, const json_t *load)
 {
 	AUTO_BUF url = {0};
 
 	if (s->weight_store && *s->weight_store) {
 		buf_addf(&url, "%s/v1/weights/%s", s->weight_store, fake_json_str(load, "model"));
-		while (!fetch_weight(url.p))
+		while (!fetch_weights(url.p))
 			clock_sleep_ms(WEIGHT_RETRY_MS);
 	}
 	clock_sleep_ms(s->load_ms);
 }
 
-static bool same_place(const json_t *a, const json_t *b)
+static bool same_model_and_adapter(const json_t *a, const json_t *b)
 {
 	return strcmp(fake_json_str(a, "model"), fake_json_str(b, "model")) == 0 &&
 	       strcmp(fake_json_str(a, "adapter"), fake_json_str(b, "adapter")) == 0;
 }
 
-/* Another version of a model and adapter takes the place of the one before. */
-static void note_loaded(fake_orders_t *o, json_t *load)
+/* A new version replaces the loaded version of the same model and adapter. */
+static void record_loaded(fake_orders_t *o, json_t *load)
 {
 	size_t i = 0;
 
-	while (i < json_array_size(o->loaded) && !same_place(json_array_get(o->loaded, i), load))
+	while (i < json_array_size(o->loaded) &&
+	       !same_model_and_adapter(json_array_get(o->loaded, i), load))
 		i++;
 	if (i < json_array_size(o->loaded))
 		json_array_set(o->loaded, i, load);
@@ -56,7 +57,7 @@
 		json_array_append(o->loaded, load);
 }
 
-static void *run_loads(void *arg)
+static void *load_thread(void *arg)
 {
 	fake_orders_t *o = arg;
 	json_t *load;
@@ -67,9 +68,9 @@
 			pthread_cond_wait(&o->load_queued, &o->lock);
 		load = json_array_get(o->load_queue, 0);
 		pthread_mutex_unlock(&o->lock);
-		load_weight(o->settings, load);
+		load_model(o->settings, load);
 		pthread_mutex_lock(&o->lock);
-		note_loaded(o, load);
+		record_loaded(o, load);
 		json_array_remove(o->load_queue, 0);
 	}
 	return NULL;
@@ -85,7 +86,7 @@
 	o->role = str_dup(STR("mixed"));
 	o->loaded = json_array();
 	o->load_queue = json_array();
-	if (pthread_create(&t, NULL, run_loads, o) != 0)
+	if (pthread_create(&t, NULL, load_thread, o) != 0)
 		abort();
 	pthread_detach(t);
 }
--- a/fakes/fake_engine_report.c
+++ b/fakes/fake_engine_report.c
@@ -1,10 +1,10 @@
-/* Load reports of the engine emulator, which lag behind. */
+/* Load reports of the fake engine, which lag behind its actual load. */
 #include "base/clock.h"
 #include "fake_engine.h"
 
 void fake_report_add(fake_report_t *r, const fake_report_sample_t *s)
 {
-	/* Changes within a millisecond share a sample, so that the ring spans the lag. */
+	/* One sample per millisecond, so that the ring buffer covers the lag. */
 	if (r->n && r->sample[(r->n - 1) % FAKE_REPORT_SAMPLES].at_ms == s->at_ms)
 		r->n--;
 	r->sample[r->n++ % FAKE_REPORT_SAMPLES] = *s;
--- a/fakes/fake_engine_streams.c
+++ b/fakes/fake_engine_streams.c
@@ -1,4 +1,4 @@
-/* Streams and steps of the engine emulator. */
+/* Streams and steps of the fake engine. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,36 +8,37 @@
 #include <utlist.h>
 #include "fake_engine.h"
 
-#define BYTES_PER_TOKEN	     4
-#define TOKENS_BEFORE_STALL  2
-#define TOKENS_BEFORE_LOSS   3
-#define CLIENT_CHECK_MS	     100
-#define FREEZE_POLL_MS	     5
-#define POISON_EXIT	     9
-#define MAX_COUNTED_REQUESTS 100000
+#define BYTES_PER_TOKEN		 4
+#define STALL_AFTER_TOKENS	 2
+#define CLOSE_AFTER_TOKENS	 3
+#define CLIENT_CHECK_INTERVAL_MS 100
+#define FREEZE_CHECK_INTERVAL_MS 5
+#define POISON_EXIT		 9
+#define MAX_COUNTED_REQUESTS	 100000
 
-typedef enum { STREAM_WAITING, STREAM_RUNNING, STREAM_WHOLE, STREAM_BROKEN } stream_state_t;
+typedef enum { STREAM_WAITING, STREAM_RUNNING, STREAM_COMPLETE, STREAM_ABORTED } stream_state_t;
 
 struct fake_stream {
 	fake_engine_t *e;
 	char *id;
-	char *shown_id; /* the id in its events */
+	char *event_id; /* the id in its events; another one under the fault `cross` */
 	buf_t prompt;
 	size_t prompt_n;
 	int64_t next; /* index of the next token */
-	int64_t end;
-	int64_t silent_at; /* index before which it goes silent */
-	int64_t lose_at; /* index before which its connection is closed */
-	deadline_t first_at; /* no token before */
-	bool poison;
+	int64_t end; /* index after the last token */
+	int64_t stall_at; /* stops before this index; -1: never */
+	int64_t close_at; /* closes the connection before this index; -1: never */
+	deadline_t not_before; /* of the first token */
+	bool poison; /* kills the process */
 	int socket;
 	stream_state_t state;
-	buf_t out;
-	pthread_cond_t ready;
+	buf_t out; /* events not read yet */
+	pthread_cond_t output_ready;
 	fake_stream_t *prev, *next_stream;
 };
 
-static void note_load(fake_engine_t *e)
+/* Called after each change of the number of streams or of the step time. */
+static void record_load(fake_engine_t *e)
 {
 	if (e->running_n > e->counts.max_running)
 		e->counts.max_running = e->running_n;
@@ -51,7 +52,7 @@
 				    });
 }
 
-static void leave(fake_stream_t *s)
+static void unlink_stream(fake_stream_t *s)
 {
 	fake_engine_t *e = s->e;
 
@@ -66,37 +67,39 @@
 
 static void end_stream(fake_stream_t *s, stream_state_t state)
 {
-	leave(s);
+	unlink_stream(s);
 	s->state = state;
-	note_load(s->e);
-	pthread_cond_signal(&s->ready);
+	record_load(s->e);
+	pthread_cond_signal(&s->output_ready);
 }
 
+/* Returns the number of tokens to prefill: the uncached part of the prompt, and for a stream that
+ * resumes the tokens before its first. */
 static int64_t prefill_tokens(fake_engine_t *e, const fake_stream_t *s)
 {
 	size_t prefix_n = (size_t)e->settings.prefix_bytes;
-	size_t known = 0;
+	size_t cached_n = 0;
 
 	if (prefix_n > s->prompt_n)
 		prefix_n = s->prompt_n;
 	if (fake_cache_use(&e->cache, str_hash((str_t){s->prompt.p, prefix_n}))) {
 		e->counts.prefix_hits++;
-		known = prefix_n;
+		cached_n = prefix_n;
 	}
-	return (int64_t)((s->prompt_n - known) / BYTES_PER_TOKEN) + s->next;
+	return (int64_t)((s->prompt_n - cached_n) / BYTES_PER_TOKEN) + s->next;
 }
 
-/* Fills free slots in order of arrival; the result is the tokens to prefill. */
-static int64_t admit(fake_engine_t *e)
+/* Fills free slots in order of arrival; returns the number of tokens to prefill. */
+static int64_t admit_streams(fake_engine_t *e)
 {
 	int64_t prefill = 0;
 	fake_stream_t *s;
 
 	while (e->waiting && e->running_n < e->settings.slots) {
 		s = e->waiting;
-		leave(s);
+		unlink_stream(s);
 		s->state = STREAM_RUNNING;
-		s->first_at = clock_now_ms() + e->faults.late_ms;
+		s->not_before = clock_now_ms() + e->faults.late_ms;
 		DL_APPEND2(e->running, s, prev, next_stream);
 		e->running_n++;
 		prefill += prefill_tokens(e, s);
@@ -105,7 +108,9 @@
 	return prefill;
 }
 
-static void add_token(fake_stream_t *s)
+/* The text depends on the prompt and the index only, so a client can check each token, also after
+ * a resume at another engine. */
+static void append_token_event(fake_stream_t *s)
 {
 	AUTO_BUF seed = {0};
 	unsigned long long h;
@@ -114,30 +119,31 @@
 	buf_addf(&seed, ":%lld", (long long)s->next);
 	h = str_hash(str_buf(&seed));
 	buf_add(&s->out, STR("data: {\"id\":"));
-	buf_add_json(&s->out, str_c(s->shown_id));
+	buf_add_json(&s->out, str_c(s->event_id));
 	buf_addf(&s->out, ",\"index\":%lld,\"choices\":[{\"index\":0,\"text\":\"w%06llx \"}]}\n\n",
 		 (long long)s->next, h & 0xffffff);
 }
 
+/* Gives a running stream its next token and ends the stream if that was the last. */
 static void step_stream(fake_engine_t *e, fake_stream_t *s, int64_t now)
 {
-	if (now < s->first_at || s->next == s->silent_at)
+	if (now < s->not_before || s->next == s->stall_at)
 		return;
 	if (s->poison)
 		_exit(POISON_EXIT);
 	if (s->next < s->end) {
-		add_token(s);
+		append_token_event(s);
 		s->next++;
 		e->counts.tokens++;
 	}
-	if (s->next == s->lose_at) {
-		end_stream(s, STREAM_BROKEN);
+	if (s->next == s->close_at) {
+		end_stream(s, STREAM_ABORTED);
 	} else if (s->next >= s->end) {
 		buf_add(&s->out, STR("data: [DONE]\n\n"));
 		e->counts.finished++;
-		end_stream(s, STREAM_WHOLE);
+		end_stream(s, STREAM_COMPLETE);
 	}
-	pthread_cond_signal(&s->ready);
+	pthread_cond_signal(&s->output_ready);
 }
 
 static void sleep_us(int64_t us)
@@ -154,24 +160,25 @@
 		pthread_cond_wait(&e->work_queued, &e->lock);
 	while (clock_now_ms() < e->faults.frozen_until) {
 		pthread_mutex_unlock(&e->lock);
-		clock_sleep_ms(FREEZE_POLL_MS);
+		clock_sleep_ms(FREEZE_CHECK_INTERVAL_MS);
 		pthread_mutex_lock(&e->lock);
 	}
 }
 
-/* One step: admissions, the time it takes, then a token for each running stream. */
-static void step(fake_engine_t *e)
+/* One step: admits streams, sleeps for the step's duration, gives each running stream a token.
+ * Releases the lock while it sleeps. */
+static void run_step(fake_engine_t *e)
 {
-	const fake_engine_settings_t *set = &e->settings;
+	const fake_engine_settings_t *settings = &e->settings;
 	int64_t begin_us = clock_now_us();
-	int64_t prefill = admit(e);
+	int64_t prefill = admit_streams(e);
 	fake_stream_t *s;
 	fake_stream_t *following;
 	int64_t now;
 
-	e->step_us = set->step_base_us + set->step_per_stream_us * e->running_n +
-		     prefill * set->prefill_us_per_token;
-	note_load(e);
+	e->step_us = settings->step_base_us + settings->step_per_stream_us * e->running_n +
+		     prefill * settings->prefill_us_per_token;
+	record_load(e);
 	pthread_mutex_unlock(&e->lock);
 	sleep_us(begin_us + e->step_us - clock_now_us());
 	pthread_mutex_lock(&e->lock);
@@ -182,14 +189,14 @@
 	}
 }
 
-static void *run_steps(void *arg)
+static void *step_thread(void *arg)
 {
 	fake_engine_t *e = arg;
 
 	pthread_mutex_lock(&e->lock);
 	for (;;) {
 		wait_for_work(e);
-		step(e);
+		run_step(e);
 	}
 	return NULL;
 }
@@ -205,23 +212,24 @@
 	e->cache.seed = (unsigned)e->settings.seed;
 	e->counts.by_request = json_object();
 	fake_orders_init(&e->orders, &e->settings);
-	note_load(e);
-	if (pthread_create(&t, NULL, run_steps, e) != 0)
+	record_load(e);
+	if (pthread_create(&t, NULL, step_thread, e) != 0)
 		abort();
 	pthread_detach(t);
 }
 
 static void count_start(fake_engine_t *e, const char *id)
 {
-	json_t *by = e->counts.by_request;
-	json_int_t n = json_integer_value(json_object_get(by, id));
+	json_t *starts = e->counts.by_request;
+	json_int_t n = json_integer_value(json_object_get(starts, id));
 
 	e->counts.started++;
-	if (n || json_object_size(by) < MAX_COUNTED_REQUESTS)
-		json_object_set_new(by, id, json_integer(n + 1));
+	if (n || json_object_size(starts) < MAX_COUNTED_REQUESTS)
+		json_object_set_new(starts, id, json_integer(n + 1));
 }
 
-static bool take(int64_t *left)
+/* Returns true if the fault affects one more stream, and counts it. */
+static bool take_fault(int64_t *left)
 {
 	if (*left <= 0)
 		return false;
@@ -229,8 +237,8 @@
 	return true;
 }
 
-/* The id of another stream, as an engine that mixes up its answers would send it. */
-static char *other_id(fake_engine_t *e, const char *id)
+/* Returns the id of another running stream, or an id that no request has. */
+static char *id_of_other_stream(fake_engine_t *e, const char *id)
 {
 	AUTO_BUF b = {0};
 	const fake_stream_t *s;
@@ -243,15 +251,17 @@
 	return str_dup(str_buf(&b));
 }
 
+/* Decides when the stream is created which of the injected faults affect it. */
 static void apply_faults(fake_engine_t *e, fake_stream_t *s)
 {
 	int64_t left = s->end - s->next;
 
-	s->silent_at = take(&e->faults.stall) ? s->next + TOKENS_BEFORE_STALL : -1;
-	s->lose_at = -1;
-	if (take(&e->faults.lose))
-		s->lose_at = s->next + (left < TOKENS_BEFORE_LOSS ? left : TOKENS_BEFORE_LOSS);
-	s->shown_id = take(&e->faults.cross) ? other_id(e, s->id) : str_dup(str_c(s->id));
+	s->stall_at = take_fault(&e->faults.stall) ? s->next + STALL_AFTER_TOKENS : -1;
+	s->close_at = -1;
+	if (take_fault(&e->faults.lose))
+		s->close_at = s->next + (left < CLOSE_AFTER_TOKENS ? left : CLOSE_AFTER_TOKENS);
+	s->event_id =
+		take_fault(&e->faults.cross) ? id_of_other_stream(e, s->id) : str_dup(str_c(s->id));
 }
 
 fake_stream_t *fake_stream_new(fake_engine_t *e, const fake_stream_options_t *o)
@@ -266,20 +276,20 @@
 	s->end = o->max_tokens;
 	s->poison = str_find(o->prompt, STR("{poison}")) >= 0;
 	s->socket = o->socket;
-	pthread_cond_init(&s->ready, NULL);
+	pthread_cond_init(&s->output_ready, NULL);
 	pthread_mutex_lock(&e->lock);
 	apply_faults(e, s);
 	count_start(e, s->id);
 	s->state = STREAM_WAITING;
 	DL_APPEND2(e->waiting, s, prev, next_stream);
 	e->waiting_n++;
-	note_load(e);
+	record_load(e);
 	pthread_cond_signal(&e->work_queued);
 	pthread_mutex_unlock(&e->lock);
 	return s;
 }
 
-static bool client_gone(const fake_stream_t *s)
+static bool client_disconnected(const fake_stream_t *s)
 {
 	char c;
 	ssize_t n;
@@ -290,15 +300,17 @@
 	return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-static void wait_ready(fake_stream_t *s)
+/* Returns after CLIENT_CHECK_INTERVAL_MS at the latest, so that the reader notices a client that
+ * has disconnected. */
+static void wait_for_output(fake_stream_t *s)
 {
 	struct timespec until;
 
 	clock_gettime(CLOCK_MONOTONIC, &until);
-	until.tv_nsec += CLIENT_CHECK_MS * 1000000;
+	until.tv_nsec += CLIENT_CHECK_INTERVAL_MS * 1000000;
 	until.tv_sec += until.tv_nsec / 1000000000;
 	until.tv_nsec %= 1000000000;
-	pthread_cond_clockwait(&s->ready, &s->e->lock, CLOCK_MONOTONIC, &until);
+	pthread_cond_clockwait(&s->output_ready, &s->e->lock, CLOCK_MONOTONIC, &until);
 }
 
 long fake_stream_read(fake_stream_t *s, char *out, size_t max)
@@ -306,15 +318,15 @@
 	long n = 0;
 
 	pthread_mutex_lock(&s->e->lock);
-	while (!s->out.n && s->state < STREAM_WHOLE && n == 0) {
-		wait_ready(s);
-		n = client_gone(s) ? -1 : 0;
+	while (!s->out.n && s->state < STREAM_COMPLETE && n == 0) {
+		wait_for_output(s);
+		n = client_disconnected(s) ? -1 : 0;
 	}
 	if (n == 0 && s->out.n) {
 		n = (long)(s->out.n < max ? s->out.n : max);
 		memcpy(out, s->out.p, (size_t)n);
 		buf_drop_front(&s->out, (size_t)n);
-	} else if (s->state == STREAM_BROKEN) {
+	} else if (s->state == STREAM_ABORTED) {
 		n = -1;
 	}
 	pthread_mutex_unlock(&s->e->lock);
@@ -324,20 +336,20 @@
 void fake_stream_free(fake_stream_t *s)
 {
 	pthread_mutex_lock(&s->e->lock);
-	if (s->state < STREAM_WHOLE) {
+	if (s->state < STREAM_COMPLETE) {
 		s->e->counts.cancelled++;
-		end_stream(s, STREAM_BROKEN);
+		end_stream(s, STREAM_ABORTED);
 	}
 	pthread_mutex_unlock(&s->e->lock);
-	pthread_cond_destroy(&s->ready);
+	pthread_cond_destroy(&s->output_ready);
 	buf_free(&s->prompt);
 	buf_free(&s->out);
 	free(s->id);
-	free(s->shown_id);
+	free(s->event_id);
 	free(s);
 }
 
-static bool cancel_in(fake_engine_t *e, fake_stream_t *list, str_t id)
+static bool cancel_in_list(fake_engine_t *e, fake_stream_t *list, str_t id)
 {
 	bool found = false;
 	fake_stream_t *s;
@@ -349,7 +361,7 @@
 			continue;
 		buf_drop_front(&s->out, s->out.n);
 		e->counts.cancelled++;
-		end_stream(s, STREAM_BROKEN);
+		end_stream(s, STREAM_ABORTED);
 		found = true;
 	}
 	return found;
@@ -361,8 +373,8 @@
 	bool waiting;
 
 	pthread_mutex_lock(&e->lock);
-	running = cancel_in(e, e->running, id);
-	waiting = cancel_in(e, e->waiting, id);
+	running = cancel_in_list(e, e->running, id);
+	waiting = cancel_in_list(e, e->waiting, id);
 	pthread_mutex_unlock(&e->lock);
 	return running || waiting;
 }
--- a/fakes/fake_http.c
+++ b/fakes/fake_http.c
@@ -1,4 +1,4 @@
-/* HTTP server of the stand-ins: a thread for each connection, so that handlers may block. */
+/* HTTP server of the fake programs: one thread per connection, so that handlers may block. */
 #include <arpa/inet.h>
 #include <microhttpd.h>
 #include <netinet/tcp.h>
@@ -14,8 +14,8 @@
 #define PORT_COUNT	65536
 #define ACCEPT_BACKLOG	1024
 
-/* Sockets by the client's port; the stand-ins see loopback clients only. The address settles which
- * of two clients with equal ports is meant. */
+/* Sockets of the open connections by the client's port. Clients on loopback have several addresses,
+ * so two of them may use the same port. ulfius gives handlers the client's address only. */
 typedef struct socket_entry {
 	struct sockaddr_in client;
 	int fd;
@@ -30,7 +30,7 @@
 	return a->sin_port == b->sin_port && a->sin_addr.s_addr == b->sin_addr.s_addr;
 }
 
-static void remember_socket(const struct sockaddr_in *client, int fd)
+static void add_socket(const struct sockaddr_in *client, int fd)
 {
 	socket_entry_t *e = mem_new(sizeof(*e));
 	socket_entry_t **head = &sockets[client->sin_port];
@@ -42,7 +42,7 @@
 	pthread_mutex_unlock(&sockets_lock);
 }
 
-static void forget_socket(const struct sockaddr_in *client, int fd)
+static void remove_socket(const struct sockaddr_in *client, int fd)
 {
 	socket_entry_t **at = &sockets[client->sin_port];
 	socket_entry_t *e;
@@ -57,6 +57,7 @@
 	free(e);
 }
 
+/* Called by libmicrohttpd when a connection is opened or closed. */
 static void on_connection(void *cls, struct MHD_Connection *c, void **ctx,
 			  enum MHD_ConnectionNotificationCode code)
 {
@@ -72,9 +73,9 @@
 	memcpy(&client, peer->client_addr, sizeof(client));
 	if (code == MHD_CONNECTION_NOTIFY_STARTED) {
 		setsockopt(sock->connect_fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-		remember_socket(&client, sock->connect_fd);
+		add_socket(&client, sock->connect_fd);
 	} else {
-		forget_socket(&client, sock->connect_fd);
+		remove_socket(&client, sock->connect_fd);
 	}
 }
 
@@ -179,9 +180,9 @@
 	return U_CALLBACK_COMPLETE;
 }
 
-int fake_reply_error(struct _u_response *r, unsigned status, const char *what)
+int fake_reply_error(struct _u_response *r, unsigned status, const char *message)
 {
-	return fake_reply(r, status, json_pack("{s:s}", "error", what));
+	return fake_reply(r, status, json_pack("{s:s}", "error", message));
 }
 
 json_t *fake_request_json(const struct _u_request *q)
--- a/fakes/fake_main.c
+++ b/fakes/fake_main.c
@@ -1,4 +1,4 @@
-/* Command line and life of a stand-in process. */
+/* Start and stop of a fake program. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/fakes/relay.c
+++ b/fakes/relay.c
@@ -1,4 +1,6 @@
-/* A TCP relay that can drop, hold or delay the bytes between two processes: a network fault. */
+/* auburn-relay: a TCP relay between two processes that injects network faults. Its mode is set over
+ * HTTP: pass the bytes on; cut: drop them, as a network partition does; hold: stop reading, and
+ * pass the bytes on later; delay: pass each byte on after a fixed time. */
 #include <errno.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -13,11 +15,11 @@
 #include "base/clock.h"
 #include "fake_common.h"
 
-#define READ_BYTES    65536
-#define MAX_QUEUED    (1u << 20)
-#define MODE_CHECK_MS 20
-#define MAX_DELAY_MS  600000
-#define BACKLOG	      1024
+#define READ_BYTES	       65536
+#define MAX_QUEUED_BYTES       (1u << 20)
+#define MODE_CHECK_INTERVAL_MS 20
+#define MAX_DELAY_MS	       600000
+#define BACKLOG		       1024
 
 typedef enum { MODE_PASS, MODE_CUT, MODE_HOLD, MODE_DELAY, MODE_COUNT } relay_mode_t;
 
@@ -36,7 +38,7 @@
 
 typedef struct chunk {
 	int64_t due_ms;
-	size_t n; /* 0: the sender closed its side */
+	size_t n; /* 0: end of file */
 	size_t sent;
 	struct chunk *next;
 	char bytes[];
@@ -47,19 +49,20 @@
 	int from;
 	int to;
 	chunk_t *queue;
-	size_t queued;
-	bool ended; /* no more to read */
-	bool closed; /* the end was passed on */
+	size_t queued_bytes;
+	bool read_ended; /* end of file was read */
+	bool write_closed; /* end of file was passed on */
 } flow_t;
 
 typedef struct {
 	relay_t *relay;
 	flow_t flow[2];
-	bool lost; /* bytes were dropped; a break ends the connection once the cut is over */
-	bool failed;
+	bool bytes_dropped; /* the stream has a gap, so the connection is closed after the cut */
+	bool failed; /* socket error */
 } link_t;
 
-static void push(flow_t *f, const char *bytes, size_t n, int64_t due_ms)
+/* Appends bytes to the queue of a flow; n = 0 appends the end of file. */
+static void enqueue(flow_t *f, const char *bytes, size_t n, int64_t due_ms)
 {
 	chunk_t *c = mem_new(sizeof(*c) + n);
 
@@ -67,20 +70,20 @@
 	c->n = n;
 	memcpy(c->bytes, bytes, n);
 	LL_APPEND(f->queue, c);
-	f->queued += n;
-	f->ended |= n == 0;
+	f->queued_bytes += n;
+	f->read_ended |= n == 0;
 }
 
-static void pop(flow_t *f)
+static void dequeue(flow_t *f)
 {
 	chunk_t *c = f->queue;
 
-	f->queued -= c->n;
+	f->queued_bytes -= c->n;
 	LL_DELETE(f->queue, c);
 	free(c);
 }
 
-static void read_some(link_t *l, flow_t *f)
+static void read_flow(link_t *l, flow_t *f)
 {
 	relay_t *r = l->relay;
 	char bytes[READ_BYTES];
@@ -91,12 +94,12 @@
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (mode == MODE_CUT) {
-		l->lost = true;
-		f->ended |= n <= 0;
+		l->bytes_dropped = true;
+		f->read_ended |= n <= 0;
 	} else if (n < 0) {
 		l->failed = true;
 	} else {
-		push(f, bytes, (size_t)n, clock_now_ms() + delay_ms);
+		enqueue(f, bytes, (size_t)n, clock_now_ms() + delay_ms);
 	}
 }
 
@@ -107,8 +110,8 @@
 
 	if (!c->n) {
 		shutdown(f->to, SHUT_WR);
-		f->closed = true;
-		pop(f);
+		f->write_closed = true;
+		dequeue(f);
 		return;
 	}
 	n = send(f->to, c->bytes + c->sent, c->n - c->sent, MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -117,43 +120,47 @@
 	else if (errno != EAGAIN && errno != EINTR)
 		l->failed = true;
 	if (c->sent == c->n)
-		pop(f);
+		dequeue(f);
 }
 
-static bool due(const flow_t *f)
+static bool chunk_is_due(const flow_t *f)
 {
 	return f->queue && f->queue->due_ms <= clock_now_ms();
 }
 
-static bool flowing(const relay_t *r)
+/* Returns true in the modes in which queued bytes are sent. */
+static bool is_forwarding(const relay_t *r)
 {
 	relay_mode_t mode = atomic_load(&r->mode);
 
 	return mode == MODE_PASS || mode == MODE_DELAY;
 }
 
-/* Readiness of a flow's two ends that it waits for now. */
-static void want(const link_t *l, const flow_t *f, struct pollfd *from, struct pollfd *to)
+/* Sets the events of a flow's two sockets to poll for. */
+static void set_poll_events(const link_t *l, const flow_t *f, struct pollfd *from,
+			    struct pollfd *to)
 {
 	bool hold = atomic_load(&l->relay->mode) == MODE_HOLD;
 
-	if (!hold && !f->ended && f->queued < MAX_QUEUED)
+	if (!hold && !f->read_ended && f->queued_bytes < MAX_QUEUED_BYTES)
 		from->events |= POLLIN;
-	if (flowing(l->relay) && due(f))
+	if (is_forwarding(l->relay) && chunk_is_due(f))
 		to->events |= POLLOUT;
 }
 
-/* Time until a held back chunk is due, at most MODE_CHECK_MS. */
+/* Returns the time until the first chunk is due, at most MODE_CHECK_INTERVAL_MS. */
 static int64_t queue_wait_ms(const flow_t *f)
 {
 	int64_t left = f->queue ? clock_left_ms(f->queue->due_ms) : 0;
 
-	return left > 0 && left < MODE_CHECK_MS ? left : MODE_CHECK_MS;
+	return left > 0 && left < MODE_CHECK_INTERVAL_MS ? left : MODE_CHECK_INTERVAL_MS;
 }
 
-static int wait_ms(const link_t *l)
+/* Without anything queued, a connection in mode pass needs no timeout: no other mode has an effect
+ * before the next bytes arrive. */
+static int poll_timeout_ms(const link_t *l)
 {
-	bool pending = l->flow[0].queue || l->flow[1].queue || l->lost;
+	bool pending = l->flow[0].queue || l->flow[1].queue || l->bytes_dropped;
 	int64_t a = queue_wait_ms(&l->flow[0]);
 	int64_t b = queue_wait_ms(&l->flow[1]);
 
@@ -162,15 +169,15 @@
 	return (int)(a < b ? a : b);
 }
 
-static void move_bytes(link_t *l)
+static void forward_bytes(link_t *l)
 {
 	struct pollfd p[2] = {{.fd = l->flow[0].from}, {.fd = l->flow[1].from}};
-	int timeout_ms = wait_ms(l);
+	int timeout_ms = poll_timeout_ms(l);
 	int i;
 
 	for (i = 0; i < 2; i++)
-		want(l, &l->flow[i], &p[i], &p[1 - i]);
-	/* A socket that broke would be ready all the time, also without events. */
+		set_poll_events(l, &l->flow[i], &p[i], &p[1 - i]);
+	/* poll() reports a broken socket even if no events are requested, which would spin. */
 	for (i = 0; i < 2; i++)
 		p[i].fd = p[i].events ? p[i].fd : -1;
 	if (poll(p, 2, timeout_ms) < 0)
@@ -179,17 +186,18 @@
 		flow_t *f = &l->flow[i];
 
 		if (p[i].revents & (POLLIN | POLLHUP | POLLERR) && p[i].events & POLLIN)
-			read_some(l, f);
-		if (flowing(l->relay) && due(f))
+			read_flow(l, f);
+		if (is_forwarding(l->relay) && chunk_is_due(f))
 			write_chunk(l, f);
 	}
 }
 
-static bool link_over(const link_t *l)
+static bool link_is_finished(const link_t *l)
 {
-	bool broken = l->lost || l->failed;
+	bool broken = l->bytes_dropped || l->failed;
 
-	return flowing(l->relay) && (broken || (l->flow[0].closed && l->flow[1].closed));
+	return is_forwarding(l->relay) &&
+	       (broken || (l->flow[0].write_closed && l->flow[1].write_closed));
 }
 
 static void set_nodelay(int fd)
@@ -199,15 +207,16 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 }
 
-/* Connects to the target once the mode allows it; a client that came in a cut is given up. */
+/* Waits for a mode that forwards, then connects to the target. Returns -1 for a client that
+ * connected during a cut: its connection would have been lost. */
 static int connect_target(const relay_t *r)
 {
 	bool cut = false;
 	int fd;
 
-	while (!flowing(r)) {
+	while (!is_forwarding(r)) {
 		cut |= atomic_load(&r->mode) == MODE_CUT;
-		clock_sleep_ms(MODE_CHECK_MS);
+		clock_sleep_ms(MODE_CHECK_INTERVAL_MS);
 	}
 	if (cut)
 		return -1;
@@ -220,6 +229,7 @@
 	return -1;
 }
 
+/* Forwards bytes in both directions until the connection ends. */
 static void run_link(relay_t *r, int client, int target)
 {
 	link_t l = {.relay = r, .flow = {{client, target}, {target, client}}};
@@ -227,11 +237,11 @@
 
 	set_nodelay(client);
 	set_nodelay(target);
-	while (!link_over(&l))
-		move_bytes(&l);
+	while (!link_is_finished(&l))
+		forward_bytes(&l);
 	for (i = 0; i < 2; i++) {
 		while (l.flow[i].queue)
-			pop(&l.flow[i]);
+			dequeue(&l.flow[i]);
 	}
 }
 
@@ -240,7 +250,7 @@
 	int client;
 } accepted_t;
 
-static void *serve(void *arg)
+static void *connection_thread(void *arg)
 {
 	accepted_t a = *(accepted_t *)arg;
 	int target;
@@ -257,7 +267,7 @@
 	return NULL;
 }
 
-static void *accept_clients(void *arg)
+static void *accept_thread(void *arg)
 {
 	relay_t *r = arg;
 	accepted_t *a;
@@ -267,12 +277,12 @@
 	for (;;) {
 		fd = accept4(r->listen_fd, NULL, NULL, SOCK_CLOEXEC);
 		if (fd < 0) {
-			clock_sleep_ms(MODE_CHECK_MS);
+			clock_sleep_ms(MODE_CHECK_INTERVAL_MS);
 			continue;
 		}
 		a = mem_new(sizeof(*a));
 		*a = (accepted_t){r, fd};
-		if (pthread_create(&t, NULL, serve, a) == 0) {
+		if (pthread_create(&t, NULL, connection_thread, a) == 0) {
 			pthread_detach(t);
 		} else {
 			close(fd);
@@ -282,7 +292,7 @@
 	return NULL;
 }
 
-static status_t start_listen(relay_t *r)
+static status_t open_listener(relay_t *r)
 {
 	struct sockaddr_in addr;
 	status_t st = fake_parse_address(r->listen, &addr);
@@ -300,20 +310,20 @@
 	return STATUS_OK;
 }
 
-static int answer_mode(const relay_t *r, struct _u_response *rs)
+static int reply_mode(const relay_t *r, struct _u_response *resp)
 {
-	return fake_reply(rs, 200,
+	return fake_reply(resp, 200,
 			  json_pack("{s:s,s:I,s:I}", "mode", mode_names[atomic_load(&r->mode)],
 				    "ms", (json_int_t)atomic_load(&r->delay_ms), "connections",
 				    (json_int_t)atomic_load(&r->connections)));
 }
 
-static int handle_get_mode(const struct _u_request *q, struct _u_response *rs, void *ctx)
+static int handle_get_mode(const struct _u_request *q, struct _u_response *resp, void *ctx)
 {
-	return answer_mode(ctx, rs);
+	return reply_mode(ctx, resp);
 }
 
-static int handle_set_mode(const struct _u_request *q, struct _u_response *rs, void *ctx)
+static int handle_set_mode(const struct _u_request *q, struct _u_response *resp, void *ctx)
 {
 	relay_t *r = ctx;
 	AUTO_JSON *body = fake_request_json(q);
@@ -323,10 +333,10 @@
 	while (mode < MODE_COUNT && strcmp(mode_names[mode], fake_json_str(body, "mode")) != 0)
 		mode++;
 	if (mode == MODE_COUNT || ms < 0 || ms > MAX_DELAY_MS)
-		return fake_reply_error(rs, 400, "no such mode");
+		return fake_reply_error(resp, 400, "no such mode");
 	atomic_store(&r->delay_ms, ms);
 	atomic_store(&r->mode, mode);
-	return answer_mode(r, rs);
+	return reply_mode(r, resp);
 }
 
 static status_t configure(void *ctx, const toml_doc_t *c)
@@ -357,12 +367,12 @@
 		{NULL, NULL, NULL},
 	};
 	relay_t *r = ctx;
-	status_t st = start_listen(r);
+	status_t st = open_listener(r);
 	pthread_t t;
 
 	if (st != STATUS_OK)
 		return st;
-	if (pthread_create(&t, NULL, accept_clients, r) != 0)
+	if (pthread_create(&t, NULL, accept_thread, r) != 0)
 		return status_fail(STATUS_IO, "can't start a thread");
 	pthread_detach(t);
 	return fake_http_start(&(fake_http_options_t){r->control, routes, NULL, r});
@@ -371,8 +381,8 @@
 int main(int argc, char **argv)
 {
 	static relay_t r;
-	const fake_program_t program = {"auburn-relay", "TCP relay with network faults", configure,
-					start, &r};
+	const fake_program_t program = {"auburn-relay", "TCP relay that injects network faults",
+					configure, start, &r};
 
 	return fake_main(argc, argv, &program);
 }
