--- a/tools/core-random.c
+++ b/tools/core-random.c
@@ -1,4 +1,5 @@
-/* Randomised runs of the log's core: auburn-core-random --seed S --steps N [--seeds A..B]. */
+/* auburn-core-random: randomized simulations of the Raft core, one per seed. The run of a seed is
+ * reproducible. */
 #include <argtable2.h>
 #include <signal.h>
 #include <stdio.h>
@@ -10,7 +11,8 @@
 static char abort_line[64];
 static size_t abort_bytes;
 
-/* An invariant that the program itself asserts has failed: says in which seed. */
+/* An assert failed: prints the seed of the run. Only write() is safe in a signal handler, so the
+ * line is prepared before each run. */
 static void on_abort(int sig)
 {
 	if (write(STDERR_FILENO, abort_line, abort_bytes) < 0)
@@ -30,7 +32,7 @@
 	fflush(stdout);
 }
 
-static void add_up(sim_result_t *sum, const sim_result_t *r)
+static void add_counts(sim_result_t *sum, const sim_result_t *r)
 {
 	sum->writes += r->writes;
 	sum->reads += r->reads;
@@ -56,7 +58,7 @@
 			print_result(seed, &r);
 			return 1;
 		}
-		add_up(&sum, &r);
+		add_counts(&sum, &r);
 	}
 	sum.step = steps;
 	print_result(to, &sum);
@@ -65,9 +67,9 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_int *seed = arg_int0(NULL, "seed", "S", "runs this seed");
-	struct arg_int *steps = arg_int0(NULL, "steps", "N", "steps of each run, 2000");
-	struct arg_str *seeds = arg_str0(NULL, "seeds", "A..B", "runs all these seeds");
+	struct arg_int *seed = arg_int0(NULL, "seed", "S", "run this seed");
+	struct arg_int *steps = arg_int0(NULL, "steps", "N", "steps of each run, default 2000");
+	struct arg_str *seeds = arg_str0(NULL, "seeds", "A..B", "run each of these seeds");
 	struct arg_end *end = arg_end(5);
 	void *table[] = {seed, steps, seeds, end};
 	unsigned long from = 1;
--- a/tools/log-bench.c
+++ b/tools/log-bench.c
@@ -1,5 +1,5 @@
-/* Measures the replicated log in one process: replicas that call each other's functions, with real
- * files and syncs. One line of key=value pairs for each measurement. */
+/* auburn-log-bench: measures the replicated log with all replicas in one process and with real
+ * files and syncs. Prints a line of key=value pairs per measurement. */
 #include <argtable2.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,19 +9,20 @@
 #include "inproc_replicas.h"
 
 #define PROPOSERS_MAX	 512
-#define FAILOVERS	 10
+#define FAILOVER_RUNS	 10
 #define SNAPSHOT_LOAD_MS 6000
 
+/* A thread that proposes one command after another. */
 typedef struct {
 	group_t *g;
-	unsigned bytes;
+	unsigned bytes; /* of a command */
 	deadline_t end;
-	metric_t *us;
+	metric_t *us; /* histogram of commit times */
 	uint64_t done;
 	uint64_t failed;
 } proposer_t;
 
-static void *propose_until(void *arg)
+static void *proposer_thread(void *arg)
 {
 	proposer_t *p = arg;
 	char *cmd = mem_new(p->bytes);
@@ -29,8 +30,8 @@
 	while (clock_left_ms(p->end) > 0) {
 		int64_t start_us = clock_now_us();
 
-		if (group_propose(p->g, (str_t){cmd, p->bytes}, clock_now_ms() + WAIT_MS, NULL) !=
-		    STATUS_OK) {
+		if (group_propose(p->g, (str_t){cmd, p->bytes}, clock_now_ms() + INPROC_WAIT_MS,
+				  NULL) != STATUS_OK) {
 			p->failed++;
 			continue;
 		}
@@ -44,9 +45,9 @@
 typedef struct {
 	unsigned replicas;
 	unsigned groups;
-	unsigned proposers; /* of all groups together */
-	unsigned bytes;
-	unsigned ms;
+	unsigned proposers; /* in total, spread over the groups */
+	unsigned bytes; /* of a command */
+	unsigned ms; /* duration */
 } load_t;
 
 static void print_load(const load_t *l, const proposer_t *p, metric_t *us, int64_t took_us,
@@ -69,17 +70,18 @@
 	       (unsigned long)(done * 1000000 / (uint64_t)took_us), (long)metric_quantile(us, 0.5),
 	       (long)metric_quantile(us, 0.99), (unsigned long)syncs,
 	       (unsigned long)(syncs ? sync_us / syncs : 0),
-	       (double)sync_us / (double)took_us, /* of the first group's leader */
+	       (double)sync_us / (double)took_us, /* at the leader of group 0 */
 	       syncs ? (double)done / l->groups / (double)syncs : 0.0);
 	fflush(stdout);
 }
 
+/* Commit rate and commit times of new groups under a load of parallel proposers. */
 static void measure_load(const load_t *l)
 {
 	static unsigned run;
 	static proposer_t p[PROPOSERS_MAX];
 	static pthread_t t[PROPOSERS_MAX];
-	group_t *leaders[GROUPS_MAX];
+	group_t *leaders[INPROC_GROUPS_MAX];
 	group_status_t before;
 	group_status_t after;
 	char label[32];
@@ -99,7 +101,7 @@
 	for (unsigned i = 0; i < l->proposers; i++) {
 		p[i] = (proposer_t){
 			leaders[i % l->groups], l->bytes, clock_now_ms() + l->ms, us, 0, 0};
-		pthread_create(&t[i], NULL, propose_until, &p[i]);
+		pthread_create(&t[i], NULL, proposer_thread, &p[i]);
 	}
 	for (unsigned i = 0; i < l->proposers; i++)
 		pthread_join(t[i], NULL);
@@ -109,26 +111,28 @@
 	inproc_clear();
 }
 
-static void propose_some(group_t *g, unsigned n)
+static void propose_commands(group_t *g, unsigned n)
 {
 	for (unsigned i = 0; i < n; i++) {
-		if (group_propose(g, STR("command"), clock_now_ms() + WAIT_MS, NULL) != STATUS_OK)
+		if (group_propose(g, STR("command"), clock_now_ms() + INPROC_WAIT_MS, NULL) !=
+		    STATUS_OK)
 			exit(1);
 	}
 }
 
-/* Waits until the leader's newest snapshot is beyond index. */
+/* Proposes commands until the leader has written a snapshot newer than index. */
 static void wait_snapshot(group_t *g, uint64_t index)
 {
 	group_status_t s;
 
 	do {
-		propose_some(g, 1);
+		propose_commands(g, 1);
 		group_get_status(g, &s);
 	} while (s.snapshot_index <= index);
 }
 
-static void set_state(void *ctx, void *arg)
+/* Called on the group's thread: sets the size of the replicated state. */
+static void fill_state(void *ctx, void *arg)
 {
 	inproc_replica_t *n = ctx;
 	size_t bytes = *(size_t *)arg;
@@ -150,13 +154,14 @@
 	group_get_status(inproc_replicas[0][i].g, &s);
 	peer.id = s.self;
 	snprintf(peer.addr, sizeof(peer.addr), "%s", inproc_seeds[i]);
-	if (group_add_learner(leader, &peer, clock_now_ms() + WAIT_MS) != STATUS_OK)
+	if (group_add_learner(leader, &peer, clock_now_ms() + INPROC_WAIT_MS) != STATUS_OK)
 		exit(1);
 	return inproc_replicas[0][i].g;
 }
 
-/* Lets an empty replica join and catch up; how long that took, in us. */
-static int64_t catch_up(group_t *leader, group_status_t *out)
+/* Adds an empty replica as a learner; returns the time in us until the learner has applied all
+ * committed entries. */
+static int64_t measure_catch_up(group_t *leader, group_status_t *out)
 {
 	int64_t start_us = clock_now_us();
 	group_t *learner = join_learner(leader, 1);
@@ -170,7 +175,8 @@
 	return clock_now_us() - start_us;
 }
 
-/* A replica with a snapshot of `bytes` starts again; then an empty one catches up from it. */
+/* Restart of a replica whose snapshot has `bytes`, and catch-up of an empty one by that snapshot.
+ */
 static void measure_state(size_t bytes)
 {
 	int64_t open_us;
@@ -181,7 +187,7 @@
 
 	inproc_start(0, 0, 1, 20);
 	g = inproc_wait_leader(0);
-	group_with_state(g, set_state, &bytes);
+	group_with_state(g, fill_state, &bytes);
 	wait_snapshot(g, 0);
 	group_get_status(g, &ls);
 	wait_snapshot(g, ls.snapshot_index);
@@ -192,8 +198,8 @@
 	open_us = lead_us - open_us;
 	g = inproc_wait_leader(0);
 	lead_us = clock_now_us() - lead_us;
-	propose_some(g, 10);
-	catch_us = catch_up(g, &ls);
+	propose_commands(g, 10);
+	catch_us = measure_catch_up(g, &ls);
 	printf("measure=state bytes=%zu open_ms=%.1f election_ms=%.1f catch_up_ms=%.1f "
 	       "snapshot_index=%lu\n",
 	       bytes, (double)open_us / 1000, (double)lead_us / 1000, (double)catch_us / 1000,
@@ -202,7 +208,7 @@
 	inproc_clear();
 }
 
-/* Commit times of three replicas that keep writing snapshots of `bytes` meanwhile. */
+/* Commit times of three replicas while they write snapshots of `bytes` every 2000 entries. */
 static void measure_snapshots(size_t bytes)
 {
 	static unsigned run;
@@ -219,10 +225,10 @@
 		inproc_start(0, i, 3, 2000);
 	g = inproc_wait_leader(0);
 	for (unsigned i = 0; i < 3; i++)
-		group_with_state(inproc_replicas[0][i].g, set_state, &bytes);
+		group_with_state(inproc_replicas[0][i].g, fill_state, &bytes);
 	for (unsigned i = 0; i < 8; i++) {
 		p[i] = (proposer_t){g, 256, clock_now_ms() + SNAPSHOT_LOAD_MS, us, 0, 0};
-		pthread_create(&t[i], NULL, propose_until, &p[i]);
+		pthread_create(&t[i], NULL, proposer_thread, &p[i]);
 	}
 	for (unsigned i = 0; i < 8; i++)
 		pthread_join(t[i], NULL);
@@ -237,7 +243,7 @@
 	inproc_clear();
 }
 
-/* An empty replica catches up by entries alone; then a replica replays them at its start. */
+/* Catch-up of an empty replica by log entries only, and start of a replica that reads them. */
 static void measure_entries(unsigned entries)
 {
 	int64_t open_us;
@@ -254,13 +260,13 @@
 	while (s.applied < entries) {
 		for (unsigned i = 0; i < 64; i++) {
 			p[i] = (proposer_t){g, 128, clock_now_ms() + 50, us, 0, 0};
-			pthread_create(&t[i], NULL, propose_until, &p[i]);
+			pthread_create(&t[i], NULL, proposer_thread, &p[i]);
 		}
 		for (unsigned i = 0; i < 64; i++)
 			pthread_join(t[i], NULL);
 		group_get_status(g, &s);
 	}
-	catch_us = catch_up(g, &ls);
+	catch_us = measure_catch_up(g, &ls);
 	inproc_stop(0, 0);
 	open_us = clock_now_us();
 	inproc_start(0, 0, 1, 1ull << 40);
@@ -276,33 +282,33 @@
 	return (int)(*(const int64_t *)a - *(const int64_t *)b);
 }
 
-/* Time until a command is committed by another leader, after the leader is cut off or hands over.
- */
+/* Time until another leader commits a command, after the leader is isolated or, if planned,
+ * transfers leadership. */
 static void measure_failover(bool planned)
 {
-	int64_t ms[FAILOVERS];
+	int64_t ms[FAILOVER_RUNS];
 
 	for (unsigned i = 0; i < 3; i++)
 		inproc_start(0, i, 3, 1ull << 40);
-	for (unsigned i = 0; i < FAILOVERS; i++) {
+	for (unsigned i = 0; i < FAILOVER_RUNS; i++) {
 		group_t *old = inproc_wait_leader(0);
 		int64_t start_ms = clock_now_ms();
 
 		if (planned)
-			group_step_down(old, clock_now_ms() + WAIT_MS);
+			group_step_down(old, clock_now_ms() + INPROC_WAIT_MS);
 		else
 			inproc_isolate(old, true);
 		while (group_propose(inproc_wait_other_leader(0, old), STR("x"),
-				     clock_now_ms() + WAIT_MS, NULL) != STATUS_OK)
+				     clock_now_ms() + INPROC_WAIT_MS, NULL) != STATUS_OK)
 			;
 		ms[i] = clock_now_ms() - start_ms;
 		inproc_isolate(old, false);
-		clock_sleep_ms(ELECTION_MS);
+		clock_sleep_ms(INPROC_ELECTION_MS);
 	}
-	qsort(ms, FAILOVERS, sizeof(ms[0]), compare_ms);
+	qsort(ms, FAILOVER_RUNS, sizeof(ms[0]), compare_ms);
 	printf("measure=failover how=%s election_ms=%d runs=%d p50_ms=%ld max_ms=%ld\n",
-	       planned ? "handover" : "cut", ELECTION_MS, FAILOVERS, (long)ms[FAILOVERS / 2],
-	       (long)ms[FAILOVERS - 1]);
+	       planned ? "handover" : "cut", INPROC_ELECTION_MS, FAILOVER_RUNS,
+	       (long)ms[FAILOVER_RUNS / 2], (long)ms[FAILOVER_RUNS - 1]);
 	fflush(stdout);
 	inproc_clear();
 }
@@ -326,9 +332,10 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_int *ms = arg_int0(NULL, "ms", "MS", "length of each load, 1500");
+	struct arg_int *ms =
+		arg_int0(NULL, "ms", "MS", "duration of each load in ms, default 1500");
 	struct arg_lit *state =
-		arg_lit0(NULL, "state-only", "no loads: start, catch-up and failover only");
+		arg_lit0(NULL, "state-only", "no loads: measure start, catch-up and failover only");
 	struct arg_end *end = arg_end(5);
 	void *table[] = {ms, state, end};
 	const char *tmp = getenv("TMPDIR");
@@ -341,8 +348,8 @@
 	snprintf(inproc_root, sizeof(inproc_root), "%s/auburn-log-XXXXXX", tmp ? tmp : "/tmp");
 	if (!mkdtemp(inproc_root))
 		return 1;
-	for (unsigned g = 0; g < GROUPS_MAX; g++) {
-		for (unsigned i = 0; i < REPLICAS_MAX; i++)
+	for (unsigned g = 0; g < INPROC_GROUPS_MAX; g++) {
+		for (unsigned i = 0; i < INPROC_REPLICAS_MAX; i++)
 			pthread_rwlock_init(&inproc_replicas[g][i].lock, NULL);
 	}
 	if (!state->count)
--- a/tools/state-bench.c
+++ b/tools/state-bench.c
@@ -1,5 +1,5 @@
-/* Measures the state machines: the ledger's time and memory for each item and request, the size of
- * the fleet's view and what planning owners costs. */
+/* auburn-state-bench: measures the replicated state machines without replication: time and memory
+ * of the ledger per item and request, size of the fleet's view, time of planning owners. */
 #include <malloc.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,23 +15,24 @@
 #define REQUESTS     100000
 #define NAME_BYTES   32
 
-static ledger_t *l;
+static ledger_t *ledger; /* of the current measurement */
 static char body_text[BODY_BYTES];
 
-static void apply(const wire_ledger_cmd_t *cmd, wire_ledger_res_t *res)
+static void apply_or_exit(const wire_ledger_cmd_t *cmd, wire_ledger_res_t *res)
 {
-	ledger_apply_cmd(l, cmd, res);
+	ledger_apply_cmd(ledger, cmd, res);
 	if (res->status == STATUS_OK)
 		return;
 	fprintf(stderr, "command %d: %.*s\n", (int)cmd->kind, STR_ARG(wire_str(res->message)));
 	exit(EXIT_FAILURE);
 }
 
-static void apply_free(const wire_ledger_cmd_t *cmd)
+/* Applies a command whose result is not needed. */
+static void apply_discard(const wire_ledger_cmd_t *cmd)
 {
 	wire_ledger_res_t res;
 
-	apply(cmd, &res);
+	apply_or_exit(cmd, &res);
 	wire_free(XDR_PROC(wire_ledger_res_t), &res);
 }
 
@@ -42,11 +43,12 @@
 	return m.uordblks + m.hblkhd;
 }
 
-static double per(int64_t us, size_t n)
+static double us_per(int64_t us, size_t n)
 {
 	return (double)us / (double)n;
 }
 
+/* Opens, fills and seals a job. */
 static void add_job(const char *caller, const char *job, unsigned count)
 {
 	static wire_bytes_t bodies[LEDGER_LEASE_ITEMS_MAX];
@@ -64,7 +66,7 @@
 		.count = count,
 		.now_wall_ms = NOW_MS,
 	};
-	apply_free(&cmd);
+	apply_discard(&cmd);
 	for (unsigned i = 0; i < LEDGER_LEASE_ITEMS_MAX; i++)
 		bodies[i] = wire_bytes((str_t){body_text, BODY_BYTES});
 	for (unsigned first = 0; first < count; first += LEDGER_LEASE_ITEMS_MAX) {
@@ -79,22 +81,23 @@
 		cmd.wire_ledger_cmd_t_u.items.bodies.bodies_len =
 			n < LEDGER_LEASE_ITEMS_MAX ? n : LEDGER_LEASE_ITEMS_MAX;
 		cmd.wire_ledger_cmd_t_u.items.bodies.bodies_val = bodies;
-		apply_free(&cmd);
+		apply_discard(&cmd);
 	}
 	cmd.kind = WIRE_LEDGER_JOB_SEAL;
 	cmd.wire_ledger_cmd_t_u.seal =
 		(wire_job_ref_t){wire_bytes(str_c(caller)), wire_bytes(str_c(job)), NOW_MS};
-	apply_free(&cmd);
+	apply_discard(&cmd);
 }
 
-/* Time of LEASE and DONE over all items. */
+/* Total time of the LEASE and of the DONE commands for all items. */
 typedef struct {
 	int64_t lease_us;
 	int64_t done_us;
 	size_t items;
 } drain_t;
 
-static void deliver(const wire_ledger_res_t *leased)
+/* Reports all items of a lease as done. */
+static void complete_items(const wire_ledger_res_t *leased)
 {
 	static wire_item_result_t results[LEDGER_LEASE_ITEMS_MAX];
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_DONE};
@@ -115,10 +118,11 @@
 	cmd.wire_ledger_cmd_t_u.done = (wire_done_t){.session = 1, .now_wall_ms = NOW_MS};
 	cmd.wire_ledger_cmd_t_u.done.results.results_len = n;
 	cmd.wire_ledger_cmd_t_u.done.results.results_val = results;
-	apply_free(&cmd);
+	apply_discard(&cmd);
 }
 
-static drain_t drain(void)
+/* Leases and completes items until the ledger has none left. */
+static drain_t drain_items(void)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_LEASE};
 	drain_t d = {0};
@@ -133,38 +137,39 @@
 		int64_t start = clock_now_us();
 
 		cmd.wire_ledger_cmd_t_u.lease.seq++;
-		apply(&cmd, &res);
+		apply_or_exit(&cmd, &res);
 		d.lease_us += clock_now_us() - start;
 		got = res.items.items_len;
 		d.items += got;
 		start = clock_now_us();
 		if (got)
-			deliver(&res);
+			complete_items(&res);
 		d.done_us += clock_now_us() - start;
 		wire_free(XDR_PROC(wire_ledger_res_t), &res);
 	} while (got);
 	return d;
 }
 
-/* Prints the time and size of a snapshot of n items or requests and of its restore. */
-static void snapshot(const char *when, size_t n)
+/* Prints, per item or request, the size of a snapshot and the times to write and to restore it. */
+static void print_snapshot(const char *when, size_t n)
 {
 	buf_t snap = {0};
 	int64_t start = clock_now_us();
 	int64_t middle;
 	ledger_t *copy = ledger_new();
 
-	ledger_snapshot(l, &snap);
+	ledger_snapshot(ledger, &snap);
 	middle = clock_now_us();
 	if (ledger_restore(copy, str_buf(&snap)) != STATUS_OK)
 		exit(EXIT_FAILURE);
 	printf(" %s_snapshot_us=%.3f %s_restore_us=%.3f %s_snapshot_bytes=%.1f", when,
-	       per(middle - start, n), when, per(clock_now_us() - middle, n), when,
+	       us_per(middle - start, n), when, us_per(clock_now_us() - middle, n), when,
 	       (double)snap.n / (double)n);
 	ledger_free(copy);
 	buf_free(&snap);
 }
 
+/* Accepting, leasing and completing items, in one job for each caller. */
 static void bench_items(unsigned items, unsigned callers)
 {
 	size_t before;
@@ -177,7 +182,7 @@
 
 	malloc_trim(0);
 	before = heap_bytes();
-	l = ledger_new();
+	ledger = ledger_new();
 	start = clock_now_us();
 	for (unsigned i = 0; i < callers; i++) {
 		snprintf(caller, sizeof(caller), "caller-%u", i);
@@ -185,23 +190,23 @@
 	}
 	accept_us = clock_now_us() - start;
 	after = heap_bytes();
-	ledger_get_stats(l, &st);
+	ledger_get_stats(ledger, &st);
 	printf("bench=items items=%u callers=%u body_bytes=%d accept_us=%.3f heap_bytes=%.1f "
 	       "counted_bytes=%.1f",
-	       items, callers, BODY_BYTES, per(accept_us, st.items),
+	       items, callers, BODY_BYTES, us_per(accept_us, st.items),
 	       (double)(after - before) / (double)st.items, (double)st.bytes / (double)st.items);
-	snapshot("waiting", st.items);
-	d = drain();
+	print_snapshot("waiting", st.items);
+	d = drain_items();
 	after = heap_bytes();
 	printf(" lease_us=%.3f done_us=%.3f result_bytes=%d done_heap_bytes=%.1f",
-	       per(d.lease_us, d.items), per(d.done_us, d.items), RESULT_BYTES,
+	       us_per(d.lease_us, d.items), us_per(d.done_us, d.items), RESULT_BYTES,
 	       (double)(after - before) / (double)d.items);
-	snapshot("done", st.items);
+	print_snapshot("done", st.items);
 	putchar('\n');
-	ledger_free(l);
+	ledger_free(ledger);
 }
 
-static void finish(const char *key)
+static void finish_request(const char *key)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_FINISH};
 
@@ -214,7 +219,7 @@
 		.result = wire_bytes((str_t){body_text, RESULT_BYTES}),
 		.now_wall_ms = NOW_MS,
 	};
-	apply_free(&cmd);
+	apply_discard(&cmd);
 }
 
 static void accept_request(const char *key)
@@ -232,9 +237,10 @@
 		.path = wire_bytes(STR("/v1/completions")),
 		.body = wire_bytes((str_t){body_text, BODY_BYTES}),
 	};
-	apply_free(&cmd);
+	apply_discard(&cmd);
 }
 
+/* Accepting and finishing n requests of one caller. */
 static void bench_requests(unsigned n)
 {
 	size_t before;
@@ -246,7 +252,7 @@
 
 	malloc_trim(0);
 	before = heap_bytes();
-	l = ledger_new();
+	ledger = ledger_new();
 	start = clock_now_us();
 	for (unsigned i = 0; i < n; i++) {
 		snprintf(key, sizeof(key), "key-%u", i);
@@ -257,16 +263,16 @@
 	start = clock_now_us();
 	for (unsigned i = 0; i < n; i++) {
 		snprintf(key, sizeof(key), "key-%u", i);
-		finish(key);
+		finish_request(key);
 	}
 	finish_us = clock_now_us() - start;
 	printf("bench=requests requests=%u accept_us=%.3f finish_us=%.3f open_heap_bytes=%.1f "
 	       "final_heap_bytes=%.1f",
-	       n, per(accept_us, n), per(finish_us, n), (double)open_bytes / (double)n,
+	       n, us_per(accept_us, n), us_per(finish_us, n), (double)open_bytes / (double)n,
 	       (double)(heap_bytes() - before) / (double)n);
-	snapshot("final", n);
+	print_snapshot("final", n);
 	putchar('\n');
-	ledger_free(l);
+	ledger_free(ledger);
 }
 
 static void fleet_apply(fleet_state_t *f, const wire_fleet_cmd_t *cmd)
@@ -297,7 +303,7 @@
 	}
 }
 
-static void list_upstreams(fleet_state_t *f, unsigned n)
+static void add_upstreams(fleet_state_t *f, unsigned n)
 {
 	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_UPSTREAMS};
 	wire_upstream_t *u = mem_new(n * sizeof(*u));
@@ -317,7 +323,8 @@
 	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
 }
 
-/* What an entry fetches when the view changed, and what the leader spends to plan. */
+/* Size and time of the view, which an entry fetches after each change, and the time the leader
+ * needs to plan all owners. */
 static void bench_fleet(unsigned members, unsigned upstreams)
 {
 	fleet_state_t *f = fleet_new(4);
@@ -331,7 +338,7 @@
 	int64_t view_us;
 
 	open_members(f, members);
-	list_upstreams(f, upstreams);
+	add_upstreams(f, upstreams);
 	start = clock_now_us();
 	fleet_plan_owners(f, upstreams, &plan);
 	plan_us = clock_now_us() - start;
