--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""`make capacity`: the slopes behind docs/CAPACITY.md, as key=value lines with a fit for each.
+"""`make capacity`: measures the rates of growth used in docs/CAPACITY.md; prints key=value lines and linear fits.
 
-Light processes on one machine: an idle fleet of 3 to 100 entries (heartbeats, load reports, spread of a text),
-online load at three rates and lengths, jobs of 10^3 to 5.4*10^5 items, the time without a leader, and the
-lines of auburn-log-bench and auburn-state-bench. --quick leaves out the largest sizes; --only WORD runs one part.
+All processes run on one machine: an idle fleet of 3 to 100 entries (heartbeats, load reports, distribution of a
+config), online load at three rates and three lengths, jobs of 10^3 to 5.4*10^5 items, the time without a leader, and
+the output of auburn-log-bench and auburn-state-bench. --quick leaves out the largest sizes; --only PART runs one part.
 """
 import argparse
 import os
@@ -20,22 +20,22 @@
 FAST_ENGINE = {"slots": 64, "step_base_us": 1000, "step_per_stream_us": 5, "prefill_us_per_token": 0}
 
 
-def say(**kv):
-    print(" ".join("%s=%s" % (k, ("%.4g" % v) if isinstance(v, float) else v) for k, v in kv.items()), flush=True)
+def report(**pairs):
+    print(" ".join("%s=%s" % (k, ("%.4g" % v) if isinstance(v, float) else v) for k, v in pairs.items()), flush=True)
 
 
 def fit(name, unit, xs, ys):
-    """Least squares y = a + b*x, with the largest distance of a point from the line."""
+    """Prints the least-squares fit y = a + b*x and the largest distance of a point from the line."""
     n = len(xs)
-    mx, my = sum(xs) / n, sum(ys) / n
-    b = sum((x - mx) * (y - my) for x, y in zip(xs, ys)) / sum((x - mx) ** 2 for x in xs)
-    a = my - b * mx
+    mean_x, mean_y = sum(xs) / n, sum(ys) / n
+    b = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys)) / sum((x - mean_x) ** 2 for x in xs)
+    a = mean_y - b * mean_x
     off = max(abs(y - a - b * x) for x, y in zip(xs, ys))
-    say(fit=name, unit=unit, base=a, slope=b, worst=off, points=len(xs))
+    report(fit=name, unit=unit, base=a, slope=b, worst=off, points=len(xs))
 
 
 def cpu_us(proc):
-    """Processor time of all threads so far; a thread that has ended is not counted."""
+    """Returns the CPU time of the threads that still run, exact to the microsecond."""
     total = 0
     for t in os.listdir("/proc/%d/task" % proc.p.pid):
         try:
@@ -46,8 +46,8 @@
     return total / 1000
 
 
-def ticks_us(proc):
-    """Processor time with ended threads, in steps of 10 ms."""
+def cpu_ticks_us(proc):
+    """Returns the CPU time including ended threads, in steps of a clock tick (10 ms)."""
     with open("/proc/%d/stat" % proc.p.pid) as f:
         parts = f.read().rsplit(")", 1)[1].split()
     return (int(parts[11]) + int(parts[12])) * 1e6 / os.sysconf("SC_CLK_TCK")
@@ -59,7 +59,7 @@
 
 
 def rpc_bytes(proc):
-    """Bytes read and written by system calls read and write: RPC, and files of a control process."""
+    """Returns the bytes passed to the system calls read and write: RPC, and the files of a control process."""
     with open("/proc/%d/io" % proc.p.pid) as f:
         return sum(int(x.split()[1]) for x in f if x.startswith(("rchar", "wchar")))
 
@@ -74,14 +74,15 @@
     return sum(xs) / len(xs)
 
 
-def measure(procs, seconds, fn):
-    """Per-second figures of each process while fn runs for so long."""
-    before = {p.name: (ticks_us(p), rpc_bytes(p)) for p in procs}
-    lo, start = loopback_bytes(), time.monotonic()
-    fn()
+def measure(procs, seconds, run_load):
+    """Runs run_load; returns (CPU us/s, RPC bytes/s) by process, loopback bytes/s, and the seconds it took."""
+    before = {p.name: (cpu_ticks_us(p), rpc_bytes(p)) for p in procs}
+    loopback, start = loopback_bytes(), time.monotonic()
+    run_load()
     took = time.monotonic() - start
-    out = {p.name: ((ticks_us(p) - before[p.name][0]) / took, (rpc_bytes(p) - before[p.name][1]) / took) for p in procs}
-    return out, (loopback_bytes() - lo) / took, took
+    out = {p.name: ((cpu_ticks_us(p) - before[p.name][0]) / took, (rpc_bytes(p) - before[p.name][1]) / took)
+           for p in procs}
+    return out, (loopback_bytes() - loopback) / took, took
 
 
 def idle_fleet(entries):
@@ -90,7 +91,7 @@
         time.sleep(2)
         leader = f.leader()
         procs = f.controls + f.entries
-        rates, lo, _ = measure(procs, IDLE_S, lambda: time.sleep(IDLE_S))
+        rates, loopback, _ = measure(procs, IDLE_S, lambda: time.sleep(IDLE_S))
         followers = [c for c in f.controls if c is not leader]
         start = time.monotonic()
         f.submit(2, f.text + "\n# two\n")
@@ -105,9 +106,9 @@
                    leader_rpc_bytes_s=rates[leader.name][1],
                    entry_rpc_bytes_s=mean(rates[e.name][1] for e in others),
                    owner_rpc_bytes_s=mean(rates[e.name][1] for e in owners),
-                   fleet_loopback_bytes_s=lo, leader_rss_kb=rss_kb(leader),
+                   fleet_loopback_bytes_s=loopback, leader_rss_kb=rss_kb(leader),
                    entry_rss_kb=mean(rss_kb(e) for e in f.entries), spread_ms=spread)
-        say(**row)
+        report(**row)
         return row
 
 
@@ -121,16 +122,16 @@
         fit("idle." + key, unit + " per entry", sizes, [r[key] for r in rows])
 
 
-def offer(f, rate, tokens):
-    """auburn-bench offers load; gives the answers it counted."""
+def offer_load(f, rate, tokens):
+    """Runs auburn-bench; returns the key=value pairs that it prints."""
     argv = [os.path.join(fl.BIN, "auburn-bench"), "--addresses", f.addr(), "--run", "cap-%d-%d" % (rate, tokens), "--key",
             fl.CALLER_KEY, "--service", "sammandrag-llm", "--rate", str(rate), "--seconds", str(LOAD_S), "--seed",
             "%d" % (rate * 1000 + tokens), "--max-tokens", str(tokens), "--prompt-bytes", "400"]
     p = subprocess.run(argv, capture_output=True, text=True, timeout=LOAD_S + 120)
     if p.returncode != 0:
         raise ValueError("auburn-bench: exit %d: %s" % (p.returncode, p.stderr[-300:]))
-    kv = dict(x.split("=", 1) for x in p.stdout.split() if "=" in x)
-    return kv
+    pairs = dict(x.split("=", 1) for x in p.stdout.split() if "=" in x)
+    return pairs
 
 
 def online(args):
@@ -143,14 +144,14 @@
         idle_c = sum(base[c.name][0] for c in f.controls)
         for rate, tokens in [(50, 20), (150, 20), (300, 20), (150, 5), (150, 80)]:
             got = {}
-            rates, _, took = measure(f.controls + f.entries, LOAD_S, lambda: got.update(offer(f, rate, tokens)))
+            rates, _, took = measure(f.controls + f.entries, LOAD_S, lambda: got.update(offer_load(f, rate, tokens)))
             ok = float(got.get("ok", 0))
             e = sum(rates[p.name][0] for p in f.entries) - idle_e
             c = sum(rates[p.name][0] for p in f.controls) - idle_c
             cb = sum(rates[p.name][1] for p in f.controls)
-            say(measure="online", rate=rate, tokens=tokens, ok=ok, refused=got.get("refused", "?"), took_s=took,
-                entry_cpu_us_per_request=e * took / max(ok, 1), control_cpu_us_per_request=c * took / max(ok, 1),
-                control_bytes_per_request=cb * took / max(ok, 1))
+            report(measure="online", rate=rate, tokens=tokens, ok=ok, refused=got.get("refused", "?"), took_s=took,
+                   entry_cpu_us_per_request=e * took / max(ok, 1), control_cpu_us_per_request=c * took / max(ok, 1),
+                   control_bytes_per_request=cb * took / max(ok, 1))
             if tokens == 20:
                 xs.append(ok / took)
                 entry.append(e)
@@ -192,7 +193,7 @@
                entry_cpu_us_per_item=sum(rates[e.name][0] for e in f.entries) * took / n,
                control_bytes_per_item=sum(rates[c.name][1] for c in f.controls) * took / n,
                control_rss_kb=max(rss_kb(c) for c in f.controls), entry_rss_kb=max(rss_kb(e) for e in f.entries))
-    say(**row)
+    report(**row)
     return row
 
 
@@ -210,7 +211,7 @@
 
 
 def without_leader(how):
-    """Time from the fault until group 0 has committed another text, tried without pause."""
+    """Time from a fault of group 0's leader until group 0 commits a new config, submitted in a tight loop."""
     with fl.Fleet(entries=1, engines=1) as f:
         if how == "cut":
             f.route_controls()
@@ -230,8 +231,8 @@
                 f.heal(leader.name)
             fl.wait_for("three controls", lambda: len([c for c in f.control_status().values() if c["state"] == "member"]) == 3)
             time.sleep(1)
-        say(measure="without_leader", how=how, runs=len(took), least_ms=min(took), median_ms=sorted(took)[len(took) // 2],
-            most_ms=max(took))
+        report(measure="without_leader", how=how, runs=len(took), least_ms=min(took),
+               median_ms=sorted(took)[len(took) // 2], most_ms=max(took))
 
 
 def failover(args):
@@ -241,7 +242,7 @@
 
 
 def entry_lost():
-    """Time from kill -9 of an entry until its replicas are owned by others, and until its session is closed."""
+    """Time from kill -9 of an entry until other entries own its replicas."""
     took = []
     with fl.Fleet(entries=6, engines=12) as f:
         f.start()
@@ -250,7 +251,7 @@
             f.entries[i].kill()
             f.wait_owned()
             took.append((time.monotonic() - start) * 1000)
-        say(measure="entry_lost", runs=len(took), least_ms=min(took), most_ms=max(took), lease_ms=2000)
+        report(measure="entry_lost", runs=len(took), least_ms=min(took), most_ms=max(took), lease_ms=2000)
 
 
 def tools(args):
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,18 +1,18 @@
 #!/usr/bin/env python3
-"""`make bench`: measures the policy on real processes, all ways in one run on the same seeds.
+"""`make bench`: measures the dispatch policy on real processes, with the same seeds for all variants.
 
-3 controls, 6 entries, 18 fake engines; online requests come at random, batch jobs fill the rest. One line
-for each way and load:
+3 control processes, 6 entries, 18 fake engines; online requests arrive as a Poisson process, batch jobs fill the
+remaining slots. Prints one line per variant and load:
   way=... preempt=... keep=... weight=... load=... online_p99_ms=... harm=... idle_used=... goodput=...
-engine=late: the first token comes 450 ms after admission and the prefill holds up no step; engine=step: only a
-short prefill, so that the first token is one or two steps away and the step's own growth shows most.
+engine=late: the first token comes 450 ms after admission, and the prefill delays no step. engine=step: only a short
+prefill, so the first token comes after one or two steps, which shows best how steps get longer with more streams.
 harm: online first-token p99 with batch, divided by that of the same seed and load without batch.
 idle_used: share of the slot time left by online requests in which batch ran.
-direct_p99_ms: of requests that their caller sent once; it sends again elsewhere after 3 s of silence.
+direct_p99_ms: first-token p99 of requests that needed no resend; auburn-bench resends after 3 s of silence.
 case=hop: time of a one-token request at the entry that owns the replica and at one that forwards to it.
-With several seeds a figure is the median, followed by the least and the most in brackets.
+With several seeds a figure is the median, followed by minimum and maximum in brackets.
 
---quick: fewer cases, one seed.  --only WORD: cases whose name holds WORD.  --seeds N.  --seconds S.
+--quick: fewer cases, one seed.  --only WORD: cases whose name contains WORD.  --seeds N.  --seconds S.
 """
 import argparse
 import http.client
@@ -33,7 +33,7 @@
           "report_lag_ms": 500}
 MAX_TOKENS = 40
 PROMPT_BYTES = 400
-LATE_MS = 450  # first token of an engine whose prefill doesn't hold up its steps
+LATE_MS = 450  # delay of the first token with engine=late
 STEADY_RATE = {"step": 40.0, "late": 29.0}  # about 45% of the slots
 FULL_RATE = {"step": 80.0, "late": 62.0}  # about all of the slots
 WARMUP_S = 3
@@ -42,7 +42,7 @@
 SETTLE_S = 1.5
 HOP_REQUESTS, HOP_WARMUP = 2000, 200
 
-TEXT = """\
+CONFIG = """\
 retention_s = 3600
 address_ttl_s = 2
 
@@ -69,77 +69,77 @@
 
 
 class Case:
-    """One way to run the fleet, under one load."""
+    """One variant of the policy under one load."""
 
     def __init__(self, name, way="owner", preempt="resume", keep="fixed", weight=0.5, load="steady", batch=True,
-                 seeds=1, fault=None, times=0, engine="late", exact=False, kept=0):
+                 seeds=1, fault=None, times=0, engine="late", exact=False, reserved_slots=0):
         self.name, self.way, self.preempt, self.keep = name, way, preempt, keep
         self.weight, self.load, self.batch, self.seeds = weight, load, batch, seeds
         self.fault, self.times, self.engine = fault, times, engine
-        self.kept = kept  # slots that the text keeps from batch
-        self.exact = exact  # wait for the jobs, so that the tokens made twice can be counted
+        self.reserved_slots = reserved_slots  # slots that the config reserves for online requests
+        self.exact = exact  # wait for the jobs to end, so that tokens generated twice can be counted
 
     def settings(self):
-        """What can't change while a fleet runs; cases that share it share a fleet."""
+        """Settings that are fixed when a fleet starts; cases with equal settings share a fleet."""
         return (self.way, self.preempt, self.keep, self.engine)
 
     def args(self):
-        """Arguments for auburn-bench; `times` of the full rate comes with a deadline."""
+        """Load arguments of auburn-bench; a multiple of the full rate (`times`) is sent with a deadline."""
         if not self.times:
             return load_args(self.load, self.engine)
         return ["--rate", str(self.times * FULL_RATE[self.engine]), "--deadline-ms", str(GOAL_MS[self.engine])]
 
     def label(self):
         return "way=%s preempt=%s keep=%s kept=%d weight=%s engine=%s load=%s batch=%d fault=%s" % (
-            self.way, self.preempt, self.keep, self.kept, self.weight, self.engine,
+            self.way, self.preempt, self.keep, self.reserved_slots, self.weight, self.engine,
             "x%g" % self.times if self.times else self.load, self.batch, self.fault or "none")
 
 
-def curve(engine, loads, seeds):
-    """With and without batch, each weight, against entries that choose alone."""
+def weight_cases(engine, loads, seeds):
+    """For each load: a baseline without batch, then batch with each latency weight."""
     out = []
     for load in loads:
-        few = seeds if load == "steady" else 1
-        out.append(Case("base-%s-%s" % (load, engine), load=load, batch=False, seeds=few, engine=engine))
+        load_seeds = seeds if load == "steady" else 1
+        out.append(Case("base-%s-%s" % (load, engine), load=load, batch=False, seeds=load_seeds, engine=engine))
         for w in (0, 0.5, 1) if load == "steady" and engine == "late" else (0, 1):
-            out.append(Case("owner-%s-%s-%s" % (w, load, engine), weight=w, load=load, seeds=few, engine=engine))
+            out.append(Case("owner-%s-%s-%s" % (w, load, engine), weight=w, load=load, seeds=load_seeds, engine=engine))
     return out
 
 
 def cases(quick, seeds):
-    out = curve("late", LOADS[:1] if quick else LOADS, seeds)
+    out = weight_cases("late", LOADS[:1] if quick else LOADS, seeds)
     if quick:
         return [c for c in out if c.weight != 0.5 or not c.batch] + [Case("alone-steady-late", way="alone")]
     out += [Case("keep-peak-steady", keep="peak", weight=1, seeds=seeds),
             Case("keep-peak-burst", keep="peak", weight=1, load="burst"),
-            Case("keep-fixed-1", kept=1, weight=1),
+            Case("keep-fixed-1", reserved_slots=1, weight=1),
             Case("preempt-none", preempt="none"), Case("preempt-cancel", preempt="cancel"),
             Case("alone-steady", way="alone", seeds=seeds), Case("alone-burst", way="alone", load="burst"),
             Case("alone_cancel", way="alone_cancel"), Case("split", way="split")]
     out += [Case("lost-" + p, preempt=p, exact=True) for p in ("resume", "cancel")]
-    out += curve("step", LOADS[:1], 1)
+    out += weight_cases("step", LOADS[:1], 1)
     out += [Case("overload-x1", weight=1, times=1), Case("overload-x2", weight=1, times=2)]
     out += [Case("fault-" + f, weight=1, fault=f) for f in ("stall", "replica_dies", "kill_entry", "freeze_entry")]
     return out
 
 
 class Sampler(threading.Thread):
-    """Reads what entries say of the streams that they run, while a load runs."""
+    """Samples the numbers of streams that the entries run, during a load."""
 
     def __init__(self, fleet):
         super().__init__(daemon=True)
-        self.fleet, self.seen, self.going = fleet, [], threading.Event()
-        self.going.set()
+        self.fleet, self.samples, self.active = fleet, [], threading.Event()
+        self.active.set()
 
     def run(self):
-        while self.going.is_set():
+        while self.active.is_set():
             at = time.monotonic()
-            each = [self.running(i) for i, e in enumerate(self.fleet.entries) if e.alive()]
-            self.seen.append((at, sum(o for o, _ in each), sum(b for _, b in each)))
+            counts = [self.running(i) for i, e in enumerate(self.fleet.entries) if e.alive()]
+            self.samples.append((at, sum(o for o, _ in counts), sum(b for _, b in counts)))
             time.sleep(SAMPLE_S)
 
     def running(self, i):
-        """Online and batch streams that entry i runs."""
+        """Returns the numbers of online and batch streams that entry i runs."""
         try:
             status, _, body = fl.call(self.fleet.addr(i), "GET", "/v1/status", None, fl.bearer(fl.OPERATOR_KEY), 1)
             ups = json.loads(body)["upstreams"] if status == 200 else []
@@ -148,37 +148,39 @@
         return sum(u["running_online"] for u in ups), sum(u["running_batch"] for u in ups)
 
     def idle_used(self, start, seconds):
-        """Share of the slots that online left in which batch ran."""
-        part = [(o, b) for at, o, b in self.seen if start + WARMUP_S <= at <= start + WARMUP_S + seconds]
-        idle = [max(0, ENGINES * SLOTS - o) for o, _ in part]
-        used = [min(i, b) for i, (_, b) in zip(idle, part)]  # without owners streams wait at the engines too
-        return sum(used) / sum(idle) if sum(idle) else 0
+        """Returns the share of the slots left by online streams in which batch streams ran."""
+        counted = [(o, b) for at, o, b in self.samples if start + WARMUP_S <= at <= start + WARMUP_S + seconds]
+        idle = [max(0, ENGINES * SLOTS - o) for o, _ in counted]
+        # Without owners, the batch streams also include those queued at the engines.
+        batch_running = [min(i, b) for i, (_, b) in zip(idle, counted)]
+        return sum(batch_running) / sum(idle) if sum(idle) else 0
 
 
 class TokenCounter:
-    """Tokens that the engines made, at the start and at the end of the online load."""
+    """Counts the tokens that the engines generated, at the start and at the end of the online load."""
 
     def __init__(self, fleet, seconds):
         self.fleet, self.at_end = fleet, None
         self.at_start = self.read()
-        self.timer = threading.Timer(seconds, self.note_end)
+        self.timer = threading.Timer(seconds, self.read_at_end)
         self.timer.daemon = True
         self.timer.start()
 
     def read(self):
         return sum(fl.get_json(e.settings["listen"], "/v1/counts")["tokens"] for e in self.fleet.engines)
 
-    def note_end(self):
+    def read_at_end(self):
         self.at_end = self.read()
 
     def lost(self, online, items):
-        """Tokens made beyond those asked for, as a share of the batch tokens made beside online load."""
-        beside = self.at_end - self.at_start - online
-        return (self.read() - self.at_start - online - items) / max(1, beside)
+        """Returns the tokens generated beyond those requested, as a share of the batch tokens generated during the
+        online load."""
+        during_online = self.at_end - self.at_start - online
+        return (self.read() - self.at_start - online - items) / max(1, during_online)
 
 
 def metric(fleet, name):
-    """Sum of a counter over the entries that answer."""
+    """Returns the sum of a counter over the entries that answer."""
     total = 0
     for i, e in enumerate(fleet.entries):
         if not e.alive():
@@ -196,8 +198,8 @@
     assert status == 200, body
 
 
-def fault_thread(fleet, kind, seconds):
-    """Does the fault a quarter into the run; repeats it when it is one that repeats."""
+def inject_fault(fleet, kind, seconds):
+    """Injects the fault after a quarter of the run. replica_dies kills and restarts one replica after another."""
     time.sleep(WARMUP_S + seconds / 4)
     if kind == "kill_entry":
         fleet.entries[-1].kill()
@@ -219,7 +221,7 @@
 
 
 def load(fleet, case, seed, seconds):
-    """Runs auburn-bench; gives its lines by phase."""
+    """Runs auburn-bench; returns the key=value pairs of its lines by phase."""
     argv = [os.path.join(fl.BIN, "auburn-bench"), "--addresses", ",".join(fleet.addr(i) for i in range(ENTRIES)),
             "--key", fl.CALLER_KEY, "--service", "sammandrag-llm", "--seconds", str(seconds + WARMUP_S),
             "--warmup", "0" if case.exact else str(WARMUP_S), "--seed", str(seed), "--prompt-bytes", str(PROMPT_BYTES),
@@ -239,11 +241,11 @@
     sampler, start = Sampler(fleet), time.monotonic()
     sampler.start()
     if case.fault:
-        threading.Thread(target=fault_thread, args=(fleet, case.fault, seconds), daemon=True).start()
+        threading.Thread(target=inject_fault, args=(fleet, case.fault, seconds), daemon=True).start()
     before = metric(fleet, "auburn_preempted_total")
     tokens = TokenCounter(fleet, seconds + WARMUP_S) if case.exact else None
     phases = load(fleet, case, seed, seconds)
-    sampler.going.clear()
+    sampler.active.clear()
     sampler.join()
     out = {k: float(v) for k, v in phases["all"].items() if k != "phase"}
     for k, v in phases.get("burst", {}).items():
@@ -258,7 +260,7 @@
     return out
 
 
-def spread(values, digits=2):
+def format_figures(values, digits=2):
     f = "%%.%df" % digits
     text = f % statistics.median(values)
     if len(values) > 1:
@@ -266,37 +268,37 @@
     return text
 
 
-def report(case, runs, base):
-    """Prints the line of a case; base: first-token p99 by (engine, load, seed)."""
-    one = [r for _, r in runs]
-    known = [(r, base[(case.engine, case.load, s)]) for s, r in runs if (case.engine, case.load, s) in base]
-    harm = [r["first_p99_ms"] / b for r, b in known]
-    words = ["case=" + case.name, case.label(),
-             "online_p50_ms=" + spread([r["first_p50_ms"] for r in one], 1),
-             "online_p95_ms=" + spread([r["first_p95_ms"] for r in one], 1),
-             "online_p99_ms=" + spread([r["first_p99_ms"] for r in one], 1),
-             "direct_p99_ms=" + spread([r["direct_p99_ms"] for r in one], 1),
-             "harm=" + (spread(harm) if harm and not case.times else "-"),
-             "idle_used=" + spread([r["idle_used"] for r in one]),
-             "goodput=" + spread([r["goodput"] for r in one]),
-             "step_p95_ms=" + spread([r["step_p95_ms"] for r in one], 1),
-             "items_per_s=" + spread([r["items_per_s"] for r in one], 1),
-             "preempted=" + spread([r["preempted"] for r in one], 0)]
+def report(case, runs, baselines):
+    """Prints the line of a case; baselines: first-token p99 without batch by (engine, load, seed)."""
+    results = [r for _, r in runs]
+    paired = [(r, baselines[(case.engine, case.load, s)]) for s, r in runs if (case.engine, case.load, s) in baselines]
+    harm = [r["first_p99_ms"] / b for r, b in paired]
+    fields = ["case=" + case.name, case.label(),
+              "online_p50_ms=" + format_figures([r["first_p50_ms"] for r in results], 1),
+              "online_p95_ms=" + format_figures([r["first_p95_ms"] for r in results], 1),
+              "online_p99_ms=" + format_figures([r["first_p99_ms"] for r in results], 1),
+              "direct_p99_ms=" + format_figures([r["direct_p99_ms"] for r in results], 1),
+              "harm=" + (format_figures(harm) if harm and not case.times else "-"),
+              "idle_used=" + format_figures([r["idle_used"] for r in results]),
+              "goodput=" + format_figures([r["goodput"] for r in results]),
+              "step_p95_ms=" + format_figures([r["step_p95_ms"] for r in results], 1),
+              "items_per_s=" + format_figures([r["items_per_s"] for r in results], 1),
+              "preempted=" + format_figures([r["preempted"] for r in results], 0)]
     for k in ("sent", "ok", "refused", "failed", "broken", "resent", "not_adding_up"):
-        words.append("%s=%d" % (k, sum(r[k] for r in one)))
-    if "lost" in one[0]:
-        words.append("batch_tokens_lost=" + spread([r["lost"] for r in one], 4))
-    if "burst_first_p99_ms" in one[0]:
-        words.append("burst_p99_ms=" + spread([r["burst_first_p99_ms"] for r in one], 1))
-    print(" ".join(words), flush=True)
+        fields.append("%s=%d" % (k, sum(r[k] for r in results)))
+    if "lost" in results[0]:
+        fields.append("batch_tokens_lost=" + format_figures([r["lost"] for r in results], 4))
+    if "burst_first_p99_ms" in results[0]:
+        fields.append("burst_p99_ms=" + format_figures([r["burst_first_p99_ms"] for r in results], 1))
+    print(" ".join(fields), flush=True)
 
 
-class Fleets:
-    """Keeps one fleet running; makes a new one when the entries' settings change."""
+class FleetCache:
+    """Holds one running fleet, and replaces it when a case needs other settings."""
 
     def __init__(self):
         self.fleet, self.settings, self.number = None, None, 0
-        self.weight = None  # weight and kept slots of the text in force
+        self.in_force = None  # latency weight and reserved slots of the config in force
 
     def close(self):
         if self.fleet:
@@ -308,47 +310,48 @@
             self.close()
         if not self.fleet:
             self.open(case)
-        if self.weight != (case.weight, case.kept):
+        if self.in_force != (case.weight, case.reserved_slots):
             self.number += 1
-            self.fleet.submit(self.number, self.text(case))
+            self.fleet.submit(self.number, self.config(case))
             self.fleet.wait_in_force(self.number)
-            self.weight = (case.weight, case.kept)
+            self.in_force = (case.weight, case.reserved_slots)
         return self.fleet
 
-    def text(self, case):
-        return TEXT % (float(case.weight), case.kept)
+    def config(self, case):
+        return CONFIG % (float(case.weight), case.reserved_slots)
 
     def open(self, case):
         way, preempt, keep, engine = case.settings()
         entry = {"bench": {"way": way, "preempt": preempt, "keep": keep}}
-        f = fl.Fleet(entries=ENTRIES, engines=ENGINES, plain=0, text=self.text(case), engine=ENGINE, entry=entry)
-        self.fleet, self.settings, self.number, self.weight = f, case.settings(), 1, (case.weight, case.kept)
+        f = fl.Fleet(entries=ENTRIES, engines=ENGINES, plain=0, text=self.config(case), engine=ENGINE, entry=entry)
+        self.fleet, self.settings, self.number, self.in_force = (
+            f, case.settings(), 1, (case.weight, case.reserved_slots))
         f.start()
         for e in f.engines if engine == "late" else ():
             set_fault(e, {"late_ms": LATE_MS})
         time.sleep(SETTLE_S)
 
 
-def run_case(fleets, case, seconds, base, first_seed):
+def run_case(fleets, case, seconds, baselines, first_seed):
     runs = []
     for seed in range(first_seed, first_seed + case.seeds):
         f = fleets.get(case)
         r = measure(f, case, seed, seconds)
         runs.append((seed, r))
         if not case.batch:
-            base[(case.engine, case.load, seed)] = r["first_p99_ms"]
+            baselines[(case.engine, case.load, seed)] = r["first_p99_ms"]
         dead = [p.name for p in f.procs if p.p and not p.alive()]
         if dead and not case.fault:
             print("case=%s seed=%d ended_processes=%s" % (case.name, seed, ",".join(dead)), flush=True)
         if case.fault or dead:
             fleets.close()
         time.sleep(SETTLE_S)
-    report(case, runs, base)
+    report(case, runs, baselines)
 
 
-def hop_cost():
-    """Compares an entry that owns the replica with one that forwards to it, one request at a time."""
-    f = fl.Fleet(entries=2, engines=1, plain=0, text=TEXT % (1.0, 0),
+def measure_hop():
+    """Compares the entry that owns a replica with one that forwards to it, one request at a time."""
+    f = fl.Fleet(entries=2, engines=1, plain=0, text=CONFIG % (1.0, 0),
                  engine={"step_base_us": 1000, "step_per_stream_us": 0, "prefill_us_per_token": 0})
     times = {True: [], False: []}
     try:
@@ -378,24 +381,24 @@
     a = p.parse_args()
     if a.net:
         fl.net = lambda offset=0: a.net
-    words = [w for w in a.only.split(",") if w]
-    todo = [c for c in cases(a.quick, 1 if a.quick else a.seeds)
-            if not words or any(w in c.name for w in words)]
-    fleets, base, failed = Fleets(), {}, 0
+    name_filters = [w for w in a.only.split(",") if w]
+    selected = [c for c in cases(a.quick, 1 if a.quick else a.seeds)
+                if not name_filters or any(w in c.name for w in name_filters)]
+    fleets, baselines, failed = FleetCache(), {}, 0
     print("load_average=%.1f cores=%d" % (os.getloadavg()[0], os.cpu_count()), flush=True)
     try:
-        if not words or "hop" in words:
-            hop_cost()
-        for c in todo:
+        if not name_filters or "hop" in name_filters:
+            measure_hop()
+        for c in selected:
             try:
-                run_case(fleets, c, a.seconds, base, a.first_seed)
+                run_case(fleets, c, a.seconds, baselines, a.first_seed)
             except (AssertionError, ValueError, KeyError, OSError, subprocess.TimeoutExpired) as e:
                 print("case=%s %s error=%s" % (c.name, c.label(), json.dumps(str(e))), flush=True)
                 fleets.close()
                 failed += 1
     finally:
         fleets.close()
-    print("load_average=%.1f cases=%d not_measured=%d" % (os.getloadavg()[0], len(todo), failed), flush=True)
+    print("load_average=%.1f cases=%d not_measured=%d" % (os.getloadavg()[0], len(selected), failed), flush=True)
     return 1 if failed else 0
 
 
