--- a/Makefile
+++ b/Makefile
@@ -71,7 +71,7 @@
 	$(link)
 $(TOOLS): $(B)/bin/auburn-%: $(B)/obj/tools/%.o $(LIB)
 	$(link)
-# The randomised run of the log's core is shared by its tool and its test.
+# The simulation of the Raft core is used by auburn-core-random and by test_raft.
 SIM      := $(patsubst %.c,$(B)/obj/%.o,$(wildcard tests/unit/sim*.c))
 $(B)/bin/auburn-core-random $(B)/test/test_raft: $(SIM)
 $(B)/bin/auburn-log-bench: $(B)/obj/tools/inproc_replicas.o
@@ -79,7 +79,7 @@
 $(B)/test/%: $(B)/obj/tests/unit/%.o $(LIB)
 	@mkdir -p $(@D); $(CC) $(CFLAGS) -o $@ $^ -lcheck -lsubunit -lrt $(LDLIBS)
 
-# rpcgen's output is committed; this makes it anew after a change of a .x file.
+# The output of rpcgen is committed; run this after a change to a .x file.
 generate:
 	cd src/proto && for f in *.x; do b=$${f%.x}; rm -f $${b}_xdr.h $${b}_xdr.c; \
 	  rpcgen -C -h -o $${b}_xdr.h $$f; rpcgen -C -c -o $${b}_xdr.c $$f; \
