--- a/fakes/fake_engine.h
+++ b/fakes/fake_engine.h
@@ -55,9 +55,10 @@
 
 /** Looks up a prefix and caches it if missing; returns true if it was cached. */
 bool fake_cache_use(fake_cache_t *c, uint64_t prefix);
-/** Returns the events after number `after` that are at least lag_ms old, without the lost ones. */
+/** Returns the body of GET /v1/cache_events: the events after number `after` that are at least
+ * lag_ms old, without the lost ones. */
 json_t *fake_cache_events_json(const fake_cache_t *c, int64_t after, int64_t lag_ms);
-/** Returns the cached prefixes. */
+/** Returns the body of GET /v1/cache: the cached prefixes and the number of the last event. */
 json_t *fake_cache_json(const fake_cache_t *c);
 
 /* Load reports, fake_engine_report.c. */
@@ -99,14 +100,13 @@
 bool fake_orders_check_fence(fake_orders_t *o, int64_t fence);
 /** Returns the highest fencing token received. */
 int64_t fake_orders_fence(fake_orders_t *o);
-
 void fake_orders_queue_load(fake_orders_t *o, const char *model, const char *version,
 			    const char *adapter);
 void fake_orders_set_role(fake_orders_t *o, const char *role);
 /** Returns the body of GET /v1/state. */
 json_t *fake_orders_json(fake_orders_t *o);
 
-/* Streams and steps, fake_engine.c. */
+/* Streams and steps, fake_engine_streams.c. */
 
 typedef struct fake_engine fake_engine_t;
 typedef struct fake_stream fake_stream_t;
--- a/fakes/relay.c
+++ b/fakes/relay.c
@@ -1,6 +1,7 @@
 /* auburn-relay: a TCP relay between two processes that injects network faults. Its mode is set over
- * HTTP: pass the bytes on; cut: drop them, as a network partition does; hold: stop reading, and
- * pass the bytes on later; delay: pass each byte on after a fixed time. */
+ * HTTP. "pass" forwards bytes. "cut" drops them, as a network partition does, and closes the
+ * affected connections once the cut is over. "hold" stops reading and forwards later. "delay"
+ * forwards each byte after a fixed time. */
 #include <errno.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -26,14 +27,14 @@
 static const char *const mode_names[MODE_COUNT] = {"pass", "cut", "hold", "delay"};
 
 typedef struct {
-	char *listen;
-	char *target;
-	char *control;
+	char *listen; /* ip:port for the clients of the target */
+	char *target; /* ip:port of the process behind the relay */
+	char *control; /* ip:port of the HTTP API that sets the mode */
 	struct sockaddr_in target_addr;
 	int listen_fd;
-	atomic_int mode;
+	atomic_int mode; /* a relay_mode_t */
 	atomic_llong delay_ms;
-	atomic_llong connections;
+	atomic_llong connections; /* open */
 } relay_t;
 
 typedef struct chunk {
@@ -44,7 +45,7 @@
 	char bytes[];
 } chunk_t;
 
-/** One direction of a connection. */
+/* One direction of a connection. */
 typedef struct {
 	int from;
 	int to;
