--- a/bench/main.c
+++ b/bench/main.c
@@ -1,12 +1,12 @@
-/* auburn-bench: offers load to a fleet and prints what came of it. */
+/* auburn-bench: offers load to a fleet and prints outcomes, latencies and throughput. */
 #include <argtable2.h>
 #include <curl/curl.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include "base/args.h"
 #include "base/clock.h"
-#include "bn_job.h"
-#include "bn_load.h"
+#include "batch_load.h"
+#include "online_load.h"
 
 #define DEFAULT_SECONDS	    10
 #define DEFAULT_RATE	    10
@@ -35,7 +35,7 @@
 	return a->count ? a->ival[0] : other;
 }
 
-static double dbl_or(const struct arg_dbl *a, double other)
+static double double_or(const struct arg_dbl *a, double other)
 {
 	return a->count ? a->dval[0] : other;
 }
@@ -45,157 +45,168 @@
 	return a->count ? a->sval[0] : other;
 }
 
-static status_t read_load(const args_t *a, bn_load_options_t *o)
+static status_t parse_online_options(const args_t *a, online_load_options_t *o)
 {
-	*o = (bn_load_options_t){
-		.key = str_or(a->key, ""),
+	*o = (online_load_options_t){
+		.bearer_key = str_or(a->key, ""),
 		.service = str_or(a->service, "sammandrag-llm"),
-		.rate.per_s = dbl_or(a->rate, DEFAULT_RATE),
-		.seconds = dbl_or(a->seconds, DEFAULT_SECONDS),
-		.warmup_s = dbl_or(a->warmup, 0),
-		.run = str_or(a->run, "bench"),
+		.rate.per_s = double_or(a->rate, DEFAULT_RATE),
+		.duration_s = double_or(a->seconds, DEFAULT_SECONDS),
+		.warmup_s = double_or(a->warmup, 0),
+		.run_name = str_or(a->run, "bench"),
 		.seed = (unsigned long)int_or(a->seed, 1),
 		.prompt_bytes = int_or(a->prompt_bytes, DEFAULT_PROMPT),
-		.prefixes = int_or(a->prefixes, 0),
-		.max_tokens = int_or(a->max_tokens, DEFAULT_TOKENS),
+		.prefix_count = int_or(a->prefixes, 0),
+		.mean_tokens = int_or(a->max_tokens, DEFAULT_TOKENS),
 		.deadline_ms = int_or(a->deadline_ms, 0),
-		.goal_ms = int_or(a->goal_ms, DEFAULT_GOAL_MS),
-		.timeout_ms = int_or(a->timeout_ms, DEFAULT_TIMEOUT_MS),
-		.resends = int_or(a->resends, DEFAULT_RESENDS),
+		.first_token_goal_ms = int_or(a->goal_ms, DEFAULT_GOAL_MS),
+		.silence_timeout_ms = int_or(a->timeout_ms, DEFAULT_TIMEOUT_MS),
+		.max_resends = int_or(a->resends, DEFAULT_RESENDS),
 		.verbose = a->verbose->count > 0,
 	};
-	if (o->rate.per_s <= 0 || o->seconds <= 0 || o->max_tokens < 1)
+	if (o->rate.per_s <= 0 || o->duration_s <= 0 || o->mean_tokens < 1)
 		return status_fail(STATUS_INVALID,
-				   "--rate, --seconds and --max-tokens are above zero");
+				   "--rate, --seconds and --max-tokens must be greater than 0");
 	if (a->burst->count &&
-	    bn_window_parse(a->burst->sval[0], true, &o->rate.burst) != STATUS_OK)
+	    arrival_window_parse(a->burst->sval[0], true, &o->rate.burst) != STATUS_OK)
 		return STATUS_INVALID;
 	if (a->gap->count)
-		return bn_window_parse(a->gap->sval[0], false, &o->rate.gap);
+		return arrival_window_parse(a->gap->sval[0], false, &o->rate.pause);
 	return STATUS_OK;
 }
 
-static void read_jobs(const args_t *a, const bn_load_options_t *load, bn_job_options_t *o)
+static void parse_batch_options(const args_t *a, const online_load_options_t *online,
+				batch_load_options_t *o)
 {
-	*o = (bn_job_options_t){
-		.key = str_or(a->job_key, load->key),
-		.service = load->service,
-		.items = int_or(a->job_items, 0),
-		.jobs = int_or(a->jobs, DEFAULT_JOBS),
-		.prompt_bytes = load->prompt_bytes,
-		.max_tokens = int_or(a->job_tokens, DEFAULT_TOKENS),
+	*o = (batch_load_options_t){
+		.bearer_key = str_or(a->job_key, online->bearer_key),
+		.service = online->service,
+		.items_per_job = int_or(a->job_items, 0),
+		.open_jobs = int_or(a->jobs, DEFAULT_JOBS),
+		.prompt_bytes = online->prompt_bytes,
+		.mean_tokens = int_or(a->job_tokens, DEFAULT_TOKENS),
 		.deadline_ms = int_or(a->job_deadline_ms, DEFAULT_JOB_TIME_MS),
-		.run = load->run,
-		.seed = load->seed,
+		.run_name = online->run_name,
+		.seed = online->seed,
 	};
 }
 
-static void print_phases(const bn_load_options_t *o, bn_stat_t stat[BN_PHASES])
+static void print_phases(const online_load_options_t *o, load_stat_t stat[ARRIVAL_PHASES])
 {
-	static const char *const names[BN_PHASES] = {"steady", "burst", "gap"};
-	double counted_s = o->seconds - o->warmup_s;
-	bn_stat_t all = {0};
-
-	for (int i = 0; i < BN_PHASES; i++) {
-		bn_stat_merge(&all, &stat[i]);
-		if (i != BN_GAP && o->rate.burst.every_s > 0)
-			bn_stat_print(stdout, names[i], &stat[i], counted_s);
+	/* The phase "gap" has no arrivals and is not printed. */
+	static const char *const names[ARRIVAL_PHASES] = {"steady", "burst", "gap"};
+	double counted_s = o->duration_s - o->warmup_s;
+	load_stat_t all = {0};
+
+	for (int i = 0; i < ARRIVAL_PHASES; i++) {
+		load_stat_merge(&all, &stat[i]);
+		if (i != ARRIVAL_PAUSE && o->rate.burst.every_s > 0)
+			load_stat_print(stdout, names[i], &stat[i], counted_s);
 	}
-	bn_stat_print(stdout, "all", &all, counted_s);
-	bn_stat_free(&all);
+	load_stat_print(stdout, "all", &all, counted_s);
+	load_stat_free(&all);
 }
 
-static void print_jobs(const bn_job_counts_t *from, const bn_job_counts_t *to, double seconds)
+/* Prints the batch load between two readings of its counts. */
+static void print_jobs(const batch_load_counts_t *from, const batch_load_counts_t *to,
+		       double seconds)
 {
 	printf("phase=batch seconds=%.1f jobs=%lu finished=%lu cancelled=%lu items_done=%lu "
 	       "items_failed=%lu items_per_s=%.2f item_tokens=%lu not_adding_up=%lu\n",
-	       seconds, to->submitted, to->finished, to->cancelled, to->done - from->done,
-	       to->failed - from->failed, (double)(to->done - from->done) / seconds, to->tokens,
-	       to->lost);
+	       seconds, to->jobs_submitted, to->jobs_finished, to->jobs_cancelled,
+	       to->items_done - from->items_done, to->items_failed - from->items_failed,
+	       (double)(to->items_done - from->items_done) / seconds, to->item_tokens,
+	       to->miscounted);
 	fflush(stdout);
 }
 
-/** Online load with batch beside it. */
-static void run(const args_t *a, bn_load_options_t *load, const bn_job_options_t *jobs)
+/* Runs online load and batch load at the same time, as far as requested, and prints the results. */
+static void run_load(const args_t *a, online_load_options_t *online,
+		     const batch_load_options_t *jobs)
 {
-	bn_stat_t stat[BN_PHASES] = {0};
-	bn_job_counts_t before = {0};
-	bn_job_counts_t after = {0};
-	bn_jobs_t *j = jobs->items > 0 ? bn_jobs_start(jobs) : NULL;
+	load_stat_t stat[ARRIVAL_PHASES] = {0};
+	batch_load_counts_t before = {0};
+	batch_load_counts_t after = {0};
+	batch_load_t *j = jobs->items_per_job > 0 ? batch_load_start(jobs) : NULL;
 	int64_t start = clock_now_ms();
 	int wait_ms = int_or(a->job_wait_ms, 0);
 
 	if (a->no_online->count)
-		clock_sleep_ms((int64_t)(load->seconds * MS_PER_S));
+		clock_sleep_ms((int64_t)(online->duration_s * MS_PER_S));
 	else
-		bn_load_run(load, stat);
+		online_load_run(online, stat);
 	if (j && wait_ms > 0)
-		bn_jobs_wait(j, wait_ms);
+		batch_load_wait(j, wait_ms);
 	if (j) {
-		bn_jobs_read(j, &after);
+		batch_load_get_counts(j, &after);
 		print_jobs(&before, &after, (double)(clock_now_ms() - start) / MS_PER_S);
-		bn_jobs_stop(j, wait_ms == 0);
+		batch_load_stop(j, wait_ms == 0);
 	}
 	if (!a->no_online->count)
-		print_phases(load, stat);
-	for (int i = 0; i < BN_PHASES; i++)
-		bn_stat_free(&stat[i]);
+		print_phases(online, stat);
+	for (int i = 0; i < ARRIVAL_PHASES; i++)
+		load_stat_free(&stat[i]);
 }
 
-static int start(const args_t *a)
+/* Checks the options and runs the load; returns the exit status. */
+static int run_bench(const args_t *a)
 {
-	bn_load_options_t load;
-	bn_job_options_t jobs;
+	online_load_options_t online;
+	batch_load_options_t jobs;
 
 	if (!a->entry->count && !a->addresses->count) {
-		fputs("auburn-bench: --entry or --addresses is missing\n", stderr);
+		fputs("auburn-bench: --entry or --addresses is required\n", stderr);
 		return EXIT_USAGE;
 	}
-	if (read_load(a, &load) != STATUS_OK) {
+	if (parse_online_options(a, &online) != STATUS_OK) {
 		fprintf(stderr, "auburn-bench: %s\n", status_message());
 		return EXIT_USAGE;
 	}
-	read_jobs(a, &load, &jobs);
+	parse_batch_options(a, &online, &jobs);
 	curl_global_init(CURL_GLOBAL_ALL);
-	load.addr = bn_addr_new(str_or(a->entry, NULL), str_or(a->addresses, NULL));
-	jobs.addr = load.addr;
-	run(a, &load, &jobs);
-	bn_addr_free(load.addr);
+	online.addresses = address_pool_new(str_or(a->entry, NULL), str_or(a->addresses, NULL));
+	jobs.addresses = online.addresses;
+	run_load(a, &online, &jobs);
+	address_pool_free(online.addresses);
 	return EXIT_OK;
 }
 
 int main(int argc, char **argv)
 {
 	args_t a = {
-		.entry = arg_str0(NULL, "entry", "LIST", "entries to call, ip:port,ip:port"),
+		.entry = arg_str0(NULL, "entry", "LIST", "entries to send to, ip:port,ip:port"),
 		.addresses = arg_str0(NULL, "addresses", "LIST",
-				      "entries to ask which ones to call, ip:port,ip:port"),
-		.key = arg_str0(NULL, "key", "KEY", "bearer key of the caller"),
+				      "entries to get the addresses from, ip:port,ip:port"),
+		.key = arg_str0(NULL, "key", "KEY", "bearer key of the requests"),
 		.service = arg_str0(NULL, "service", "NAME", "service to call"),
-		.run = arg_str0(NULL, "run", "NAME", "begins each key and prompt"),
-		.rate = arg_dbl0(NULL, "rate", "N", "online requests a second"),
+		.run = arg_str0(NULL, "run", "NAME", "prefix of each key and prompt"),
+		.rate = arg_dbl0(NULL, "rate", "N", "online requests per second"),
 		.burst = arg_str0(NULL, "burst", "TEXT", "\"xF:every S:for S\", rate times F"),
 		.gap = arg_str0(NULL, "gap", "TEXT", "\"every S:for S\", no arrivals"),
 		.seconds = arg_dbl0(NULL, "seconds", "S", "length of the run"),
-		.warmup = arg_dbl0(NULL, "warmup", "S", "part of it that isn't counted"),
-		.seed = arg_int0(NULL, "seed", "N", "of arrivals, prompts and lengths"),
+		.warmup = arg_dbl0(NULL, "warmup", "S", "first part of the run, not counted"),
+		.seed = arg_int0(NULL, "seed", "N", "seed of arrivals, prompts and lengths"),
 		.prompt_bytes = arg_int0(NULL, "prompt-bytes", "N", "length of a prompt"),
-		.prefixes = arg_int0(NULL, "prefixes", "N", "different beginnings of prompts"),
-		.max_tokens = arg_int0(NULL, "max-tokens", "N", "mean tokens of an answer"),
+		.prefixes =
+			arg_int0(NULL, "prefixes", "N", "number of prefixes that prompts share"),
+		.max_tokens =
+			arg_int0(NULL, "max-tokens", "N", "mean length of an answer in tokens"),
 		.goal_ms = arg_int0(NULL, "goal-ms", "N", "time to first token for goodput"),
-		.deadline_ms = arg_int0(NULL, "deadline-ms", "N", "deadline told to the system"),
-		.timeout_ms = arg_int0(NULL, "timeout-ms", "N", "silence until a resend"),
-		.resends = arg_int0(NULL, "resends", "N", "resends of one request"),
-		.job_items = arg_int0(NULL, "job-items", "N", "items of a batch job"),
-		.jobs = arg_int0(NULL, "jobs", "N", "batch jobs open at once"),
+		.deadline_ms =
+			arg_int0(NULL, "deadline-ms", "N", "deadline sent with each request"),
+		.timeout_ms =
+			arg_int0(NULL, "timeout-ms", "N", "time without a byte before a resend"),
+		.resends = arg_int0(NULL, "resends", "N", "maximum resends of one request"),
+		.job_items = arg_int0(NULL, "job-items", "N", "items per batch job; 0: no jobs"),
+		.jobs = arg_int0(NULL, "jobs", "N", "batch jobs open at the same time"),
 		.job_key = arg_str0(NULL, "job-key", "KEY", "bearer key of the jobs"),
-		.job_tokens = arg_int0(NULL, "job-tokens", "N", "mean tokens of an item"),
-		.job_deadline_ms = arg_int0(NULL, "job-deadline-ms", "N", "time for a job"),
+		.job_tokens = arg_int0(NULL, "job-tokens", "N", "mean length of an item in tokens"),
+		.job_deadline_ms = arg_int0(NULL, "job-deadline-ms", "N", "deadline of a job"),
 		.job_wait_ms = arg_int0(NULL, "job-wait-ms", "N",
-					"wait for open jobs at the end; else they are cancelled"),
-		.no_online = arg_lit0(NULL, "no-online", "batch only"),
-		.verbose = arg_lit0("v", "verbose", "say what went wrong with each request"),
-		.help = arg_lit0("h", "help", "this text"),
+					"at the end, wait so long for open jobs; 0: cancel them"),
+		.no_online = arg_lit0(NULL, "no-online", "no online requests, only batch jobs"),
+		.verbose = arg_lit0("v", "verbose", "print each request that did not succeed"),
+		.help = arg_lit0("h", "help", "print this help"),
 		.version = arg_lit0(NULL, "version", "version"),
 		.end = arg_end(ERRORS_MAX),
 	};
@@ -216,5 +227,5 @@
 		arg_print_errors(stderr, a.end, "auburn-bench");
 		return EXIT_USAGE;
 	}
-	return start(&a);
+	return run_bench(&a);
 }
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -1,15 +1,16 @@
-/* Stand-in of the platform: a lagging list of VMs and a rate-limited weight store. */
+/* auburn-fake-platform: fakes the platform's list of VMs, which lags behind, and its rate-limited
+ * weight store. */
 #include <pthread.h>
 #include <stdlib.h>
 #include <string.h>
 #include "base/clock.h"
-#include "fk_common.h"
+#include "fake_common.h"
 
 #define MAX_LAG_MS     3600000
 #define MAX_RATE       100000
 #define RATE_PERIOD_MS 60000
 
-/* One version of the list; older ones follow. */
+/* One version of the list; `older` links to the versions before. */
 typedef struct version {
 	int64_t since_ms;
 	json_t *vms;
@@ -23,9 +24,9 @@
 	int64_t weight_rate; /* per minute */
 	pthread_mutex_t lock;
 	version_t *newest;
-	int64_t *served_ms; /* ring of the last weight_rate answers' times */
-	int64_t weights;
-	int64_t refused;
+	int64_t *weight_times_ms; /* ring buffer: when the last weight_rate downloads began */
+	int64_t weights; /* downloads served */
+	int64_t refused; /* downloads over the rate */
 } platform_t;
 
 static void add_version(platform_t *p, json_t *vms)
@@ -63,7 +64,7 @@
 
 static status_t configure(void *ctx, const toml_doc_t *c)
 {
-	static const char *const sub[] = {"vm", NULL};
+	static const char *const table_arrays[] = {"vm", NULL};
 	platform_t *p = ctx;
 	const toml_table_t *root = toml_root(c);
 	const toml_key_t keys[] = {
@@ -73,16 +74,16 @@
 		{"weight_rate", TOML_INT, false, 1, MAX_RATE, &p->weight_rate},
 		{NULL, TOML_STR, false, 0, 0, NULL},
 	};
-	status_t st = toml_read(c, root, keys, sub);
+	status_t st = toml_read(c, root, keys, table_arrays);
 	json_t *vms = json_array();
 
 	for (size_t i = 0; st == STATUS_OK && i < toml_table_count(root, "vm"); i++)
 		st = read_vm(c, toml_table_at(root, "vm", i), vms);
 	add_version(p, vms);
-	return st == STATUS_OK ? fk_check_address(c, "listen", p->listen) : st;
+	return st == STATUS_OK ? fake_check_address(c, "listen", p->listen) : st;
 }
 
-static void drop_older(version_t *v)
+static void free_older_versions(version_t *v)
 {
 	version_t *next;
 
@@ -94,7 +95,8 @@
 	v->older = NULL;
 }
 
-/* The newest version that is lag_ms old; the first one holds from the start. */
+/* Returns the newest version that is at least lag_ms old, or the first one if none is. Frees the
+ * versions before it. */
 static version_t *visible_version(platform_t *p)
 {
 	int64_t at = clock_now_ms() - p->lag_ms;
@@ -102,7 +104,7 @@
 
 	while (v->since_ms > at && v->older)
 		v = v->older;
-	drop_older(v);
+	free_older_versions(v);
 	return v;
 }
 
@@ -114,28 +116,28 @@
 	pthread_mutex_lock(&p->lock);
 	body = json_pack("{s:o}", "vms", json_deep_copy(visible_version(p)->vms));
 	pthread_mutex_unlock(&p->lock);
-	return fk_answer(r, 200, body);
+	return fake_reply(r, 200, body);
 }
 
 static int handle_put_vms(const struct _u_request *q, struct _u_response *r, void *ctx)
 {
 	platform_t *p = ctx;
-	AUTO_JSON *body = fk_body(q);
+	AUTO_JSON *body = fake_request_json(q);
 	json_t *vms = json_object_get(body, "vms");
 
 	if (!json_is_array(vms))
-		return fk_answer_error(r, 400, "no list of VMs");
+		return fake_reply_error(r, 400, "no list of VMs");
 	pthread_mutex_lock(&p->lock);
 	add_version(p, json_incref(vms));
 	pthread_mutex_unlock(&p->lock);
-	return fk_answer(r, 200, json_object());
+	return fake_reply(r, 200, json_object());
 }
 
-/* Tells whether one more answer stays within weight_rate of any minute. */
-static bool take_weight(platform_t *p)
+/* Counts one download; returns false if it would exceed weight_rate within the last minute. */
+static bool take_rate_quota(platform_t *p)
 {
 	int64_t now = clock_now_ms();
-	int64_t *oldest = &p->served_ms[p->weights % p->weight_rate];
+	int64_t *oldest = &p->weight_times_ms[p->weights % p->weight_rate];
 
 	if (p->weights >= p->weight_rate && now - *oldest < RATE_PERIOD_MS) {
 		p->refused++;
@@ -153,14 +155,14 @@
 	bool taken;
 
 	pthread_mutex_lock(&p->lock);
-	taken = take_weight(p);
+	taken = take_rate_quota(p);
 	pthread_mutex_unlock(&p->lock);
 	if (!taken) {
 		u_map_put(r->map_header, "Retry-After", "1");
-		return fk_answer_error(r, 429, "over the rate");
+		return fake_reply_error(r, 429, "over the rate");
 	}
 	clock_sleep_ms(p->weight_ms);
-	return fk_answer(r, 200, json_pack("{s:s}", "name", name ? name : ""));
+	return fake_reply(r, 200, json_pack("{s:s}", "name", name ? name : ""));
 }
 
 static int handle_counts(const struct _u_request *q, struct _u_response *r, void *ctx)
@@ -172,12 +174,12 @@
 	body = json_pack("{s:I,s:I}", "weights", (json_int_t)p->weights, "refused",
 			 (json_int_t)p->refused);
 	pthread_mutex_unlock(&p->lock);
-	return fk_answer(r, 200, body);
+	return fake_reply(r, 200, body);
 }
 
 static status_t start(void *ctx)
 {
-	static const fk_route_t routes[] = {
+	static const fake_route_t routes[] = {
 		{"GET", "/v1/vms", handle_get_vms},
 		{"PUT", "/v1/vms", handle_put_vms},
 		{"GET", "/v1/weights/:name", handle_weight},
@@ -186,8 +188,8 @@
 	};
 	platform_t *p = ctx;
 
-	p->served_ms = mem_new((size_t)p->weight_rate * sizeof(*p->served_ms));
-	return fk_http_start(&(fk_http_options_t){p->listen, routes, NULL, p});
+	p->weight_times_ms = mem_new((size_t)p->weight_rate * sizeof(*p->weight_times_ms));
+	return fake_http_start(&(fake_http_options_t){p->listen, routes, NULL, p});
 }
 
 int main(int argc, char **argv)
@@ -198,8 +200,9 @@
 		.weight_ms = 50,
 		.weight_rate = 60,
 	};
-	const fk_program_t program = {"auburn-fake-platform", "stand-in of the platform", configure,
-				      start, &p};
+	const fake_program_t program = {"auburn-fake-platform",
+					"fake platform: list of VMs and weight store", configure,
+					start, &p};
 
-	return fk_main(argc, argv, &program);
+	return fake_main(argc, argv, &program);
 }
