--- a/tests/unit/dispatch_kit.h
+++ b/tests/unit/dispatch_kit.h
@@ -13,7 +13,7 @@
 #define PATIENCE_MS 3200
 
 typedef struct {
-	char what; /* g: granted, r: refused, R: an item runs, S: one is stopped */
+	char kind; /* g: granted, r: refused, R: an item runs, S: one is stopped */
 	uint64_t entry;
 	uint64_t request;
 	char replica[32];
@@ -29,7 +29,7 @@
 {
 	effect_t *e = &effects[neffects++ % LOG_MAX];
 
-	*e = (effect_t){.what = what};
+	*e = (effect_t){.kind = what};
 	return e;
 }
 
--- a/tests/unit/ledger_model.h
+++ b/tests/unit/ledger_model.h
@@ -13,7 +13,7 @@
 
 typedef struct {
 	uint64_t digest;
-	uint64_t holder; /* 0: waits, or final */
+	uint64_t session; /* 0: waits, or final */
 	uint64_t token;
 	int64_t deadline_ms, end_ms;
 	wire_state_t state;
@@ -27,7 +27,7 @@
 
 typedef struct {
 	mstate_t state;
-	uint64_t holder;
+	uint64_t session;
 	unsigned attempt;
 	unsigned fails, deaths;
 	char result[16];
@@ -43,7 +43,7 @@
 /* Something that LEASE handed out at some time. */
 typedef struct {
 	bool request;
-	unsigned at; /* key or job */
+	unsigned number; /* key or job */
 	unsigned index;
 	unsigned attempt;
 	uint64_t session;
@@ -52,8 +52,8 @@
 typedef struct {
 	uint64_t session;
 	uint64_t seq;
-	given_t last[LEDGER_LEASE_ITEMS_MAX];
-	unsigned nlast;
+	given_t last_leases[LEDGER_LEASE_ITEMS_MAX];
+	unsigned nlast_leases;
 } slot_t;
 
 /* The ledger, and a twin that applies the same commands but is never restored. */
@@ -143,7 +143,7 @@
 static void end_req(mreq_t *r, wire_state_t state, const char *result)
 {
 	r->state = state;
-	r->holder = 0;
+	r->session = 0;
 	r->end_ms = kit_now_ms;
 	snprintf(r->result, sizeof(r->result), "%s", result);
 }
@@ -151,7 +151,7 @@
 static void check_record(const mreq_t *r, const wire_record_t *rec)
 {
 	ck_assert_int_eq(rec->state, r->state);
-	ck_assert(rec->session == r->holder);
+	ck_assert(rec->session == r->session);
 	if (r->state == WIRE_DONE)
 		ck_assert(kit_is(rec->result, r->result));
 	if (r->state == WIRE_FAILED && r->token)
@@ -209,13 +209,13 @@
 /* True when session holds what g names, under the same attempt. */
 static bool leased_to(uint64_t session, const given_t *g)
 {
-	const mreq_t *r = &reqs[g->at];
+	const mreq_t *r = &reqs[g->number];
 	const mitem_t *m;
 
 	if (g->request)
-		return r->exists && r->holder == session && r->attempt == g->attempt;
-	m = &jobs[g->at].items[g->index];
-	return jobs[g->at].exists && m->state == M_LEASED && m->holder == session &&
+		return r->exists && r->session == session && r->attempt == g->attempt;
+	m = &jobs[g->number].items[g->index];
+	return jobs[g->number].exists && m->state == M_LEASED && m->session == session &&
 	       m->attempt == g->attempt;
 }
 
@@ -228,7 +228,7 @@
 
 		for (unsigned i = 0; i < jobs[j].count; i++)
 			held += jobs[j].items[i].state == M_LEASED &&
-				jobs[j].items[i].holder == session;
+				jobs[j].items[i].session == session;
 		n += jobs[j].exists && jobs[j].cancelled && held;
 	}
 	ck_assert_uint_eq(res->cancelled.cancelled_len, n);
@@ -248,7 +248,7 @@
 	else if (r->state == WIRE_ATTEMPTED || used_up(&r->fails, &r->deaths, v->blame))
 		end_req(r, WIRE_FAILED, body);
 	else
-		r->holder = 0;
+		r->session = 0;
 	if (r->state == WIRE_DONE)
 		r->token = 0;
 }
@@ -274,7 +274,7 @@
 	for (unsigned k = 0; k < KEYS; k++) {
 		if (reqs[k].exists && reqs[k].state == WIRE_ATTEMPTED)
 			end_req(&reqs[k], WIRE_FAILED, "");
-		reqs[k].holder = 0;
+		reqs[k].session = 0;
 	}
 	for (unsigned j = 0; j < JOBS; j++) {
 		for (unsigned i = 0; i < jobs[j].count; i++)
--- a/tests/unit/net_kit.h
+++ b/tests/unit/net_kit.h
@@ -19,14 +19,14 @@
 	http_client_t *client;
 	char addr[32];
 	int requests;
-	int gone;
-	http_conn_t *open;
-	int ended;
-	http_call_end_t how;
+	int clients_gone;
+	http_conn_t *last_conn;
+	int calls_ended;
+	http_call_end_t call_end;
 	int status;
 	buf_t body;
 	bool skip_first;
-	enum { WHOLE, STREAM, ABORT, HOLD } manner;
+	enum { WHOLE, STREAM, ABORT, HOLD } reply_mode;
 } pair_t;
 
 static inline void serve(void *ctx, http_conn_t *c, const http_request_t *r)
@@ -34,8 +34,8 @@
 	pair_t *p = ctx;
 
 	p->requests++;
-	p->open = c;
-	switch (p->manner) {
+	p->last_conn = c;
+	switch (p->reply_mode) {
 	case WHOLE:
 		http_reply(c, 200, STR("X: y\r\n"), r->body);
 		break;
@@ -57,7 +57,7 @@
 
 static inline void on_gone(void *ctx, http_conn_t *c)
 {
-	((pair_t *)ctx)->gone++;
+	((pair_t *)ctx)->clients_gone++;
 }
 
 static inline bool call_head(void *ctx, const http_head_t *h)
@@ -75,8 +75,8 @@
 {
 	pair_t *p = ctx;
 
-	p->ended++;
-	p->how = how;
+	p->calls_ended++;
+	p->call_end = how;
 	ev_break(p->loop, EVBREAK_ALL);
 }
 
--- a/tests/unit/sim.c
+++ b/tests/unit/sim.c
@@ -26,7 +26,7 @@
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
 		sim_node_t *n = &s->nodes[(start + i) % SIM_SLOTS];
 
-		if (n->rf && !n->frozen && raft_role(n->rf) == RAFT_LEADER)
+		if (n->raft && !n->frozen_steps && raft_role(n->raft) == RAFT_LEADER)
 			return n;
 	}
 	return NULL;
@@ -34,8 +34,8 @@
 
 static void flush(sim_t *s, sim_node_t *n)
 {
-	if (n->rf && !n->frozen && chance(s, 700))
-		raft_flush(n->rf);
+	if (n->raft && !n->frozen_steps && chance(s, 700))
+		raft_flush(n->raft);
 }
 
 static uint64_t new_id(sim_t *s, unsigned slot)
@@ -43,7 +43,7 @@
 	uint64_t id = s->nids + 1;
 
 	s->ids[s->nids].id = id;
-	s->ids[s->nids].slot = slot;
+	s->ids[s->nids].addr = slot;
 	s->ids[s->nids].lost = false;
 	s->nids++;
 	return id;
@@ -71,7 +71,7 @@
 		sim_node_t *node = &s->nodes[i];
 
 		node->sim = s;
-		node->slot = i;
+		node->addr = i;
 		node->id = i < n ? s->ids[i].id : new_id(s, i);
 		if (i < n) {
 			node->disk.entries = mem_new(sizeof(raft_entry_t));
@@ -92,7 +92,7 @@
 
 	if (!n)
 		return;
-	index = raft_propose(n->rf, (str_t){(const char *)&cmd, sizeof(cmd)});
+	index = raft_propose(n->raft, (str_t){(const char *)&cmd, sizeof(cmd)});
 	if (index)
 		sim_call_begin(s, n, false, cmd.op, index, cmd.key);
 	flush(s, n);
@@ -106,7 +106,7 @@
 	if (!n)
 		return;
 	sim_call_begin(s, n, true, token, 0, (uint32_t)sim_random(s, SIM_KEYS));
-	if (!raft_read_index(n->rf, token))
+	if (!raft_read_index(n->raft, token))
 		sim_call_read_done(n, token, false);
 	flush(s, n);
 }
@@ -116,15 +116,15 @@
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
 		sim_node_t *n = &s->nodes[i];
 
-		if (n->rf && !n->frozen && chance(s, 900))
-			raft_tick(n->rf);
+		if (n->raft && !n->frozen_steps && chance(s, 900))
+			raft_tick(n->raft);
 		flush(s, n);
 	}
 }
 
 static void restart(sim_t *s, sim_node_t *n)
 {
-	if (n->rf) {
+	if (n->raft) {
 		sim_node_stop(n);
 		s->res->restarts++;
 	} else {
@@ -137,7 +137,7 @@
 	bool heal = chance(s, 500);
 
 	for (unsigned i = 0; i < SIM_SLOTS; i++)
-		s->nodes[i].island = heal ? 0 : (unsigned)sim_random(s, 2);
+		s->nodes[i].partition = heal ? 0 : (unsigned)sim_random(s, 2);
 }
 
 /* Members as the most advanced replica has them. */
@@ -148,9 +148,9 @@
 
 	*out = (raft_members_t){0};
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		if (!s->nodes[i].rf)
+		if (!s->nodes[i].raft)
 			continue;
-		raft_get_status(s->nodes[i].rf, &v);
+		raft_get_status(s->nodes[i].raft, &v);
 		if (v.commit >= best) {
 			best = v.commit;
 			*out = v.members;
@@ -179,9 +179,9 @@
 	raft_status_t v;
 
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		if (!s->nodes[i].rf)
+		if (!s->nodes[i].raft)
 			return true;
-		raft_get_status(s->nodes[i].rf, &v);
+		raft_get_status(s->nodes[i].raft, &v);
 		if (majority_is_lost(s, &v.members, also))
 			return true;
 	}
@@ -194,7 +194,7 @@
 	sim_disk_clear(&n->disk);
 	for (unsigned i = 0; i < s->nids; i++)
 		s->ids[i].lost |= s->ids[i].id == n->id;
-	n->id = new_id(s, n->slot);
+	n->id = new_id(s, n->addr);
 	sim_node_start(n);
 	s->res->disks_lost++;
 }
@@ -219,18 +219,18 @@
 
 	if (!leader)
 		return;
-	raft_get_status(leader->rf, &v);
+	raft_get_status(leader->raft, &v);
 	spare = v.members.n > 4;
 	for (unsigned i = 0; i < v.members.n; i++)
 		spare &= !is_lost(s, v.members.peers[i].id);
 	at = raft_members_find(&v.members, peer.id);
 	if (at < 0)
-		raft_add_learner(leader->rf, &peer, &index);
+		raft_add_learner(leader->raft, &peer, &index);
 	else if (!v.members.peers[at].voter)
-		raft_promote(leader->rf, peer.id, &index);
+		raft_promote(leader->raft, peer.id, &index);
 	for (unsigned i = 0; i < v.members.n && !index; i++) {
 		if (is_lost(s, v.members.peers[i].id) || (spare && chance(s, 50)))
-			raft_remove(leader->rf, v.members.peers[i].id, &index);
+			raft_remove(leader->raft, v.members.peers[i].id, &index);
 	}
 	s->res->changes += index != 0;
 	flush(s, leader);
@@ -240,7 +240,7 @@
 {
 	sim_node_t *n = any_node(s);
 
-	if (!n->rf || n->frozen)
+	if (!n->raft || n->frozen_steps)
 		return;
 	sim_node_sync(n, sim_random(s, 4));
 	flush(s, n);
@@ -250,25 +250,25 @@
 {
 	sim_node_t *n = any_node(s);
 
-	if (chance(s, 6) || (!n->rf && chance(s, 100)))
+	if (chance(s, 6) || (!n->raft && chance(s, 100)))
 		restart(s, n);
-	if (n->rf && n->disk.nwrites > 0 && chance(s, 20)) {
+	if (n->raft && n->disk.nwrites > 0 && chance(s, 20)) {
 		/* Right after it may have promised something. */
 		restart(s, n);
 		restart(s, n);
 	}
 	if (chance(s, 8))
 		partition(s);
-	if (chance(s, 4) && n->rf)
-		n->frozen = (unsigned)sim_random(s, 200);
+	if (chance(s, 4) && n->raft)
+		n->frozen_steps = (unsigned)sim_random(s, 200);
 	if (chance(s, 3))
 		lose_some_disk(s);
 	if (chance(s, 5))
-		s->loss = chance(s, 500) ? 0 : (unsigned)sim_random(s, 40);
+		s->loss_percent = chance(s, 500) ? 0 : (unsigned)sim_random(s, 40);
 	if (chance(s, 3)) {
 		n = any_leader(s);
 		if (n)
-			raft_transfer_leadership(n->rf);
+			raft_transfer_leadership(n->raft);
 	}
 }
 
@@ -277,22 +277,22 @@
 	unsigned n = 1 + (unsigned)sim_random(s, DELIVERIES_MAX);
 
 	for (unsigned i = 0; i < SIM_SLOTS; i++)
-		s->nodes[i].frozen -= s->nodes[i].frozen > 0;
+		s->nodes[i].frozen_steps -= s->nodes[i].frozen_steps > 0;
 	for (unsigned i = 0; i < n; i++)
 		sim_deliver(s);
 	flush(s, any_node(s));
 	if (chance(s, s->tick_per_mille))
 		tick_all(s);
-	for (unsigned i = 0; i < s->syncs; i++)
+	for (unsigned i = 0; i < s->sync_tries; i++)
 		sync_some(s);
 	if (chance(s, 300))
 		write_some(s);
 	if (chance(s, 150))
 		read_some(s);
-	if (chance(s, 30) && any_node(s)->rf) {
+	if (chance(s, 30) && any_node(s)->raft) {
 		sim_node_t *node = any_node(s);
 
-		if (node->rf && !node->frozen)
+		if (node->raft && !node->frozen_steps)
 			sim_node_snapshot(node);
 	}
 	if (chance(s, 40))
@@ -310,7 +310,7 @@
 
 		if (n->id != conf.peers[i].id)
 			continue;
-		if (!n->rf || raft_applied_index(n->rf) != s->ref_last)
+		if (!n->raft || raft_applied_index(n->raft) != s->reference_last)
 			return false;
 	}
 	return conf.n > 0;
@@ -321,11 +321,11 @@
 {
 	uint64_t writes = s->res->writes;
 
-	s->loss = 0;
+	s->loss_percent = 0;
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		s->nodes[i].island = 0;
-		s->nodes[i].frozen = 0;
-		if (!s->nodes[i].rf)
+		s->nodes[i].partition = 0;
+		s->nodes[i].frozen_steps = 0;
+		if (!s->nodes[i].raft)
 			sim_node_start(&s->nodes[i]);
 	}
 	for (unsigned i = 0; i < CALM_STEPS && !s->res->violated; i++) {
@@ -337,7 +337,7 @@
 			tick_all(s);
 		for (unsigned k = 0; k < SIM_SLOTS; k++) {
 			sim_node_sync(&s->nodes[k], SIZE_MAX);
-			raft_flush(s->nodes[k].rf);
+			raft_flush(s->nodes[k].raft);
 		}
 		if (!quiet && chance(s, 100))
 			write_some(s);
@@ -361,10 +361,10 @@
 		const sim_node_t *n = &s->nodes[sim_id_slot(s, conf.peers[i].id)];
 
 		for (unsigned k = 0; k < SIM_KEYS && n->id == conf.peers[i].id; k++) {
-			if (n->state.version[k] < s->seen[k])
-				sim_violate(s, "replica %u lost an acknowledged write", n->slot);
+			if (n->state.version[k] < s->seen_version[k])
+				sim_violate(s, "replica %u lost an acknowledged write", n->addr);
 			if (n->state.op[k] != any_leader(s)->state.op[k])
-				sim_violate(s, "replica %u differs from the leader", n->slot);
+				sim_violate(s, "replica %u differs from the leader", n->addr);
 		}
 	}
 }
@@ -401,9 +401,9 @@
 		for (unsigned i = 0; i < SIM_SLOTS; i++) {
 			sim_node_t *n = &s->nodes[i];
 
-			if (!n->rf)
+			if (!n->raft)
 				continue;
-			raft_flush(n->rf);
+			raft_flush(n->raft);
 			busy |= n->disk.nwrites > 0;
 			sim_node_sync(n, SIZE_MAX);
 		}
@@ -416,7 +416,7 @@
 	sim_t *s = sim_new(o->seed, 0, res);
 
 	s->tick_per_mille = 100 + (unsigned)sim_random(s, 500);
-	s->syncs = 1 + (unsigned)sim_random(s, 4);
+	s->sync_tries = 1 + (unsigned)sim_random(s, 4);
 	for (res->step = 0; res->step < o->steps && !res->violated; res->step++) {
 		step(s);
 		fault(s);
--- a/tests/unit/sim.h
+++ b/tests/unit/sim.h
@@ -28,7 +28,7 @@
 typedef struct {
 	uint64_t index;
 	uint64_t term;
-	raft_members_t conf;
+	raft_members_t members;
 	sim_state_t state;
 } sim_snap_t;
 
@@ -59,16 +59,16 @@
 
 typedef struct {
 	sim_t *sim;
-	unsigned slot;
+	unsigned addr;
 	uint64_t id;
-	raft_t *rf; /* NULL: stopped */
+	raft_t *raft; /* NULL: stopped */
 	sim_disk_t disk;
 	sim_state_t state;
-	unsigned frozen; /* steps left */
-	unsigned island; /* messages pass only between equal ones */
+	unsigned frozen_steps; /* steps left */
+	unsigned partition; /* messages pass only between equal ones */
 	buf_t incoming; /* snapshot being received */
 	buf_t outgoing;
-	buf_t out_conf;
+	buf_t outgoing_members;
 } sim_node_t;
 
 typedef struct {
@@ -81,12 +81,12 @@
 typedef struct {
 	bool read;
 	uint64_t token; /* op of a write */
-	unsigned slot;
+	unsigned addr;
 	uint64_t id;
 	uint64_t index;
 	uint64_t term;
 	uint32_t key;
-	uint64_t floor; /* version that was seen by somebody when it began */
+	uint64_t min_version; /* version that was seen by somebody when it began */
 } sim_call_t;
 
 typedef struct {
@@ -113,25 +113,25 @@
 	sim_node_t nodes[SIM_SLOTS];
 	sim_packet_t packets[SIM_MESSAGES_MAX];
 	unsigned npackets;
-	unsigned loss; /* percent */
+	unsigned loss_percent; /* percent */
 	unsigned tick_per_mille; /* chance of a tick in a step; many ticks make elections collide */
-	unsigned syncs; /* tries to sync in a step */
+	unsigned sync_tries; /* tries to sync in a step */
 	struct {
 		uint64_t id;
-		unsigned slot;
+		unsigned addr;
 		bool lost; /* its disk is gone */
 	} ids[SIM_IDS_MAX];
 	unsigned nids;
 	struct {
 		uint64_t term;
 		uint64_t op;
-	} ref[SIM_REF_MAX]; /* by index; term 0 and op 0: nobody applied it yet */
-	uint64_t ref_last;
+	} reference[SIM_REF_MAX]; /* by index; term 0 and op 0: nobody applied it yet */
+	uint64_t reference_last;
 	uint64_t leaders[SIM_REF_MAX]; /* by term */
 	sim_call_t *calls;
 	size_t ncalls;
 	uint64_t next_op;
-	uint64_t seen[SIM_KEYS]; /* highest version acknowledged or read */
+	uint64_t seen_version[SIM_KEYS]; /* highest version acknowledged or read */
 	sim_result_t *res;
 };
 
--- a/tests/unit/sim_check.c
+++ b/tests/unit/sim_check.c
@@ -10,24 +10,24 @@
 		sim_violate(s, "the run is too long for its reference");
 		return;
 	}
-	if (index <= s->ref_last) {
-		if (s->ref[index].term != term || s->ref[index].op != op)
+	if (index <= s->reference_last) {
+		if (s->reference[index].term != term || s->reference[index].op != op)
 			sim_violate(
 				s, "entry %lu is op %lu of term %lu here, op %lu of term %lu there",
 				(unsigned long)index, (unsigned long)op, (unsigned long)term,
-				(unsigned long)s->ref[index].op, (unsigned long)s->ref[index].term);
+				(unsigned long)s->reference[index].op, (unsigned long)s->reference[index].term);
 		return;
 	}
-	if (index != s->ref_last + 1)
+	if (index != s->reference_last + 1)
 		sim_violate(s, "entry %lu is applied before %lu", (unsigned long)index,
-			    (unsigned long)s->ref_last + 1);
-	for (uint64_t i = 1; op && i <= s->ref_last; i++) {
-		if (s->ref[i].op == op)
+			    (unsigned long)s->reference_last + 1);
+	for (uint64_t i = 1; op && i <= s->reference_last; i++) {
+		if (s->reference[i].op == op)
 			sim_violate(s, "op %lu is applied twice", (unsigned long)op);
 	}
-	s->ref_last = index;
-	s->ref[index].term = term;
-	s->ref[index].op = op;
+	s->reference_last = index;
+	s->reference[index].term = term;
+	s->reference[index].op = op;
 }
 
 static void end_call(sim_t *s, size_t i)
@@ -38,12 +38,12 @@
 /* A caller learns of a version; nobody who begins later may learn of a lower one. */
 static void see_version(sim_t *s, const sim_call_t *c, uint64_t version)
 {
-	if (version < c->floor + (c->read ? 0 : 1))
+	if (version < c->min_version + (c->read ? 0 : 1))
 		sim_violate(s, "a %s of key %u gives version %lu, %lu was known before it began",
 			    c->read ? "read" : "write", c->key, (unsigned long)version,
-			    (unsigned long)c->floor);
-	if (s->seen[c->key] < version)
-		s->seen[c->key] = version;
+			    (unsigned long)c->min_version);
+	if (s->seen_version[c->key] < version)
+		s->seen_version[c->key] = version;
 }
 
 /* Acknowledges the write at this entry if the replica has a caller for it. */
@@ -103,14 +103,14 @@
 {
 	sim_call_t c = {.read = read,
 			.token = token,
-			.slot = n->slot,
+			.addr = n->addr,
 			.id = n->id,
 			.index = index,
 			.key = key,
-			.floor = s->seen[key]};
+			.min_version = s->seen_version[key]};
 
 	if (!read)
-		c.term = raft_term_at(n->rf, index);
+		c.term = raft_term_at(n->raft, index);
 	s->calls = mem_grow(s->calls, (s->ncalls + 1) * sizeof(*s->calls));
 	s->calls[s->ncalls++] = c;
 }
@@ -137,7 +137,7 @@
 void sim_call_forget(sim_t *s, unsigned slot)
 {
 	for (size_t i = s->ncalls; i > 0; i--) {
-		if (s->calls[i - 1].slot == slot)
+		if (s->calls[i - 1].addr == slot)
 			end_call(s, i - 1);
 	}
 }
--- a/tests/unit/sim_net.c
+++ b/tests/unit/sim_net.c
@@ -8,7 +8,7 @@
 {
 	for (unsigned i = 0; i < s->nids; i++) {
 		if (s->ids[i].id == id)
-			return (int)s->ids[i].slot;
+			return (int)s->ids[i].addr;
 	}
 	return -1;
 }
@@ -25,12 +25,12 @@
 	int slot = sim_id_slot(s, m->to);
 	sim_packet_t *p;
 
-	if (slot < 0 || sim_random(s, 100) < s->loss)
+	if (slot < 0 || sim_random(s, 100) < s->loss_percent)
 		return;
 	if (s->npackets == SIM_MESSAGES_MAX)
 		remove_packet(s, (unsigned)sim_random(s, s->npackets));
 	p = &s->packets[s->npackets++];
-	*p = (sim_packet_t){.from = from->slot, .to = (unsigned)slot};
+	*p = (sim_packet_t){.from = from->addr, .to = (unsigned)slot};
 	wire_encode(&p->bytes, XDR_PROC(raft_msg_t), m);
 }
 
@@ -46,18 +46,18 @@
 		return;
 	i = (unsigned)sim_random(s, s->npackets);
 	to = &s->nodes[s->packets[i].to];
-	if (to->frozen && sim_random(s, 10) > 0)
+	if (to->frozen_steps && sim_random(s, 10) > 0)
 		return;
-	if (!to->rf || to->island != s->nodes[s->packets[i].from].island) {
+	if (!to->raft || to->partition != s->nodes[s->packets[i].from].partition) {
 		remove_packet(s, i);
 		return;
 	}
-	if (to->frozen)
+	if (to->frozen_steps)
 		return;
 	buf_add(&bytes, str_buf(&s->packets[i].bytes));
 	if (sim_random(s, 20) > 0)
 		remove_packet(s, i);
 	if (wire_decode(str_buf(&bytes), XDR_PROC(raft_msg_t), &m, sizeof(m)) == STATUS_OK)
-		raft_receive(to->rf, &m);
+		raft_receive(to->raft, &m);
 	wire_free(XDR_PROC(raft_msg_t), &m);
 }
--- a/tests/unit/sim_node.c
+++ b/tests/unit/sim_node.c
@@ -96,7 +96,7 @@
 		return;
 	seq = n->disk.writes[writes - 1].seq;
 	sync_disk(&n->disk, writes);
-	raft_on_synced(n->rf, seq);
+	raft_on_synced(n->raft, seq);
 }
 
 static void queue_write(sim_node_t *n, sim_write_t w)
@@ -146,15 +146,15 @@
 
 void sim_node_snapshot(sim_node_t *n)
 {
-	sim_snap_t sn = {.index = raft_applied_index(n->rf), .state = n->state};
+	sim_snap_t sn = {.index = raft_applied_index(n->raft), .state = n->state};
 
 	if (sn.index == 0 || (n->disk.nsnaps && n->disk.snaps[0].index >= sn.index))
 		return;
-	sn.term = raft_term_at(n->rf, sn.index);
-	raft_members_at(n->rf, sn.index, &sn.conf);
+	sn.term = raft_term_at(n->raft, sn.index);
+	raft_members_at(n->raft, sn.index, &sn.members);
 	keep_snap(&n->disk, &sn);
 	if (n->disk.nsnaps > 1)
-		raft_compact(n->rf, n->disk.snaps[1].index);
+		raft_compact(n->raft, n->disk.snaps[1].index);
 }
 
 static bool on_snap_read(void *ctx, raft_snap_chunk_t *c)
@@ -168,13 +168,13 @@
 	}
 	if (!sn || c->offset > sizeof(sn->state))
 		return false;
-	n->outgoing.n = n->out_conf.n = 0;
+	n->outgoing.n = n->outgoing_members.n = 0;
 	buf_add(&n->outgoing, (str_t){(const char *)&sn->state, sizeof(sn->state)});
 	buf_drop_front(&n->outgoing, c->offset);
-	raft_members_encode(&sn->conf, &n->out_conf);
+	raft_members_encode(&sn->members, &n->outgoing_members);
 	c->index = sn->index;
 	c->term = sn->term;
-	c->members = str_buf(&n->out_conf);
+	c->members = str_buf(&n->outgoing_members);
 	c->data = str_buf(&n->outgoing);
 	if (c->data.n > CHUNK_BYTES)
 		c->data.n = CHUNK_BYTES;
@@ -195,7 +195,7 @@
 	if (!c->last)
 		return true;
 	if (n->incoming.n != sizeof(sn.state) ||
-	    raft_members_decode(c->members, &sn.conf) != STATUS_OK) {
+	    raft_members_decode(c->members, &sn.members) != STATUS_OK) {
 		sim_violate(n->sim, "a snapshot arrived with %zu bytes", n->incoming.n);
 		return false;
 	}
@@ -264,35 +264,35 @@
 	n->state = (sim_state_t){0};
 	if (d->nsnaps) {
 		n->state = d->snaps[0].state;
-		o.base_members = d->snaps[0].conf;
+		o.base_members = d->snaps[0].members;
 	}
 	o.base = d->base;
 	o.base_term = d->base_term;
 	o.entries = d->entries;
 	o.nentries = d->n;
-	n->rf = raft_new(&o);
+	n->raft = raft_new(&o);
 }
 
 void sim_node_stop(sim_node_t *n)
 {
-	if (!n->rf)
+	if (!n->raft)
 		return;
 	sync_disk(&n->disk, sim_random(n->sim, n->disk.nwrites + 1));
 	for (size_t i = 0; i < n->disk.nwrites; i++)
 		free_write(&n->disk.writes[i]);
 	n->disk.nwrites = 0;
-	raft_free(n->rf);
-	n->rf = NULL;
-	n->frozen = 0;
+	raft_free(n->raft);
+	n->raft = NULL;
+	n->frozen_steps = 0;
 	n->incoming.n = 0;
-	sim_call_forget(n->sim, n->slot);
+	sim_call_forget(n->sim, n->addr);
 }
 
 void sim_node_free(sim_node_t *n)
 {
-	raft_free(n->rf);
+	raft_free(n->raft);
 	sim_disk_clear(&n->disk);
 	buf_free(&n->incoming);
 	buf_free(&n->outgoing);
-	buf_free(&n->out_conf);
+	buf_free(&n->outgoing_members);
 }
--- a/tests/unit/test_dispatch.c
+++ b/tests/unit/test_dispatch.c
@@ -9,7 +9,7 @@
 
 	ask(d, 1, 0);
 	ck_assert_int_eq(neffects, 1);
-	ck_assert_int_eq(effects[0].what, 'g');
+	ck_assert_int_eq(effects[0].kind, 'g');
 	ck_assert_str_eq(effects[0].replica, "r0");
 	dispatch_free(d);
 }
@@ -37,7 +37,7 @@
 
 	ask(d, 1, 0);
 	ask(d, 2, 0);
-	ck_assert_int_eq(effects[1].what, 'r');
+	ck_assert_int_eq(effects[1].kind, 'r');
 	ck_assert_uint_eq(effects[1].request, 2);
 	ck_assert_int_ge(effects[1].retry_ms, 300);
 	ck_assert_int_eq(effects[1].why, DISPATCH_PAST_OBJECTIVE);
@@ -73,7 +73,7 @@
 	back.deadline = 500;
 	ask(d, 1, 0);
 	dispatch_request_add(d, &back, 0);
-	ck_assert_int_eq(effects[1].what, 'r');
+	ck_assert_int_eq(effects[1].kind, 'r');
 	ck_assert_uint_eq(effects[1].request, 20);
 	ck_assert_int_eq(effects[1].why, DISPATCH_PAST_DEADLINE);
 	dispatch_free(d);
@@ -94,8 +94,8 @@
 		dispatch_request_add(d, &back, 0);
 	}
 	for (int i = 0; i < neffects; i++) {
-		granted += effects[i].what == 'g';
-		refused += effects[i].what == 'r';
+		granted += effects[i].kind == 'g';
+		refused += effects[i].kind == 'r';
 	}
 	ck_assert_int_eq(granted, 1);
 	ck_assert_int_eq(refused, 5);
@@ -115,7 +115,7 @@
 	ck_assert_int_eq(neffects, 1);
 	dispatch_tick(d, 3190);
 	ck_assert_int_eq(neffects, 2);
-	ck_assert_int_eq(effects[1].what, 'r');
+	ck_assert_int_eq(effects[1].kind, 'r');
 	ck_assert_int_eq(effects[1].why, DISPATCH_CALLER_GIVES_UP);
 	dispatch_request_ended(d, 1, 1, DISPATCH_OK, 3195);
 	ck_assert_int_eq(neffects, 2);
@@ -140,7 +140,7 @@
 	dispatch_request_add(d, &a, 5001);
 	ck_assert_int_eq(neffects, 0);
 	dispatch_request_ended(d, 1, 201, DISPATCH_OK, 5010);
-	ck_assert_int_eq(effects[0].what, 'g');
+	ck_assert_int_eq(effects[0].kind, 'g');
 	dispatch_free(d);
 }
 END_TEST
@@ -164,7 +164,7 @@
 	/* That of s holds its place for 0.7 s, as far as is known. */
 	ask(d, 202, 5001);
 	ck_assert_int_eq(neffects, 1);
-	ck_assert_int_eq(effects[0].what, 'r');
+	ck_assert_int_eq(effects[0].kind, 'r');
 	ck_assert_int_eq(effects[0].why, DISPATCH_PAST_OBJECTIVE);
 	dispatch_free(d);
 }
@@ -192,7 +192,7 @@
 
 		dispatch_stats(d, &st);
 		for (int i = 0; i < neffects; i++)
-			refused_s += effects[i].what == 'r' && effects[i].request % 2;
+			refused_s += effects[i].kind == 'r' && effects[i].request % 2;
 		ck_assert_int_eq(refused_s, 10 - 1 - 4);
 		ck_assert_uint_eq(st.asks_waiting, 4 + 6);
 	}
@@ -215,7 +215,7 @@
 	for (uint64_t i = 5; i <= 9; i++)
 		ask(d, i, 400);
 	for (int i = 4; i < neffects; i++)
-		on_failed += effects[i].what == 'g' && strcmp(effects[i].replica, "r0") == 0;
+		on_failed += effects[i].kind == 'g' && strcmp(effects[i].replica, "r0") == 0;
 	ck_assert_int_eq(on_failed, 1);
 	dispatch_free(d);
 }
@@ -235,7 +235,7 @@
 		ask(d, i, 185);
 	ck_assert_int_eq(neffects, granted + 8);
 	for (int i = granted; i < neffects; i++)
-		ck_assert_int_eq(effects[i].what, 'g');
+		ck_assert_int_eq(effects[i].kind, 'g');
 	dispatch_free(d);
 }
 END_TEST
@@ -303,7 +303,7 @@
 	dispatch_tick(d, 400);
 	ck_assert_int_eq(neffects, 0);
 	dispatch_set_replicas(d, &v, 1, 410);
-	ck_assert_int_eq(effects[0].what, 'g');
+	ck_assert_int_eq(effects[0].kind, 'g');
 	dispatch_free(d);
 	d = dispatch_new(&callbacks, 7);
 	neffects = 0;
@@ -312,7 +312,7 @@
 	ck_assert_int_eq(neffects, 0);
 	dispatch_tick(d, 2000);
 	ck_assert_int_eq(neffects, 1);
-	ck_assert_int_eq(effects[0].what, 'r');
+	ck_assert_int_eq(effects[0].kind, 'r');
 	ck_assert_int_eq(effects[0].why, DISPATCH_NO_REPLICA_LIST);
 	dispatch_free(d);
 }
@@ -325,7 +325,7 @@
 
 	dispatch_set_replicas(d, &v, 1, 0);
 	ask(d, 1, 0);
-	ck_assert_int_eq(effects[0].what, 'r');
+	ck_assert_int_eq(effects[0].kind, 'r');
 	dispatch_free(d);
 }
 END_TEST
@@ -389,7 +389,7 @@
 	ask(d, 1, 0);
 	dispatch_request_ended(d, 1, 1, DISPATCH_BROKEN, 1);
 	ask(d, 2, 2);
-	ck_assert_int_eq(effects[1].what, 'r'); /* it is suspected */
+	ck_assert_int_eq(effects[1].kind, 'r'); /* it is suspected */
 	neffects = 0;
 	v.start_time = 2000;
 	dispatch_set_replicas(d, &v, 1, 3);
@@ -397,7 +397,7 @@
 		ask(d, i, 4);
 	ck_assert_int_eq(neffects, 4);
 	for (int i = 0; i < 4; i++)
-		ck_assert_int_eq(effects[i].what, 'g');
+		ck_assert_int_eq(effects[i].kind, 'g');
 	dispatch_free(d);
 }
 END_TEST
--- a/tests/unit/test_dispatch_items.c
+++ b/tests/unit/test_dispatch_items.c
@@ -14,9 +14,9 @@
 	ck_assert_int_eq(neffects, 2);
 	ask(d, 1, 10);
 	ck_assert_int_eq(neffects, 4);
-	ck_assert_int_eq(effects[2].what, 'S');
+	ck_assert_int_eq(effects[2].kind, 'S');
 	ck_assert_ptr_eq(effects[2].data, &last);
-	ck_assert_int_eq(effects[3].what, 'g');
+	ck_assert_int_eq(effects[3].kind, 'g');
 	dispatch_free(d);
 }
 END_TEST
@@ -33,7 +33,7 @@
 	ck_assert_int_eq(neffects, 3);
 	dispatch_request_ended(d, 1, 1, DISPATCH_OK, 700);
 	ck_assert_int_eq(neffects, 4);
-	ck_assert_int_eq(effects[3].what, 'R');
+	ck_assert_int_eq(effects[3].kind, 'R');
 	ck_assert_ptr_eq(effects[3].data, &data);
 	dispatch_free(d);
 }
@@ -64,12 +64,12 @@
 	ck_assert_int_eq(neffects, 10);
 	/* The next request finds it; nobody is stopped for that. */
 	ask(d, 9, 60);
-	ck_assert_int_eq(effects[10].what, 'g');
+	ck_assert_int_eq(effects[10].kind, 'g');
 	/* With a second free place there is room for the item as well. */
 	dispatch_request_ended(d, 1, 2, DISPATCH_OK, 70);
 	dispatch_request_ended(d, 1, 3, DISPATCH_OK, 80);
 	ck_assert_int_eq(neffects, 12);
-	ck_assert_int_eq(effects[11].what, 'R');
+	ck_assert_int_eq(effects[11].kind, 'R');
 	dispatch_free(d);
 }
 END_TEST
@@ -85,7 +85,7 @@
 	ck_assert_int_eq(neffects, 10);
 	dispatch_tick(d, 290);
 	ck_assert_int_eq(neffects, 11);
-	ck_assert_int_eq(effects[10].what, 'R');
+	ck_assert_int_eq(effects[10].kind, 'R');
 	dispatch_free(d);
 }
 END_TEST
@@ -106,7 +106,7 @@
 	for (int i = neffects - 48; i < neffects; i++) {
 		const effect_t *e = &effects[i % LOG_MAX];
 
-		if (e->what == 'S')
+		if (e->kind == 'S')
 			dispatch_item_requeue(d, it[(int *)e->data - data], DISPATCH_CANCELLED, 20);
 	}
 	for (uint64_t i = 1; i <= 24; i++)
@@ -128,7 +128,7 @@
 
 	dispatch_request_ended(d, 1, 1, DISPATCH_OK, 50);
 	ck_assert_int_eq(neffects, 11);
-	ck_assert_int_eq(effects[10].what, 'R');
+	ck_assert_int_eq(effects[10].kind, 'R');
 	dispatch_free(d);
 }
 END_TEST
@@ -147,7 +147,7 @@
 	dispatch_item_add(d, STR("t"), 9000, &other);
 	dispatch_tick(d, 10);
 	ck_assert_int_eq(neffects, 2);
-	ck_assert_int_eq(effects[1].what, 'R');
+	ck_assert_int_eq(effects[1].kind, 'R');
 	ck_assert_ptr_eq(effects[1].data, &other);
 	dispatch_free(d);
 }
@@ -171,10 +171,10 @@
 	dispatch_item_add(d, STR("t"), 9000, &other);
 	dispatch_tick(d, 10);
 	ck_assert_int_eq(neffects, 2);
-	ck_assert_int_eq(effects[1].what, 'R');
+	ck_assert_int_eq(effects[1].kind, 'R');
 	ck_assert_ptr_eq(effects[1].data, &other);
 	dispatch_request_ended(d, 1, 1, DISPATCH_OK, 20);
-	ck_assert_int_eq(effects[2].what, 'g');
+	ck_assert_int_eq(effects[2].kind, 'g');
 	ck_assert_uint_eq(effects[2].request, 2);
 	dispatch_free(d);
 }
@@ -192,7 +192,7 @@
 	dispatch_item_add(d, STR("s"), 9000, &late);
 	dispatch_item_add(d, STR("s"), 6000, &early);
 	dispatch_request_ended(d, 1, 1, DISPATCH_OK, 1000);
-	ck_assert_int_eq(effects[1].what, 'R');
+	ck_assert_int_eq(effects[1].kind, 'R');
 	ck_assert_ptr_eq(effects[1].data, &early);
 	dispatch_free(d);
 }
@@ -210,7 +210,7 @@
 	ck_assert_int_eq(neffects, 1);
 	dispatch_tick(d, 100 + DISPATCH_ADOPT_MS);
 	ck_assert_int_eq(neffects, 2);
-	ck_assert_int_eq(effects[1].what, 'R');
+	ck_assert_int_eq(effects[1].kind, 'R');
 	ck_assert_uint_ne(effects[1].entry, effects[0].entry);
 	dispatch_free(d);
 }
@@ -263,7 +263,7 @@
 	ask(d, 1, 20);
 	dispatch_item_avoid(it, str_c(effects[1].replica));
 	dispatch_item_requeue(d, it, DISPATCH_CANCELLED, 30);
-	ck_assert_int_eq(effects[neffects - 1].what, 'R');
+	ck_assert_int_eq(effects[neffects - 1].kind, 'R');
 	dispatch_free(d);
 }
 END_TEST
--- a/tests/unit/test_dispatch_load.c
+++ b/tests/unit/test_dispatch_load.c
@@ -17,32 +17,32 @@
 #define PLAY_MEAN_PER_S 56.0
 
 typedef struct {
-	deadline_t asked;
-	deadline_t ends;
+	deadline_t arrived_at;
+	deadline_t ends_at;
 	bool running;
-	bool back; /* second attempt */
-	deadline_t again; /* comes back then; 0: doesn't */
+	bool second_attempt; /* second attempt */
+	deadline_t retry_at; /* comes back then; 0: doesn't */
 } request_t;
 
 typedef struct {
-	dispatch_item_t *it;
+	dispatch_item_t *item;
 	deadline_t due;
-	int64_t left;
-	deadline_t since;
+	int64_t left_ms;
+	deadline_t started_at;
 	bool running;
 	bool stopping;
 	bool done;
 } item_t;
 
 typedef struct {
-	dispatch_t *d;
+	dispatch_t *dispatch;
 	deadline_t now;
-	request_t *r;
-	uint64_t n;
+	request_t *requests;
+	uint64_t nrequests;
 	item_t items[2048];
 	unsigned nitems;
-	unsigned in_time, late, lost;
-	unsigned too_late; /* granted after its caller had left */
+	unsigned in_time, late, refused_twice;
+	unsigned granted_too_late; /* granted after its caller had left */
 	unsigned items_in_time, items_late;
 	dispatch_stats_t stats; /* at the end */
 	unsigned at[PLAY_REPLICAS];
@@ -51,13 +51,13 @@
 static void play_grant(void *ctx, uint64_t entry, uint64_t request, str_t replica)
 {
 	play_t *p = ctx;
-	request_t *r = &p->r[request];
+	request_t *r = &p->requests[request];
 
 	r->running = true;
-	r->ends = p->now + PLAY_STREAM_MS;
-	if (p->now - r->asked >= PATIENCE_MS)
-		p->too_late++;
-	else if (!r->back && p->now - r->asked <= 270)
+	r->ends_at = p->now + PLAY_STREAM_MS;
+	if (p->now - r->arrived_at >= PATIENCE_MS)
+		p->granted_too_late++;
+	else if (!r->second_attempt && p->now - r->arrived_at <= 270)
 		p->in_time++;
 	else
 		p->late++;
@@ -67,12 +67,12 @@
 			dispatch_refusal_t why)
 {
 	play_t *p = ctx;
-	request_t *r = &p->r[request];
+	request_t *r = &p->requests[request];
 
-	if (r->back)
-		p->lost++;
+	if (r->second_attempt)
+		p->refused_twice++;
 	else
-		r->again = p->now + retry_ms;
+		r->retry_at = p->now + retry_ms;
 }
 
 static void play_run(void *ctx, void *data, uint64_t entry, str_t replica)
@@ -80,41 +80,41 @@
 	item_t *it = data;
 
 	it->running = true;
-	it->since = ((play_t *)ctx)->now;
+	it->started_at = ((play_t *)ctx)->now;
 }
 
 static void play_stop(void *ctx, void *data, uint64_t entry)
 {
 	item_t *it = data;
 
-	it->left -= ((play_t *)ctx)->now - it->since;
+	it->left_ms -= ((play_t *)ctx)->now - it->started_at;
 	it->running = false;
 	it->stopping = true;
 }
 
 static void play_ask(play_t *p, bool back)
 {
-	dispatch_request_t a = ask_of(p->n, p->now);
+	dispatch_request_t a = ask_of(p->nrequests, p->now);
 
-	p->r[p->n] = (request_t){.asked = p->now, .back = back};
-	a.entry = 1 + p->n % 2;
+	p->requests[p->nrequests] = (request_t){.arrived_at = p->now, .second_attempt = back};
+	a.entry = 1 + p->nrequests % 2;
 	a.returning = back;
 	if (back)
 		a.deadline -= 300;
-	p->n++;
-	dispatch_request_add(p->d, &a, p->now);
+	p->nrequests++;
+	dispatch_request_add(p->dispatch, &a, p->now);
 }
 
 static void play_requests(play_t *p)
 {
-	for (uint64_t i = p->n > 8192 ? p->n - 8192 : 1; i < p->n; i++) {
-		request_t *r = &p->r[i];
+	for (uint64_t i = p->nrequests > 8192 ? p->nrequests - 8192 : 1; i < p->nrequests; i++) {
+		request_t *r = &p->requests[i];
 
-		if (r->running && p->now >= r->ends) {
+		if (r->running && p->now >= r->ends_at) {
 			r->running = false;
-			dispatch_request_ended(p->d, 1 + i % 2, i, DISPATCH_OK, p->now);
-		} else if (r->again && p->now >= r->again) {
-			r->again = 0;
+			dispatch_request_ended(p->dispatch, 1 + i % 2, i, DISPATCH_OK, p->now);
+		} else if (r->retry_at && p->now >= r->retry_at) {
+			r->retry_at = 0;
 			play_ask(p, true);
 		}
 	}
@@ -127,15 +127,15 @@
 
 		if (it->stopping) {
 			it->stopping = false;
-			dispatch_item_requeue(p->d, it->it, DISPATCH_CANCELLED, p->now);
-		} else if (it->running && p->now - it->since >= it->left) {
+			dispatch_item_requeue(p->dispatch, it->item, DISPATCH_CANCELLED, p->now);
+		} else if (it->running && p->now - it->started_at >= it->left_ms) {
 			it->running = false;
 			it->done = true;
 			if (p->now <= it->due)
 				p->items_in_time++;
 			else
 				p->items_late++;
-			dispatch_item_remove(p->d, it->it, true, p->now);
+			dispatch_item_remove(p->dispatch, it->item, true, p->now);
 		}
 	}
 }
@@ -155,11 +155,11 @@
 	double owed_items = 0;
 
 	cb = (dispatch_callbacks_t){p, play_grant, play_refuse, play_run, play_stop};
-	p->r = calloc(PLAY_REQUESTS, sizeof(*p->r));
-	p->n = 1;
-	p->d = dispatch_new(&cb, 11);
-	dispatch_entry_add(p->d, 1, STR("a"), true);
-	dispatch_entry_add(p->d, 2, STR("b"), true);
+	p->requests = calloc(PLAY_REQUESTS, sizeof(*p->requests));
+	p->nrequests = 1;
+	p->dispatch = dispatch_new(&cb, 11);
+	dispatch_entry_add(p->dispatch, 1, STR("a"), true);
+	dispatch_entry_add(p->dispatch, 2, STR("b"), true);
 	{
 		dispatch_replica_t v[PLAY_REPLICAS];
 		static char ids[PLAY_REPLICAS][16];
@@ -169,7 +169,7 @@
 			v[j] = (dispatch_replica_t){str_c(ids[j]), STR("a"), STR("s"),
 						    PLAY_SLOTS,	   false,    0};
 		}
-		dispatch_set_replicas(p->d, v, PLAY_REPLICAS, 0);
+		dispatch_set_replicas(p->dispatch, v, PLAY_REPLICAS, 0);
 	}
 	for (p->now = 0; p->now < PLAY_MS; p->now++) {
 		bool high = p->now % PLAY_PERIOD_MS < PLAY_HIGH_MS;
@@ -186,16 +186,16 @@
 			item_t *it = &p->items[p->nitems++];
 
 			it->due = p->now + PLAY_DUE_MS;
-			it->left = item_ms(p->nitems, differ);
-			it->it = dispatch_item_add(p->d, STR("s"), it->due, it);
+			it->left_ms = item_ms(p->nitems, differ);
+			it->item = dispatch_item_add(p->dispatch, STR("s"), it->due, it);
 			owed_items -= 1;
 		}
-		dispatch_tick(p->d, p->now);
+		dispatch_tick(p->dispatch, p->now);
 	}
-	dispatch_stats(p->d, &p->stats);
+	dispatch_stats(p->dispatch, &p->stats);
 	printf("load x%.1f: online in time %u late %u lost %u of %llu; items in time %u late %u of "
 	       "%u, stopped %llu times\n",
-	       x, p->in_time, p->late, p->lost, (unsigned long long)p->n - 1, p->items_in_time,
+	       x, p->in_time, p->late, p->refused_twice, (unsigned long long)p->nrequests - 1, p->items_in_time,
 	       p->items_late, p->nitems, (unsigned long long)p->stats.preempted);
 	return p;
 }
@@ -207,8 +207,8 @@
 
 static void play_free(play_t *p)
 {
-	dispatch_free(p->d);
-	free(p->r);
+	dispatch_free(p->dispatch);
+	free(p->requests);
 	free(p);
 }
 
@@ -217,7 +217,7 @@
 	play_t *p = play(1.0, 1.0);
 
 	ck_assert_uint_eq(p->late, 0);
-	ck_assert_uint_eq(p->lost, 0);
+	ck_assert_uint_eq(p->refused_twice, 0);
 	ck_assert_uint_eq(p->items_late, 0);
 	ck_assert_uint_ge(p->items_in_time, p->nitems - 1);
 	/* An item of 4.8 s meets two peaks at most, and gives way once in each. */
@@ -273,7 +273,7 @@
 	ck_assert_uint_ge(four->in_time + four->late, twice->in_time + twice->late);
 	ck_assert_uint_ge((four->in_time + four->late) * 100, most * 70);
 	/* Nobody gets a place after leaving; who can't get one is told so. */
-	ck_assert_uint_eq(four->too_late, 0);
+	ck_assert_uint_eq(four->granted_too_late, 0);
 	/* What is answered is mostly answered in time. */
 	ck_assert_uint_ge(four->in_time, four->late);
 	play_free(twice);
--- a/tests/unit/test_fanout.c
+++ b/tests/unit/test_fanout.c
@@ -20,128 +20,128 @@
 #define APPLY_MS 3000
 
 typedef struct {
-	fanout_config_id_t holds;
-	fanout_config_id_t coming;
-	fanout_config_id_t base;
-	deadline_t taken_at; /* 0: nothing is coming */
+	fanout_config_id_t config;
+	fanout_config_id_t sent_config;
+	fanout_config_id_t sent_base;
+	deadline_t ack_at; /* 0: nothing is coming */
 	bool frozen;
-	unsigned wholes;
-	unsigned changes;
+	unsigned whole_configs;
+	unsigned deltas;
 } entry_t;
 
 typedef struct {
-	fanout_t *f;
+	fanout_t *fanout;
 	deadline_t now;
 	int64_t link_free_us; /* when the leader's link has sent what was given to it */
-	fanout_config_id_t text;
-	entry_t e[ENTRIES];
-	size_t sent;
-	size_t most_on_the_way;
+	fanout_config_id_t config;
+	entry_t entries[ENTRIES];
+	size_t sent_bytes;
+	size_t max_in_flight;
 	size_t most_for_one;
-	int64_t held_ms; /* of the newest text; -1: not all hold it */
+	int64_t converged_ms; /* of the newest text; -1: not all hold it */
 } fleet_t;
 
 static fleet_t fl;
 
 static size_t on_send(void *ctx, uint64_t peer, fanout_config_id_t base)
 {
-	entry_t *e = &fl.e[peer];
+	entry_t *e = &fl.entries[peer];
 	size_t bytes = base.number ? CHANGE_BYTES : WHOLE_BYTES;
 	fanout_stats_t st;
 
 	/* At most one text is on its way to an entry. */
-	ck_assert_int_eq(e->taken_at, 0);
+	ck_assert_int_eq(e->ack_at, 0);
 	if (fl.link_free_us < fl.now * 1000)
 		fl.link_free_us = fl.now * 1000;
 	fl.link_free_us += (int64_t)(bytes / LEADER_BYTES);
-	e->coming = fl.text;
-	e->base = base;
-	e->taken_at = fl.link_free_us / 1000 + (deadline_t)(bytes / ENTRY_BYTES) +
+	e->sent_config = fl.config;
+	e->sent_base = base;
+	e->ack_at = fl.link_free_us / 1000 + (deadline_t)(bytes / ENTRY_BYTES) +
 		      (base.number ? CHANGE_MS : WHOLE_MS);
-	e->wholes += base.number == 0;
-	e->changes += base.number != 0;
-	fl.sent += bytes;
-	fanout_stats(fl.f, &st);
-	if (st.in_flight_bytes + bytes > fl.most_on_the_way)
-		fl.most_on_the_way = st.in_flight_bytes + bytes;
+	e->whole_configs += base.number == 0;
+	e->deltas += base.number != 0;
+	fl.sent_bytes += bytes;
+	fanout_stats(fl.fanout, &st);
+	if (st.in_flight_bytes + bytes > fl.max_in_flight)
+		fl.max_in_flight = st.in_flight_bytes + bytes;
 	return bytes;
 }
 
 static void on_held(void *ctx, fanout_config_id_t text, size_t peers, int64_t ms)
 {
-	ck_assert(fanout_config_id_eq(text, fl.text));
-	fl.held_ms = ms;
+	ck_assert(fanout_config_id_eq(text, fl.config));
+	fl.converged_ms = ms;
 }
 
 static void lead_without_text(void)
 {
 	fanout_callbacks_t cb = {NULL, on_send, on_held};
 
-	fanout_free(fl.f);
-	fl.f = fanout_new(&cb);
-	fl.held_ms = -1;
+	fanout_free(fl.fanout);
+	fl.fanout = fanout_new(&cb);
+	fl.converged_ms = -1;
 }
 
 static void lead(void)
 {
 	lead_without_text();
-	fanout_set_config(fl.f, fl.text, fl.now);
+	fanout_set_config(fl.fanout, fl.config, fl.now);
 }
 
 static void link_all(void)
 {
 	for (uint64_t i = 0; i < ENTRIES; i++) {
-		fl.e[i].taken_at = 0; /* what was on its way went with the old link */
-		fanout_peer_add(fl.f, i, fl.e[i].holds, fl.now);
+		fl.entries[i].ack_at = 0; /* what was on its way went with the old link */
+		fanout_peer_add(fl.fanout, i, fl.entries[i].config, fl.now);
 	}
 }
 
 static void submit(void)
 {
-	fl.text = (fanout_config_id_t){fl.text.number + 1, fl.text.digest * 31 + 7};
-	fl.held_ms = -1;
-	fanout_set_config(fl.f, fl.text, fl.now);
+	fl.config = (fanout_config_id_t){fl.config.number + 1, fl.config.digest * 31 + 7};
+	fl.converged_ms = -1;
+	fanout_set_config(fl.fanout, fl.config, fl.now);
 }
 
 static void play(int64_t ms)
 {
 	for (deadline_t end = fl.now + ms; fl.now < end; fl.now++) {
 		for (uint64_t i = 0; i < ENTRIES; i++) {
-			entry_t *e = &fl.e[i];
+			entry_t *e = &fl.entries[i];
 
-			if (!e->taken_at || fl.now < e->taken_at || e->frozen)
+			if (!e->ack_at || fl.now < e->ack_at || e->frozen)
 				continue;
-			e->taken_at = 0;
-			if (e->base.number == 0 || fanout_config_id_eq(e->base, e->holds))
-				e->holds = e->coming;
-			fanout_peer_acked(fl.f, i, e->holds, fl.now);
+			e->ack_at = 0;
+			if (e->sent_base.number == 0 || fanout_config_id_eq(e->sent_base, e->config))
+				e->config = e->sent_config;
+			fanout_peer_acked(fl.fanout, i, e->config, fl.now);
 		}
 		if (fl.now % TICK_MS == 0)
-			fanout_tick(fl.f, fl.now);
+			fanout_tick(fl.fanout, fl.now);
 	}
 }
 
 static void setup(void)
 {
-	fl = (fleet_t){.now = 1000, .text = {1, 99}, .held_ms = -1};
+	fl = (fleet_t){.now = 1000, .config = {1, 99}, .converged_ms = -1};
 	lead();
 	link_all();
 	play(APPLY_MS);
-	ck_assert_int_ge(fl.held_ms, 0);
-	ck_assert_uint_eq(fl.sent, ENTRIES * WHOLE_BYTES);
-	fl.sent = 0;
+	ck_assert_int_ge(fl.converged_ms, 0);
+	ck_assert_uint_eq(fl.sent_bytes, ENTRIES * WHOLE_BYTES);
+	fl.sent_bytes = 0;
 }
 
 static void teardown(void)
 {
-	fanout_free(fl.f);
-	fl.f = NULL;
+	fanout_free(fl.fanout);
+	fl.fanout = NULL;
 }
 
 START_TEST(all_entries_get_a_first_text_in_time_with_bounded_bytes_on_the_way)
 {
-	ck_assert_int_le(fl.held_ms, APPLY_MS / 2);
-	ck_assert_uint_le(fl.most_on_the_way, FANOUT_IN_FLIGHT_BYTES + WHOLE_BYTES);
+	ck_assert_int_le(fl.converged_ms, APPLY_MS / 2);
+	ck_assert_uint_le(fl.max_in_flight, FANOUT_IN_FLIGHT_BYTES + WHOLE_BYTES);
 }
 END_TEST
 
@@ -152,8 +152,8 @@
 		link_all();
 		play(200);
 	}
-	ck_assert_uint_eq(fl.sent, 0);
-	ck_assert_int_eq(fl.held_ms, 0);
+	ck_assert_uint_eq(fl.sent_bytes, 0);
+	ck_assert_int_eq(fl.converged_ms, 0);
 }
 END_TEST
 
@@ -161,8 +161,8 @@
 {
 	submit();
 	play(APPLY_MS);
-	ck_assert_int_ge(fl.held_ms, 0);
-	ck_assert_uint_eq(fl.sent, ENTRIES * CHANGE_BYTES);
+	ck_assert_int_ge(fl.converged_ms, 0);
+	ck_assert_uint_eq(fl.sent_bytes, ENTRIES * CHANGE_BYTES);
 }
 END_TEST
 
@@ -173,11 +173,11 @@
 		play(60);
 	}
 	play(APPLY_MS);
-	ck_assert_int_ge(fl.held_ms, 0);
-	ck_assert_int_le(fl.held_ms, 300);
+	ck_assert_int_ge(fl.converged_ms, 0);
+	ck_assert_int_le(fl.converged_ms, 300);
 	for (unsigned i = 0; i < ENTRIES; i++) {
-		ck_assert_uint_eq(fl.e[i].wholes, 1);
-		ck_assert_uint_le(fl.e[i].changes, 26);
+		ck_assert_uint_eq(fl.entries[i].whole_configs, 1);
+		ck_assert_uint_le(fl.entries[i].deltas, 26);
 	}
 }
 END_TEST
@@ -185,19 +185,19 @@
 START_TEST(frozen_entries_hold_up_no_others)
 {
 	for (unsigned i = 0; i < ENTRIES; i++) {
-		fl.e[i].frozen = i % 3 == 0;
-		fl.e[i].holds = (fanout_config_id_t){0, 0};
+		fl.entries[i].frozen = i % 3 == 0;
+		fl.entries[i].config = (fanout_config_id_t){0, 0};
 	}
 	lead();
 	link_all();
 	play(APPLY_MS);
 	for (unsigned i = 0; i < ENTRIES; i++)
-		ck_assert(fl.e[i].frozen || fanout_config_id_eq(fl.e[i].holds, fl.text));
-	ck_assert_int_eq(fl.held_ms, -1);
+		ck_assert(fl.entries[i].frozen || fanout_config_id_eq(fl.entries[i].config, fl.config));
+	ck_assert_int_eq(fl.converged_ms, -1);
 	for (unsigned i = 0; i < ENTRIES; i++)
-		fl.e[i].frozen = false;
+		fl.entries[i].frozen = false;
 	play(10);
-	ck_assert_int_ge(fl.held_ms, 0);
+	ck_assert_int_ge(fl.converged_ms, 0);
 }
 END_TEST
 
@@ -213,8 +213,8 @@
 	lead();
 	link_all();
 	play(APPLY_MS);
-	ck_assert_int_ge(fl.held_ms, 0);
-	ck_assert_int_le(fl.held_ms, APPLY_MS / 2);
+	ck_assert_int_ge(fl.converged_ms, 0);
+	ck_assert_int_le(fl.converged_ms, APPLY_MS / 2);
 }
 END_TEST
 
@@ -223,14 +223,14 @@
 	unsigned first = ENTRIES - FANOUT_IN_FLIGHT_BYTES / WHOLE_BYTES;
 
 	for (unsigned i = first; i < ENTRIES; i++)
-		fl.e[i].holds = (fanout_config_id_t){0, 0};
+		fl.entries[i].config = (fanout_config_id_t){0, 0};
 	lead_without_text();
 	link_all();
 	submit();
 	for (unsigned i = first; i < ENTRIES; i++)
-		ck_assert_int_gt(fl.e[i].taken_at, 0);
+		ck_assert_int_gt(fl.entries[i].ack_at, 0);
 	play(APPLY_MS);
-	ck_assert_int_ge(fl.held_ms, 0);
+	ck_assert_int_ge(fl.converged_ms, 0);
 }
 END_TEST
 
@@ -241,13 +241,13 @@
 
 	submit();
 	for (uint64_t i = 0; i < ENTRIES; i += 5) {
-		fanout_peer_remove(fl.f, i);
-		fl.e[i].taken_at = 0;
-		fl.e[i].holds = (fanout_config_id_t){0, 0};
-		fanout_peer_add(fl.f, i, fl.e[i].holds, fl.now);
+		fanout_peer_remove(fl.fanout, i);
+		fl.entries[i].ack_at = 0;
+		fl.entries[i].config = (fanout_config_id_t){0, 0};
+		fanout_peer_add(fl.fanout, i, fl.entries[i].config, fl.now);
 	}
 	play(APPLY_MS);
-	fanout_stats(fl.f, &st);
+	fanout_stats(fl.fanout, &st);
 	ck_assert_uint_eq(st.behind, 0);
 	ck_assert_uint_eq(st.in_flight_bytes, 0);
 	ck_assert_uint_eq(st.peers, ENTRIES);
--- a/tests/unit/test_gr.c
+++ b/tests/unit/test_gr.c
@@ -15,9 +15,9 @@
 /* A state machine that counts and remembers the sum of the commands' numbers. */
 typedef struct {
 	char addr[32];
-	group_t *g;
+	group_t *group;
 	pthread_rwlock_t lock; /* guards g against senders */
-	_Atomic bool cut; /* neither sends nor receives */
+	_Atomic bool isolated; /* neither sends nor receives */
 	uint64_t applied;
 	uint64_t sum;
 	uint64_t restores;
@@ -73,11 +73,11 @@
 	for (unsigned i = 0; i < REPLICAS_MAX; i++) {
 		node_t *n = &nodes[i];
 
-		if (strcmp(n->addr, addr) != 0 || from->cut)
+		if (strcmp(n->addr, addr) != 0 || from->isolated)
 			continue;
 		pthread_rwlock_rdlock(&n->lock);
-		if (n->g && !n->cut)
-			group_receive(n->g, msg);
+		if (n->group && !n->isolated)
+			group_receive(n->group, msg);
 		pthread_rwlock_unlock(&n->lock);
 	}
 }
@@ -113,10 +113,10 @@
 	snprintf(dir, sizeof(dir), "%s/%u", root, i);
 	n->applied = 0;
 	__atomic_store_n(&n->sum, 0, __ATOMIC_RELAXED);
-	n->cut = false;
+	n->isolated = false;
 	st = group_open(&o, &g);
 	pthread_rwlock_wrlock(&n->lock);
-	n->g = g;
+	n->group = g;
 	pthread_rwlock_unlock(&n->lock);
 	return st;
 }
@@ -129,10 +129,10 @@
 static void stop(unsigned i)
 {
 	node_t *n = &nodes[i];
-	group_t *g = n->g;
+	group_t *g = n->group;
 
 	pthread_rwlock_wrlock(&n->lock);
-	n->g = NULL;
+	n->group = NULL;
 	pthread_rwlock_unlock(&n->lock);
 	group_close(g);
 }
@@ -146,11 +146,11 @@
 		for (unsigned i = 0; i < REPLICAS_MAX; i++) {
 			group_status_t s;
 
-			if (!nodes[i].g || (int)i == not )
+			if (!nodes[i].group || (int)i == not )
 				continue;
-			group_get_status(nodes[i].g, &s);
+			group_get_status(nodes[i].group, &s);
 			if (s.leader &&
-			    group_read_barrier(nodes[i].g, clock_now_ms() + 500) == STATUS_OK)
+			    group_read_barrier(nodes[i].group, clock_now_ms() + 500) == STATUS_OK)
 				return i;
 		}
 		ck_assert(clock_left_ms(d) > 0);
@@ -160,7 +160,7 @@
 
 static status_t add(unsigned i, const char *number)
 {
-	return group_propose(nodes[i].g, str_c(number), soon(), NULL);
+	return group_propose(nodes[i].group, str_c(number), soon(), NULL);
 }
 
 /* Adds the number once, by whichever replica but `not` leads. */
@@ -207,7 +207,7 @@
 static void teardown(void)
 {
 	for (unsigned i = 0; i < REPLICAS_MAX; i++) {
-		if (nodes[i].g)
+		if (nodes[i].group)
 			stop(i);
 	}
 	nftw(root, remove_one, 16, FTW_DEPTH | FTW_PHYS);
@@ -224,7 +224,7 @@
 	stop(0);
 	start(0, 1);
 	wait_leader(-1);
-	ck_assert_int_eq(group_propose(nodes[0].g, STR("1"), soon(), &r), STATUS_OK);
+	ck_assert_int_eq(group_propose(nodes[0].group, STR("1"), soon(), &r), STATUS_OK);
 	ck_assert_str_eq(r.p, "201");
 }
 END_TEST
@@ -252,12 +252,12 @@
 	for (unsigned i = 0; i < 3; i++)
 		start(i, 3);
 	first = wait_leader(-1);
-	nodes[first].cut = true;
-	ck_assert_int_ne(group_propose(nodes[first].g, STR("7"), clock_now_ms() + 1000, NULL),
+	nodes[first].isolated = true;
+	ck_assert_int_ne(group_propose(nodes[first].group, STR("7"), clock_now_ms() + 1000, NULL),
 			 STATUS_OK);
-	ck_assert_int_ne(group_read_barrier(nodes[first].g, clock_now_ms() + 1000), STATUS_OK);
+	ck_assert_int_ne(group_read_barrier(nodes[first].group, clock_now_ms() + 1000), STATUS_OK);
 	must_add((int)first, "1");
-	nodes[first].cut = false;
+	nodes[first].isolated = false;
 	wait_sum(first, 1);
 }
 END_TEST
@@ -285,7 +285,7 @@
 {
 	read_t *r = arg;
 
-	r->st = group_read_barrier(nodes[r->node].g, soon());
+	r->st = group_read_barrier(nodes[r->node].group, soon());
 	return NULL;
 }
 
@@ -299,16 +299,16 @@
 	for (unsigned i = 0; i < 3; i++)
 		start(i, 3);
 	read.node = wait_leader(-1);
-	pthread_create(&frozen, NULL, freeze_group, nodes[read.node].g);
+	pthread_create(&frozen, NULL, freeze_group, nodes[read.node].group);
 	clock_sleep_ms(50);
 	pthread_create(&reader, NULL, read_frozen, &read);
-	nodes[read.node].cut = true; /* nobody tells it */
+	nodes[read.node].isolated = true; /* nobody tells it */
 	must_add((int)read.node, "3");
 	thaw = true;
 	pthread_join(frozen, NULL);
 	pthread_join(reader, NULL);
 	ck_assert_int_eq(read.st, STATUS_NOT_LEADER);
-	nodes[read.node].cut = false;
+	nodes[read.node].isolated = false;
 	wait_sum(read.node, 3);
 }
 END_TEST
@@ -320,7 +320,7 @@
 	for (unsigned i = 0; i < 3; i++)
 		start(i, 3);
 	first = wait_leader(-1);
-	ck_assert_int_eq(group_step_down(nodes[first].g, soon()), STATUS_OK);
+	ck_assert_int_eq(group_step_down(nodes[first].group, soon()), STATUS_OK);
 	must_add((int)first, "1");
 }
 END_TEST
@@ -332,7 +332,7 @@
 	status_t st;
 
 	do {
-		st = fn(nodes[wait_leader(-1)].g, p);
+		st = fn(nodes[wait_leader(-1)].group, p);
 		ck_assert(st == STATUS_OK || st == STATUS_LIMIT || st == STATUS_NOT_LEADER);
 		ck_assert(clock_left_ms(d) > 0);
 		clock_sleep_ms(5);
@@ -360,7 +360,7 @@
 	group_status_t s;
 	group_peer_t p = {0};
 
-	group_get_status(nodes[i].g, &s);
+	group_get_status(nodes[i].group, &s);
 	p.id = s.self;
 	snprintf(p.addr, sizeof(p.addr), "%s", nodes[i].addr);
 	change(do_add, &p);
@@ -390,7 +390,7 @@
 	leader = wait_leader(-1);
 	stop(leader);
 	must_add(-1, "1");
-	group_get_status(nodes[wait_leader(-1)].g, &s);
+	group_get_status(nodes[wait_leader(-1)].group, &s);
 	ck_assert_uint_eq(s.npeers, 3);
 	stop(3);
 	start(3, 0);
@@ -436,7 +436,7 @@
 	ck_assert_int_eq(rename(dir, aside), 0);
 	ck_assert(!group_exists(dir));
 	start(1, 0);
-	group_get_status(nodes[1].g, &s);
+	group_get_status(nodes[1].group, &s);
 	ck_assert_uint_ne(s.self, old.id);
 	join(1);
 	change(do_remove, &old);
@@ -457,13 +457,13 @@
 	/* Replica 0 may lead as well until its disk fails. */
 	do {
 		add(wait_leader(-1), "1");
-		st = group_propose(nodes[0].g, STR("1"), soon(), NULL);
+		st = group_propose(nodes[0].group, STR("1"), soon(), NULL);
 		ck_assert(clock_left_ms(d) > 0);
 	} while (st != STATUS_IO);
 	/* The others go on without it, and it goes on saying what is wrong with it. */
 	for (int i = 0; i < 10; i++)
 		must_add(0, "1");
-	ck_assert_int_eq(group_propose(nodes[0].g, STR("1"), soon(), NULL), STATUS_IO);
+	ck_assert_int_eq(group_propose(nodes[0].group, STR("1"), soon(), NULL), STATUS_IO);
 }
 END_TEST
 
@@ -500,7 +500,7 @@
 		ck_assert_uint_eq(done[i], 50);
 	}
 	leader = wait_leader(-1);
-	group_get_status(nodes[leader].g, &s);
+	group_get_status(nodes[leader].group, &s);
 	wait_sum(leader, 800);
 	ck_assert_uint_lt(s.syncs, 800);
 }
--- a/tests/unit/test_ledger_random.c
+++ b/tests/unit/test_ledger_random.c
@@ -33,7 +33,7 @@
 			      .digest = digest,
 			      .repeatable = k % 3 != 0,
 			      .deadline_ms = kit_deadline_ms(key_name(k)),
-			      .holder = session};
+			      .session = session};
 	check_record(r, &res.record);
 }
 
@@ -41,10 +41,10 @@
 {
 	unsigned k = rnd(KEYS);
 	mreq_t *r = &reqs[k];
-	uint64_t session = rnd(3) ? r->holder : any_session();
+	uint64_t session = rnd(3) ? r->session : any_session();
 	uint64_t token = 1 + rnd(3);
 	bool again = r->state == WIRE_ATTEMPTED && r->token == token;
-	bool first = r->state == WIRE_ACCEPTED && r->holder == session;
+	bool first = r->state == WIRE_ACCEPTED && r->session == session;
 	AUTO_RES res = BOTH(kit_attempt(l, key_name(k), token, session));
 
 	if (!r->exists) {
@@ -67,8 +67,8 @@
 	unsigned k = rnd(KEYS);
 	mreq_t *r = &reqs[k];
 	wire_state_t state = (wire_state_t)(WIRE_DONE + rnd(3));
-	uint64_t session = rnd(3) ? r->holder : any_session();
-	bool may = session == 0 || session == r->holder || (r->repeatable && state == WIRE_DONE);
+	uint64_t session = rnd(3) ? r->session : any_session();
+	bool may = session == 0 || session == r->session || (r->repeatable && state == WIRE_DONE);
 	bool open = r->state < WIRE_DONE && may;
 	char result[16];
 
@@ -184,7 +184,7 @@
 static void note_given(given_t g, slot_t *s)
 {
 	given[ngiven++ % GIVEN] = g;
-	s->last[s->nlast++] = g;
+	s->last_leases[s->nlast_leases++] = g;
 }
 
 static void take_item(slot_t *s, const wire_item_t *it)
@@ -203,7 +203,7 @@
 	ck_assert_uint_eq(it->attempt, m->attempt + 1);
 	ck_assert_int_eq(it->alone, m->deaths >= LEDGER_DEATHS_ALONE_MIN);
 	m->state = M_LEASED;
-	m->holder = s->session;
+	m->session = s->session;
 	m->attempt = it->attempt;
 	note_given((given_t){false, n, it->index, it->attempt, s->session}, s);
 }
@@ -213,12 +213,12 @@
 	unsigned k = number_of(it->key);
 	mreq_t *r = &reqs[k];
 
-	ck_assert(r->exists && r->state == WIRE_ACCEPTED && r->holder == 0);
+	ck_assert(r->exists && r->state == WIRE_ACCEPTED && r->session == 0);
 	for (unsigned i = 0; i < KEYS; i++)
-		ck_assert(!reqs[i].exists || reqs[i].state != WIRE_ACCEPTED || reqs[i].holder ||
+		ck_assert(!reqs[i].exists || reqs[i].state != WIRE_ACCEPTED || reqs[i].session ||
 			  reqs[i].deadline_ms >= r->deadline_ms);
 	ck_assert_uint_eq(it->attempt, r->attempt + 1);
-	r->holder = s->session;
+	r->session = s->session;
 	r->attempt = it->attempt;
 	note_given((given_t){true, k, 0, it->attempt, s->session}, s);
 }
@@ -228,19 +228,19 @@
 {
 	unsigned at = 0;
 
-	for (unsigned i = 0; i < s->nlast; i++) {
-		const given_t *g = &s->last[i];
+	for (unsigned i = 0; i < s->nlast_leases; i++) {
+		const given_t *g = &s->last_leases[i];
 		const wire_item_t *it = &res->items.items_val[at];
 
 		if (!leased_to(s->session, g))
 			continue;
-		if (!g->request && jobs[g->at].cancelled) {
-			jobs[g->at].items[g->index].state = M_DROPPED;
-			settle(&jobs[g->at]);
+		if (!g->request && jobs[g->number].cancelled) {
+			jobs[g->number].items[g->index].state = M_DROPPED;
+			settle(&jobs[g->number]);
 			continue;
 		}
 		ck_assert_uint_lt(at, res->items.items_len);
-		ck_assert_uint_eq(number_of(g->request ? it->key : it->job), g->at);
+		ck_assert_uint_eq(number_of(g->request ? it->key : it->job), g->number);
 		ck_assert_uint_eq(it->index, g->index);
 		ck_assert_uint_eq(it->attempt, g->attempt);
 		at++;
@@ -257,7 +257,7 @@
 		check_resend(s, &res);
 	} else {
 		s->seq = seq;
-		s->nlast = 0;
+		s->nlast_leases = 0;
 		ck_assert_uint_le(res.items.items_len, max);
 		for (unsigned i = 0; i < res.items.items_len; i++) {
 			const wire_item_t *it = &res.items.items_val[i];
@@ -293,16 +293,16 @@
 {
 	char body[16];
 	char name[8];
-	wire_item_result_t v = {.caller = kit_b(g->request ? "desk" : job_caller(g->at)),
+	wire_item_result_t v = {.caller = kit_b(g->request ? "desk" : job_caller(g->number)),
 				.index = g->index,
 				.attempt = g->attempt,
 				.done = done,
 				.blame = blame,
 				.body = {0, body}};
 	bool counts = is_live(session) && leased_to(session, g);
-	bool taken = counts && (g->request || !jobs[g->at].cancelled);
+	bool taken = counts && (g->request || !jobs[g->number].cancelled);
 
-	snprintf(name, sizeof(name), "%s", g->request ? key_name(g->at) : job_name(g->at));
+	snprintf(name, sizeof(name), "%s", g->request ? key_name(g->number) : job_name(g->number));
 	*(g->request ? &v.key : &v.job) = kit_b(name);
 	snprintf(body, sizeof(body), "r%llu", (unsigned long long)++answers);
 	v.body = kit_b(body);
@@ -311,9 +311,9 @@
 	ck_assert_uint_eq(res.count, taken);
 	dropped += !taken;
 	if (counts && g->request)
-		model_req_result(&reqs[g->at], &v, body);
+		model_req_result(&reqs[g->number], &v, body);
 	else if (counts)
-		model_item_result(&jobs[g->at], &jobs[g->at].items[g->index], &v, body);
+		model_item_result(&jobs[g->number], &jobs[g->number].items[g->index], &v, body);
 	if (is_live(session))
 		check_cancelled(session, &res);
 	else
@@ -338,9 +338,9 @@
 
 	ck_assert_int_eq(res.status, STATUS_OK);
 	for (unsigned k = 0; k < KEYS; k++) {
-		if (!reqs[k].exists || reqs[k].state >= WIRE_DONE || reqs[k].holder != s->session)
+		if (!reqs[k].exists || reqs[k].state >= WIRE_DONE || reqs[k].session != s->session)
 			continue;
-		reqs[k].holder = 0;
+		reqs[k].session = 0;
 		if (reqs[k].state == WIRE_ATTEMPTED)
 			end_req(&reqs[k], WIRE_FAILED, "");
 	}
@@ -348,7 +348,7 @@
 		for (unsigned i = 0; i < jobs[j].count; i++) {
 			mitem_t *m = &jobs[j].items[i];
 
-			if (m->state == M_LEASED && m->holder == s->session)
+			if (m->state == M_LEASED && m->session == s->session)
 				m->state = jobs[j].cancelled ? M_DROPPED : M_WAITING;
 		}
 		settle(&jobs[j]);
@@ -407,13 +407,13 @@
 	new_session(s);
 	do {
 		lease(s, s->seq + 1, 8);
-		for (unsigned i = 0; i < s->nlast; i++) {
-			const given_t g = s->last[i];
+		for (unsigned i = 0; i < s->nlast_leases; i++) {
+			const given_t g = s->last_leases[i];
 
 			if (leased_to(s->session, &g))
 				deliver(&g, s->session, true, WIRE_BLAME_NONE);
 		}
-	} while (s->nlast);
+	} while (s->nlast_leases);
 }
 
 static void one_step(void)
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -183,8 +183,8 @@
 /* ---- events ---- */
 
 typedef struct {
-	int n;
-	long long last;
+	int count;
+	long long last_id;
 	buf_t raw;
 	buf_t data;
 } events_t;
@@ -193,8 +193,8 @@
 {
 	events_t *v = ctx;
 
-	v->n++;
-	v->last = e->id;
+	v->count++;
+	v->last_id = e->id;
 	buf_add(&v->raw, e->raw);
 	buf_add(&v->data, e->data);
 	return true;
@@ -214,8 +214,8 @@
 
 			sse_feed(&s, (str_t){in + at, n < step ? n : step}, on_event, &v);
 		}
-		ck_assert_int_eq(v.n, 3);
-		ck_assert_int_eq(v.last, 3);
+		ck_assert_int_eq(v.count, 3);
+		ck_assert_int_eq(v.last_id, 3);
 		ck_assert(str_eq(str_buf(&v.data), STR("onetwothree")));
 		ck_assert(str_eq(str_buf(&s.pending), STR("id: 4\ndata: fo")));
 		ck_assert_uint_eq(v.raw.n + s.pending.n, sizeof(in) - 1);
@@ -237,11 +237,11 @@
 		p.body.n = 0;
 		call(&p, post);
 		turn(&p, 1.0);
-		ck_assert_int_eq(p.how, HTTP_CALL_DONE);
+		ck_assert_int_eq(p.call_end, HTTP_CALL_DONE);
 		ck_assert_int_eq(p.status, 200);
 		ck_assert(str_eq(str_buf(&p.body), STR("hello")));
 	}
-	ck_assert_int_eq(p.ended, 3);
+	ck_assert_int_eq(p.calls_ended, 3);
 	ck_assert_uint_eq(http_client_connects(p.client), 1);
 	pair_close(&p);
 }
@@ -252,15 +252,15 @@
 	pair_t p;
 
 	pair_open(&p);
-	p.manner = STREAM;
+	p.reply_mode = STREAM;
 	call(&p, post);
 	turn(&p, 1.0);
-	ck_assert_int_eq(p.how, HTTP_CALL_DONE);
+	ck_assert_int_eq(p.call_end, HTTP_CALL_DONE);
 	ck_assert(str_eq(str_buf(&p.body), STR("onetwo")));
-	p.manner = ABORT;
+	p.reply_mode = ABORT;
 	call(&p, post);
 	turn(&p, 1.0);
-	ck_assert_int_eq(p.how, HTTP_CALL_BROKEN);
+	ck_assert_int_eq(p.call_end, HTTP_CALL_BROKEN);
 	pair_close(&p);
 }
 END_TEST
@@ -271,14 +271,14 @@
 	http_call_t *c;
 
 	pair_open(&p);
-	p.manner = HOLD;
+	p.reply_mode = HOLD;
 	c = call(&p, post);
 	turn(&p, 0.1);
 	ck_assert_int_eq(p.requests, 1);
 	http_call_cancel(c);
 	turn(&p, 0.1);
-	ck_assert_int_eq(p.gone, 1);
-	ck_assert_int_eq(p.ended, 0);
+	ck_assert_int_eq(p.clients_gone, 1);
+	ck_assert_int_eq(p.calls_ended, 0);
 	ck_assert_uint_eq(http_server_open_requests(p.server), 0);
 	pair_close(&p);
 }
@@ -292,8 +292,8 @@
 	snprintf(p.addr, sizeof(p.addr), "127.0.0.1:%u", free_port());
 	call(&p, post);
 	turn(&p, 1.0);
-	ck_assert_int_eq(p.ended, 1);
-	ck_assert_int_eq(p.how, HTTP_CALL_UNSENT);
+	ck_assert_int_eq(p.calls_ended, 1);
+	ck_assert_int_eq(p.call_end, HTTP_CALL_UNSENT);
 	pair_close(&p);
 }
 END_TEST
@@ -307,7 +307,7 @@
 	for (int i = 0; i < 2; i++) {
 		call(&p, post);
 		turn(&p, 1.0);
-		ck_assert_int_eq(p.how, HTTP_CALL_DONE);
+		ck_assert_int_eq(p.call_end, HTTP_CALL_DONE);
 	}
 	ck_assert_uint_eq(http_client_connects(p.client), 2);
 	pair_close(&p);
@@ -411,11 +411,11 @@
 	c = call(&p, post);
 	ck_assert(!http_call_reused_conn(c));
 	turn(&p, 1.0);
-	ck_assert_int_eq(p.how, HTTP_CALL_DONE);
+	ck_assert_int_eq(p.call_end, HTTP_CALL_DONE);
 	c = call(&p, post);
 	ck_assert(http_call_reused_conn(c));
 	turn(&p, 1.0);
-	ck_assert_int_eq(p.ended, 2);
+	ck_assert_int_eq(p.calls_ended, 2);
 	pair_close(&p);
 }
 END_TEST
--- a/tests/unit/test_net_endless.c
+++ b/tests/unit/test_net_endless.c
@@ -59,7 +59,7 @@
 	struct ev_loop *loop;
 	ev_io accept;
 	ev_io conn;
-	str_t begin; /* sent once for each request */
+	str_t reply_start; /* sent once for each request */
 	str_t repeat; /* sent without end */
 	size_t sent;
 } raw_t;
@@ -77,7 +77,7 @@
 			close(w->fd);
 			return;
 		}
-		n = send(w->fd, r->begin.p, r->begin.n, MSG_NOSIGNAL);
+		n = send(w->fd, r->reply_start.p, r->reply_start.n, MSG_NOSIGNAL);
 		r->sent += n > 0 ? (size_t)n : 0;
 		ev_io_stop(loop, w);
 		ev_io_set(w, w->fd, r->repeat.n ? EV_WRITE : EV_READ);
@@ -137,7 +137,7 @@
 
 START_TEST(an_answer_without_end_is_given_up)
 {
-	raw_t r = {.begin = str_c(endless[_i].begin)};
+	raw_t r = {.reply_start = str_c(endless[_i].begin)};
 	AUTO_BUF repeat = {0};
 	pair_t p;
 
@@ -148,8 +148,8 @@
 	raw_open(&r, &p);
 	call(&p, post);
 	turn(&p, 5.0);
-	ck_assert_int_eq(p.ended, 1);
-	ck_assert_int_eq(p.how, endless[_i].how);
+	ck_assert_int_eq(p.calls_ended, 1);
+	ck_assert_int_eq(p.call_end, endless[_i].how);
 	ck_assert_uint_le(p.body.n, ANSWER_BYTES);
 	ev_io_stop(p.loop, &r.accept);
 	close(r.accept.fd);
@@ -163,7 +163,7 @@
 	static const char *const begins[] = {
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n"};
-	raw_t r = {.begin = str_c(begins[_i])};
+	raw_t r = {.reply_start = str_c(begins[_i])};
 	AUTO_BUF repeat = {0};
 	pair_t p;
 
@@ -174,8 +174,8 @@
 	raw_open(&r, &p);
 	call(&p, post);
 	turn(&p, 5.0);
-	ck_assert_int_eq(p.ended, 1);
-	ck_assert_int_ne(p.how, HTTP_CALL_DONE);
+	ck_assert_int_eq(p.calls_ended, 1);
+	ck_assert_int_ne(p.call_end, HTTP_CALL_DONE);
 	ev_io_stop(p.loop, &r.accept);
 	close(r.accept.fd);
 	pair_close(&p);
--- a/tests/unit/test_owner.c
+++ b/tests/unit/test_owner.c
@@ -10,7 +10,7 @@
 
 /** What the owner was told and said; the effects it asked for. */
 typedef struct {
-	owner_t *w;
+	owner_t *owner;
 	state_t state[IDS];
 	owner_class_t cls[IDS];
 	unsigned count[REFUSED + 1];
@@ -68,7 +68,7 @@
 static void open_owner(const owner_options_t *o)
 {
 	m = (model_t){.slots = o->slots};
-	m.w = owner_new(o, 0);
+	m.owner = owner_new(o, 0);
 }
 
 static owner_answer_t offer(owner_stream_t s, int64_t now)
@@ -79,7 +79,7 @@
 	m.cls[s.id] = s.cls;
 	if (s.cls == OWNER_ONLINE) /* it waits until the answer says otherwise */
 		move(s.id, NONE, WAITING);
-	a = owner_offer(m.w, &s, now, &retry);
+	a = owner_offer(m.owner, &s, now, &retry);
 	if (a == OWNER_REFUSED && s.cls == OWNER_ONLINE)
 		move(s.id, WAITING, REFUSED);
 	if (a == OWNER_REFUSED)
@@ -106,7 +106,7 @@
 static void end(uint64_t id, int64_t now)
 {
 	move(id, m.state[id], ENDED);
-	owner_stream_ended(m.w, id, now);
+	owner_stream_ended(m.owner, id, now);
 }
 
 START_TEST(online_starts_by_deadline)
@@ -122,11 +122,11 @@
 	ck_assert_uint_eq(m.last_started, 3);
 	end(3, 20);
 	ck_assert_uint_eq(m.last_started, 4);
-	owner_withdraw(m.w, 2, 20);
+	owner_withdraw(m.owner, 2, 20);
 	move(2, WAITING, ENDED);
 	end(4, 30);
 	ck_assert_uint_eq(m.count[RUNNING], 0);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -145,7 +145,7 @@
 		before++;
 	}
 	ck_assert_uint_le(before, 4);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -168,7 +168,7 @@
 	ck_assert_uint_eq(m.last_started, 11);
 	ck_assert_int_eq(online(12, 9000, 1, 6), OWNER_QUEUED);
 	ck_assert_uint_eq(m.count[CANCELLING], 1); /* the cancel under way serves it */
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -182,7 +182,7 @@
 	batch(2, false, 0);
 	ck_assert_int_eq(online(10, 9000, 1, 0), OWNER_QUEUED);
 	ck_assert_uint_eq(m.count[CANCELLING], 0);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -193,13 +193,13 @@
 	o.reserve = OWNER_RESERVE_FIXED;
 	o.reserved_slots = 2;
 	open_owner(&o);
-	ck_assert_uint_eq(owner_batch_headroom(m.w, 0), 6);
+	ck_assert_uint_eq(owner_batch_headroom(m.owner, 0), 6);
 	for (uint64_t id = 1; id <= 6; id++)
 		ck_assert_int_eq(batch(id, false, 0), OWNER_STARTED);
 	ck_assert_int_eq(batch(7, false, 0), OWNER_REFUSED);
 	ck_assert_int_eq(online(10, 9000, 1, 0), OWNER_STARTED);
 	ck_assert_uint_eq(m.count[CANCELLING], 0);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -211,19 +211,19 @@
 	online(10, 9000, 1, 0);
 	online(11, 9000, 1, 0);
 	o.slots = m.slots = 3;
-	owner_update(m.w, &o);
-	ck_assert_uint_eq(owner_batch_headroom(m.w, 0), 0);
+	owner_update(m.owner, &o);
+	ck_assert_uint_eq(owner_batch_headroom(m.owner, 0), 0);
 	ck_assert_int_eq(batch(1, false, 0), OWNER_STARTED);
 	ck_assert_int_eq(m.state[11], RUNNING);
 	o.slots = 1; /* what runs stays */
-	owner_update(m.w, &o);
+	owner_update(m.owner, &o);
 	ck_assert_int_eq(online(12, 9000, 1, 0), OWNER_QUEUED);
 	end(1, 0);
 	end(10, 0);
 	ck_assert_int_eq(m.state[12], WAITING);
 	end(11, 0);
 	ck_assert_int_eq(m.state[12], RUNNING);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -233,16 +233,16 @@
 
 	o.reserve = OWNER_RESERVE_PEAK;
 	open_owner(&o);
-	ck_assert_uint_eq(owner_batch_headroom(m.w, 0), 8);
+	ck_assert_uint_eq(owner_batch_headroom(m.owner, 0), 8);
 	for (uint64_t id = 1; id <= 3; id++)
 		online(id, 9000, id, 10);
 	for (uint64_t id = 1; id <= 3; id++)
 		end(id, 20);
-	owner_tick(m.w, 1000);
-	ck_assert_uint_eq(owner_batch_headroom(m.w, 1000), 5);
-	owner_tick(m.w, 200000);
-	ck_assert_uint_eq(owner_batch_headroom(m.w, 200000), 8);
-	owner_free(m.w);
+	owner_tick(m.owner, 1000);
+	ck_assert_uint_eq(owner_batch_headroom(m.owner, 1000), 5);
+	owner_tick(m.owner, 200000);
+	ck_assert_uint_eq(owner_batch_headroom(m.owner, 200000), 8);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -251,7 +251,7 @@
 	int64_t now = from_ms;
 
 	for (; now < from_ms + ms; now += 10)
-		owner_record_token(m.w, id, step_us, now);
+		owner_record_token(m.owner, id, step_us, now);
 	return now;
 }
 
@@ -266,19 +266,19 @@
 	for (uint64_t id = 1; id <= 4; id++)
 		batch(id, false, 0);
 	now = run_steps(1, 70000, 0, 9000);
-	owner_stats(m.w, now, &st);
+	owner_stats(m.owner, now, &st);
 	ck_assert_int_eq(st.step_us, 70000);
 	end(2, now);
 	end(3, now);
 	end(4, now);
-	shrunk = owner_batch_headroom(m.w, now);
+	shrunk = owner_batch_headroom(m.owner, now);
 	ck_assert_uint_eq(shrunk, 0);
 	now = run_steps(1, 20000, now, 7000);
-	ck_assert_uint_gt(owner_batch_headroom(m.w, now), shrunk);
-	ck_assert_uint_lt(owner_batch_headroom(m.w, now), 4); /* slowly */
+	ck_assert_uint_gt(owner_batch_headroom(m.owner, now), shrunk);
+	ck_assert_uint_lt(owner_batch_headroom(m.owner, now), 4); /* slowly */
 	now = run_steps(1, 20000, now, 14000);
-	ck_assert_uint_eq(owner_batch_headroom(m.w, now), 7);
-	owner_free(m.w);
+	ck_assert_uint_eq(owner_batch_headroom(m.owner, now), 7);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -299,7 +299,7 @@
 	ck_assert_uint_eq(m.count[RUNNING], 0);
 	end(2, now);
 	ck_assert_uint_eq(m.last_started, 10);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -319,7 +319,7 @@
 	ck_assert_uint_eq(m.count[CANCELLING], 0);
 	end(4, 0);
 	ck_assert_uint_eq(m.last_started, 10);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -340,11 +340,11 @@
 	ck_assert_int_eq(online(id++, 51000, 90, 50000), OWNER_QUEUED); /* goes first */
 	ck_assert_int_eq(online(id++, 50400, 91, 50000), OWNER_REFUSED);
 	ck_assert_int_eq(m.last_retry_ms, 500);
-	owner_tick(m.w, 50400);
+	owner_tick(m.owner, 50400);
 	ck_assert_uint_eq(m.count[REFUSED], 1);
-	owner_tick(m.w, 50600);
+	owner_tick(m.owner, 50600);
 	ck_assert_uint_eq(m.count[REFUSED], 2);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -356,16 +356,16 @@
 	batch(1, false, 0);
 	online(10, 9000, 1, 0);
 	online(11, 9000, 1, 0);
-	owner_close(m.w, true, 0);
+	owner_close(m.owner, true, 0);
 	ck_assert_int_eq(m.state[11], REFUSED);
 	ck_assert_int_eq(m.state[1], CANCELLING);
 	ck_assert_int_eq(m.state[10], RUNNING);
 	ck_assert_int_eq(online(12, 9000, 1, 0), OWNER_REFUSED);
 	ck_assert_int_eq(batch(2, false, 0), OWNER_REFUSED);
-	ck_assert_uint_eq(owner_batch_headroom(m.w, 0), 0);
+	ck_assert_uint_eq(owner_batch_headroom(m.owner, 0), 0);
 	end(1, 1);
 	end(10, 1);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
@@ -411,14 +411,14 @@
 		id = any_in(WAITING, WAITING, *newest, r >> 8);
 		if (id && (r >> 40) % 4 == 0) {
 			move(id, WAITING, ENDED);
-			owner_withdraw(m.w, id, now);
+			owner_withdraw(m.owner, id, now);
 		}
 		break;
 	default:
 		id = any_in(RUNNING, RUNNING, *newest, r >> 8);
 		if (id)
-			owner_record_token(m.w, id, 1 + (int64_t)(r >> 8) % 90000, now);
-		owner_tick(m.w, now);
+			owner_record_token(m.owner, id, 1 + (int64_t)(r >> 8) % 90000, now);
+		owner_tick(m.owner, now);
 		break;
 	}
 	if (m.count[CANCELLING] > under_way)
@@ -429,7 +429,7 @@
 {
 	owner_stats_t st;
 
-	owner_stats(m.w, now, &st);
+	owner_stats(m.owner, now, &st);
 	ck_assert_uint_eq(st.queued, m.count[WAITING]);
 	ck_assert_uint_eq(st.cancelling, m.count[CANCELLING]);
 	ck_assert_uint_eq(st.running_online + st.running_batch, m.count[RUNNING]);
@@ -455,13 +455,13 @@
 		random_step(&rnd, &newest, now);
 		check_counts(now);
 	}
-	owner_close(m.w, true, now);
+	owner_close(m.owner, true, now);
 	for (uint64_t id = 1; id <= newest; id++) {
 		if (m.state[id] == RUNNING || m.state[id] == CANCELLING)
 			end(id, now);
 	}
 	ck_assert_uint_eq(m.count[RUNNING] + m.count[CANCELLING] + m.count[WAITING], 0);
-	owner_free(m.w);
+	owner_free(m.owner);
 }
 END_TEST
 
--- a/tests/unit/test_raft.c
+++ b/tests/unit/test_raft.c
@@ -25,21 +25,21 @@
 static void tick(sim_node_t *n, unsigned ticks)
 {
 	for (unsigned i = 0; i < ticks; i++)
-		raft_tick(n->rf);
+		raft_tick(n->raft);
 }
 
 static raft_status_t view(const sim_node_t *n)
 {
 	raft_status_t v;
 
-	raft_get_status(n->rf, &v);
+	raft_get_status(n->raft, &v);
 	return v;
 }
 
 static sim_node_t *leader(void)
 {
 	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		if (s->nodes[i].rf && raft_role(s->nodes[i].rf) == RAFT_LEADER)
+		if (s->nodes[i].raft && raft_role(s->nodes[i].raft) == RAFT_LEADER)
 			return &s->nodes[i];
 	}
 	return NULL;
@@ -50,14 +50,14 @@
 {
 	tick(&s->nodes[slot], 2 * ELECTION_TICKS);
 	sim_settle(s);
-	ck_assert_int_eq(raft_role(s->nodes[slot].rf), RAFT_LEADER);
+	ck_assert_int_eq(raft_role(s->nodes[slot].raft), RAFT_LEADER);
 	return &s->nodes[slot];
 }
 
 static uint64_t propose(sim_node_t *n)
 {
 	sim_cmd_t cmd = {.op = ++s->next_op};
-	uint64_t index = raft_propose(n->rf, (str_t){(const char *)&cmd, sizeof(cmd)});
+	uint64_t index = raft_propose(n->raft, (str_t){(const char *)&cmd, sizeof(cmd)});
 
 	ck_assert_uint_ne(index, 0);
 	sim_call_begin(s, n, false, cmd.op, index, 0);
@@ -94,13 +94,13 @@
 	sim_node_t *l = elect(0);
 	uint64_t term = view(l).term;
 
-	s->nodes[1].island = 1;
+	s->nodes[1].partition = 1;
 	for (int i = 0; i < 20; i++) {
 		tick(&s->nodes[1], ELECTION_TICKS);
 		sim_settle(s);
 	}
 	ck_assert_uint_eq(view(&s->nodes[1]).term, term);
-	s->nodes[1].island = 0;
+	s->nodes[1].partition = 0;
 	tick(l, 2);
 	sim_settle(s);
 	ck_assert_ptr_eq(leader(), l);
@@ -121,7 +121,7 @@
 
 	tick(&s->nodes[1], 2 * ELECTION_TICKS);
 	sim_settle(s);
-	raft_receive(s->nodes[2].rf, &vote);
+	raft_receive(s->nodes[2].raft, &vote);
 	sim_settle(s);
 	ck_assert_uint_eq(view(&s->nodes[2]).term, term);
 	ck_assert_ptr_eq(leader(), l);
@@ -132,9 +132,9 @@
 {
 	sim_node_t *l = elect(0);
 
-	l->island = 1;
+	l->partition = 1;
 	tick(l, ELECTION_TICKS + 1);
-	ck_assert_int_ne(raft_role(l->rf), RAFT_LEADER);
+	ck_assert_int_ne(raft_role(l->raft), RAFT_LEADER);
 }
 END_TEST
 
@@ -146,15 +146,15 @@
 
 	propose(l);
 	sim_settle(s);
-	s->nodes[4].island = 1;
-	ck_assert_int_eq(raft_add_learner(l->rf, &p, &index), STATUS_OK);
+	s->nodes[4].partition = 1;
+	ck_assert_int_eq(raft_add_learner(l->raft, &p, &index), STATUS_OK);
 	sim_settle(s);
 	ck_assert_uint_ge(view(l).commit, index);
-	ck_assert_int_eq(raft_promote(l->rf, p.id, &index), STATUS_LIMIT);
-	s->nodes[4].island = 0;
+	ck_assert_int_eq(raft_promote(l->raft, p.id, &index), STATUS_LIMIT);
+	s->nodes[4].partition = 0;
 	tick(l, 2);
 	sim_settle(s);
-	ck_assert_int_eq(raft_promote(l->rf, p.id, &index), STATUS_OK);
+	ck_assert_int_eq(raft_promote(l->raft, p.id, &index), STATUS_OK);
 	sim_settle(s);
 	ck_assert_uint_eq(view(&s->nodes[4]).last, view(l).last);
 }
@@ -166,7 +166,7 @@
 	raft_msg_t vote = {
 		.type = RAFT_VOTE, .from = s->nodes[1].id, .to = n->id, .term = 5, .index = 1};
 
-	raft_receive(n->rf, &vote);
+	raft_receive(n->raft, &vote);
 	ck_assert_uint_eq(count_packets(2), 0);
 	sim_node_sync(n, SIZE_MAX);
 	ck_assert_uint_eq(count_packets(2), 1);
@@ -179,7 +179,7 @@
 	sim_node_t *l = elect(0);
 	uint64_t index = propose(l);
 
-	raft_flush(l->rf);
+	raft_flush(l->raft);
 	for (int i = 0; i < 50; i++)
 		sim_deliver(s);
 	ck_assert_uint_lt(view(l).commit, index);
@@ -198,7 +198,7 @@
 	sim_node_t *l = elect(0);
 	uint64_t index = propose(l);
 
-	raft_flush(l->rf);
+	raft_flush(l->raft);
 	while (s->npackets)
 		sim_deliver(s);
 	sim_node_sync(&s->nodes[1], SIZE_MAX);
@@ -219,22 +219,22 @@
 
 	propose(old);
 	sim_settle(s);
-	old->island = 1;
+	old->partition = 1;
 	sim_call_begin(s, old, true, 1000, 0, 0);
-	ck_assert(raft_read_index(old->rf, 1000));
+	ck_assert(raft_read_index(old->raft, 1000));
 	sim_settle(s);
 	ck_assert_uint_eq(res.reads, 0);
 	tick(&s->nodes[2], ELECTION_TICKS);
 	now = elect(1);
 	propose(now);
 	sim_settle(s);
-	old->island = 0;
+	old->partition = 0;
 	tick(now, 2);
 	sim_settle(s);
 	ck_assert_uint_eq(res.reads, 0);
 	ck_assert_uint_eq(s->ncalls, 0); /* it was told that leadership was lost */
 	sim_call_begin(s, now, true, 1001, 0, 0);
-	ck_assert(raft_read_index(now->rf, 1001));
+	ck_assert(raft_read_index(now->raft, 1001));
 	sim_settle(s);
 	ck_assert_uint_eq(res.reads, 1);
 }
@@ -247,7 +247,7 @@
 	uint64_t index;
 
 	sim_lose_disk(s, &s->nodes[1]);
-	raft_receive(s->nodes[1].rf, &vote); /* for the id that the address had before */
+	raft_receive(s->nodes[1].raft, &vote); /* for the id that the address had before */
 	ck_assert_uint_eq(view(&s->nodes[1]).term, 0);
 	sim_node_stop(&s->nodes[2]);
 	index = propose(l);
@@ -258,7 +258,7 @@
 	ck_assert_uint_lt(view(l).commit, index);
 	ck_assert_uint_eq(view(&s->nodes[1]).last, 0);
 	tick(l, ELECTION_TICKS);
-	ck_assert_int_ne(raft_role(l->rf), RAFT_LEADER);
+	ck_assert_int_ne(raft_role(l->raft), RAFT_LEADER);
 }
 END_TEST
 
@@ -267,8 +267,8 @@
 	sim_node_t *l = elect(0);
 
 	propose(l);
-	ck_assert(raft_transfer_leadership(l->rf));
-	ck_assert_uint_eq(raft_propose(l->rf, STR("x")), 0);
+	ck_assert(raft_transfer_leadership(l->raft));
+	ck_assert_uint_eq(raft_propose(l->raft, STR("x")), 0);
 	sim_settle(s);
 	ck_assert_ptr_nonnull(leader());
 	ck_assert_ptr_ne(leader(), l);
@@ -288,7 +288,7 @@
 		sim_node_snapshot(l);
 	}
 	ck_assert_uint_gt(view(l).base, 1);
-	ck_assert_int_eq(raft_add_learner(l->rf, &p, &index), STATUS_OK);
+	ck_assert_int_eq(raft_add_learner(l->raft, &p, &index), STATUS_OK);
 	for (int i = 0; i < 4; i++) {
 		sim_settle(s);
 		tick(l, 1);
@@ -308,22 +308,22 @@
 	group_peer_t second = {.id = s->nodes[5].id};
 	uint64_t index;
 
-	ck_assert_int_eq(raft_add_learner(l->rf, &first, &index), STATUS_OK);
-	ck_assert_int_eq(raft_add_learner(l->rf, &second, &index), STATUS_LIMIT);
+	ck_assert_int_eq(raft_add_learner(l->raft, &first, &index), STATUS_OK);
+	ck_assert_int_eq(raft_add_learner(l->raft, &second, &index), STATUS_LIMIT);
 	sim_settle(s);
-	ck_assert_int_eq(raft_add_learner(l->rf, &second, &index), STATUS_OK);
+	ck_assert_int_eq(raft_add_learner(l->raft, &second, &index), STATUS_OK);
 	sim_settle(s);
 	tick(l, 2);
 	sim_settle(s);
 	/* A new leader first commits an entry of its own term. */
-	ck_assert(raft_transfer_leadership(l->rf));
-	for (unsigned i = 0; raft_role(l->rf) == RAFT_LEADER || !leader(); i++) {
+	ck_assert(raft_transfer_leadership(l->raft));
+	for (unsigned i = 0; raft_role(l->raft) == RAFT_LEADER || !leader(); i++) {
 		sim_deliver(s);
 		sim_node_sync(&s->nodes[i % 3], SIZE_MAX);
 	}
-	ck_assert_int_eq(raft_remove(leader()->rf, second.id, &index), STATUS_LIMIT);
+	ck_assert_int_eq(raft_remove(leader()->raft, second.id, &index), STATUS_LIMIT);
 	sim_settle(s);
-	ck_assert_int_eq(raft_remove(leader()->rf, second.id, &index), STATUS_OK);
+	ck_assert_int_eq(raft_remove(leader()->raft, second.id, &index), STATUS_OK);
 	sim_settle(s);
 }
 END_TEST
@@ -338,8 +338,8 @@
 		tick(l, 1);
 		sim_settle(s);
 	}
-	ck_assert_int_eq(raft_remove(l->rf, s->nodes[2].id, &index), STATUS_LIMIT);
-	ck_assert_int_eq(raft_remove(l->rf, s->ids[1].id, &index), STATUS_OK);
+	ck_assert_int_eq(raft_remove(l->raft, s->nodes[2].id, &index), STATUS_LIMIT);
+	ck_assert_int_eq(raft_remove(l->raft, s->ids[1].id, &index), STATUS_OK);
 	sim_settle(s);
 	ck_assert_uint_ge(view(l).commit, index);
 }
@@ -350,9 +350,9 @@
 	sim_node_t *l = elect(0);
 	uint64_t index;
 
-	ck_assert_int_eq(raft_remove(l->rf, l->id, &index), STATUS_OK);
+	ck_assert_int_eq(raft_remove(l->raft, l->id, &index), STATUS_OK);
 	sim_settle(s);
-	ck_assert_int_ne(raft_role(l->rf), RAFT_LEADER);
+	ck_assert_int_ne(raft_role(l->raft), RAFT_LEADER);
 	tick(&s->nodes[2], ELECTION_TICKS);
 	elect(1);
 }
@@ -365,25 +365,25 @@
 	raft_msg_t ack = {
 		.type = RAFT_APPEND_RESP, .from = s->nodes[1].id, .to = l->id, .index = old};
 
-	l->island = 1;
+	l->partition = 1;
 	sim_settle(s);
-	raft_step_down(l->rf);
+	raft_step_down(l->raft);
 	tick(&s->nodes[1], ELECTION_TICKS);
 	tick(&s->nodes[2], ELECTION_TICKS);
 	drop_packets();
-	l->island = 0;
+	l->partition = 0;
 	tick(l, 2 * ELECTION_TICKS);
-	while (raft_role(l->rf) != RAFT_LEADER) {
+	while (raft_role(l->raft) != RAFT_LEADER) {
 		sim_deliver(s);
 		for (int i = 0; i < 3; i++)
 			sim_node_sync(&s->nodes[i], SIZE_MAX);
 	}
 	ack.term = view(l).term;
 	ack.index = old;
-	raft_receive(l->rf, &ack);
+	raft_receive(l->raft, &ack);
 	ck_assert_uint_lt(view(l).commit, old);
 	ack.index = view(l).last;
-	raft_receive(l->rf, &ack);
+	raft_receive(l->raft, &ack);
 	sim_node_sync(l, SIZE_MAX);
 	ck_assert_uint_gt(view(l).commit, old);
 }
@@ -402,7 +402,7 @@
 	ck_assert_uint_lt(view(f).commit, first);
 	snap.index = first;
 	snap.log_term = view(l).term;
-	raft_receive(f->rf, &snap);
+	raft_receive(f->raft, &snap);
 	ck_assert_uint_eq(view(f).last, last);
 	ck_assert_uint_eq(view(f).commit, first);
 	sim_settle(s);
@@ -414,15 +414,15 @@
 	sim_node_t *l = elect(0);
 	uint64_t index;
 
-	ck_assert_int_eq(raft_remove(l->rf, s->nodes[2].id, &index), STATUS_OK);
+	ck_assert_int_eq(raft_remove(l->raft, s->nodes[2].id, &index), STATUS_OK);
 	sim_settle(s);
 	sim_node_stop(&s->nodes[2]);
-	l->island = 1;
-	ck_assert_int_eq(raft_remove(l->rf, l->id, &index), STATUS_OK);
+	l->partition = 1;
+	ck_assert_int_eq(raft_remove(l->raft, l->id, &index), STATUS_OK);
 	sim_settle(s);
 	tick(l, ELECTION_TICKS + 1);
 	tick(&s->nodes[1], ELECTION_TICKS);
-	l->island = 0;
+	l->partition = 0;
 	for (int i = 0; i < 6; i++) {
 		tick(l, ELECTION_TICKS);
 		tick(&s->nodes[1], ELECTION_TICKS);
