--- a/tests/unit/net_kit.h
+++ b/tests/unit/http_kit.h
@@ -1,6 +1,6 @@
 /** A listener and a client on one loop, over loopback, for tests. */
-#ifndef AUBURN_NET_KIT_H
-#define AUBURN_NET_KIT_H
+#ifndef AUBURN_HTTP_KIT_H
+#define AUBURN_HTTP_KIT_H
 
 #include <arpa/inet.h>
 #include <stdio.h>
--- a/tests/unit/ledger_model.h
+++ b/tests/unit/ledger_model.h
@@ -21,24 +21,24 @@
 	unsigned fails, deaths;
 	bool exists, repeatable;
 	char result[16];
-} mreq_t;
+} model_request_t;
 
-typedef enum { M_WAITING, M_LEASED, M_DONE, M_FAILED, M_DROPPED } mstate_t;
+typedef enum { MODEL_WAITING, MODEL_LEASED, MODEL_DONE, MODEL_FAILED, MODEL_DROPPED } model_state_t;
 
 typedef struct {
-	mstate_t state;
+	model_state_t state;
 	uint64_t session;
 	unsigned attempt;
 	unsigned fails, deaths;
 	char result[16];
-} mitem_t;
+} model_item_t;
 
 typedef struct {
 	bool exists, sealed, cancelled, ended;
 	unsigned count, received;
 	int64_t deadline_ms, opened_ms, end_ms;
-	mitem_t items[ITEMS];
-} mjob_t;
+	model_item_t items[ITEMS];
+} model_job_t;
 
 /* Something that LEASE handed out at some time. */
 typedef struct {
@@ -47,22 +47,22 @@
 	unsigned index;
 	unsigned attempt;
 	uint64_t session;
-} given_t;
+} model_lease_t;
 
 typedef struct {
 	uint64_t session;
 	uint64_t seq;
-	given_t last_leases[LEDGER_LEASE_ITEMS_MAX];
+	model_lease_t last_leases[LEDGER_LEASE_ITEMS_MAX];
 	unsigned nlast_leases;
-} slot_t;
+} model_session_t;
 
 /* The ledger, and a twin that applies the same commands but is never restored. */
 static ledger_t *l;
 static ledger_t *twin;
-static mreq_t reqs[KEYS];
-static mjob_t jobs[JOBS];
-static slot_t slots[SLOTS];
-static given_t given[GIVEN];
+static model_request_t reqs[KEYS];
+static model_job_t jobs[JOBS];
+static model_session_t slots[SLOTS];
+static model_lease_t given[GIVEN];
 static unsigned ngiven;
 static uint64_t last_session;
 static uint64_t dropped;
@@ -135,12 +135,12 @@
 	return slots[rnd(SLOTS)].session;
 }
 
-static void new_session(slot_t *s)
+static void new_session(model_session_t *s)
 {
-	*s = (slot_t){.session = ++last_session};
+	*s = (model_session_t){.session = ++last_session};
 }
 
-static void end_req(mreq_t *r, wire_state_t state, const char *result)
+static void end_req(model_request_t *r, wire_state_t state, const char *result)
 {
 	r->state = state;
 	r->session = 0;
@@ -148,7 +148,7 @@
 	snprintf(r->result, sizeof(r->result), "%s", result);
 }
 
-static void check_record(const mreq_t *r, const wire_record_t *rec)
+static void check_record(const model_request_t *r, const wire_record_t *rec)
 {
 	ck_assert_int_eq(rec->state, r->state);
 	ck_assert(rec->session == r->session);
@@ -158,7 +158,7 @@
 		ck_assert_int_eq(rec->verdict, VERDICT_MAY_HAVE_RUN);
 }
 
-static unsigned tally(const mjob_t *j, mstate_t state)
+static unsigned tally(const model_job_t *j, model_state_t state)
 {
 	unsigned n = 0;
 
@@ -167,22 +167,22 @@
 	return n;
 }
 
-static void check_job(const mjob_t *j, const wire_job_t *got)
+static void check_job(const model_job_t *j, const wire_job_t *got)
 {
 	ck_assert_uint_eq(got->count, j->count);
 	ck_assert_uint_eq(got->received, j->received);
 	ck_assert_int_eq(got->sealed, j->sealed);
 	ck_assert_int_eq(got->cancelled, j->cancelled);
-	ck_assert_uint_eq(got->waiting, tally(j, M_WAITING));
-	ck_assert_uint_eq(got->leased, tally(j, M_LEASED));
-	ck_assert_uint_eq(got->done, tally(j, M_DONE));
-	ck_assert_uint_eq(got->failed, tally(j, M_FAILED));
-	ck_assert_uint_eq(got->dropped, tally(j, M_DROPPED));
+	ck_assert_uint_eq(got->waiting, tally(j, MODEL_WAITING));
+	ck_assert_uint_eq(got->leased, tally(j, MODEL_LEASED));
+	ck_assert_uint_eq(got->done, tally(j, MODEL_DONE));
+	ck_assert_uint_eq(got->failed, tally(j, MODEL_FAILED));
+	ck_assert_uint_eq(got->dropped, tally(j, MODEL_DROPPED));
 }
 
-static void settle(mjob_t *j)
+static void settle(model_job_t *j)
 {
-	bool open = tally(j, M_WAITING) || tally(j, M_LEASED);
+	bool open = tally(j, MODEL_WAITING) || tally(j, MODEL_LEASED);
 
 	if (j->ended || open || !(j->sealed || j->cancelled))
 		return;
@@ -199,7 +199,7 @@
 		int64_t band = jobs[n].deadline_ms / LEDGER_BAND_MS;
 		bool over = (band + 1) * LEDGER_BAND_MS <= kit_now_ms;
 
-		if (jobs[n].exists && jobs[n].sealed && tally(&jobs[n], M_WAITING) &&
+		if (jobs[n].exists && jobs[n].sealed && tally(&jobs[n], MODEL_WAITING) &&
 		    over == overdue && band < best)
 			best = band;
 	}
@@ -207,15 +207,15 @@
 }
 
 /* True when session holds what g names, under the same attempt. */
-static bool leased_to(uint64_t session, const given_t *g)
+static bool leased_to(uint64_t session, const model_lease_t *g)
 {
-	const mreq_t *r = &reqs[g->number];
-	const mitem_t *m;
+	const model_request_t *r = &reqs[g->number];
+	const model_item_t *m;
 
 	if (g->request)
 		return r->exists && r->session == session && r->attempt == g->attempt;
 	m = &jobs[g->number].items[g->index];
-	return jobs[g->number].exists && m->state == M_LEASED && m->session == session &&
+	return jobs[g->number].exists && m->state == MODEL_LEASED && m->session == session &&
 	       m->attempt == g->attempt;
 }
 
@@ -227,7 +227,7 @@
 		unsigned held = 0;
 
 		for (unsigned i = 0; i < jobs[j].count; i++)
-			held += jobs[j].items[i].state == M_LEASED &&
+			held += jobs[j].items[i].state == MODEL_LEASED &&
 				jobs[j].items[i].session == session;
 		n += jobs[j].exists && jobs[j].cancelled && held;
 	}
@@ -241,7 +241,7 @@
 	return *fails >= LEDGER_ITEM_FAILS_MAX || *deaths >= LEDGER_DEATHS_MAX;
 }
 
-static void model_req_result(mreq_t *r, const wire_item_result_t *v, const char *body)
+static void model_req_result(model_request_t *r, const wire_item_result_t *v, const char *body)
 {
 	if (v->done)
 		end_req(r, WIRE_DONE, body);
@@ -253,17 +253,17 @@
 		r->token = 0;
 }
 
-static void model_item_result(mjob_t *j, mitem_t *m, const wire_item_result_t *v, const char *body)
+static void model_item_result(model_job_t *j, model_item_t *m, const wire_item_result_t *v, const char *body)
 {
 	if (j->cancelled)
-		m->state = M_DROPPED;
+		m->state = MODEL_DROPPED;
 	else if (v->done)
-		m->state = M_DONE;
+		m->state = MODEL_DONE;
 	else if (used_up(&m->fails, &m->deaths, v->blame))
-		m->state = M_FAILED;
+		m->state = MODEL_FAILED;
 	else
-		m->state = M_WAITING;
-	if (m->state == M_DONE || m->state == M_FAILED)
+		m->state = MODEL_WAITING;
+	if (m->state == MODEL_DONE || m->state == MODEL_FAILED)
 		snprintf(m->result, sizeof(m->result), "%s", body);
 	settle(j);
 }
@@ -278,8 +278,8 @@
 	}
 	for (unsigned j = 0; j < JOBS; j++) {
 		for (unsigned i = 0; i < jobs[j].count; i++)
-			if (jobs[j].items[i].state == M_LEASED)
-				jobs[j].items[i].state = jobs[j].cancelled ? M_DROPPED : M_WAITING;
+			if (jobs[j].items[i].state == MODEL_LEASED)
+				jobs[j].items[i].state = jobs[j].cancelled ? MODEL_DROPPED : MODEL_WAITING;
 		settle(&jobs[j]);
 	}
 }
@@ -298,10 +298,10 @@
 		if (jobs[n].exists)
 			check_job(&jobs[n], &q.jobs.jobs_val[0]);
 		for (unsigned i = 0; i < r.items.items_len; i++) {
-			const mitem_t *m = &jobs[n].items[i];
+			const model_item_t *m = &jobs[n].items[i];
 
 			ck_assert_uint_eq(r.items.items_val[i].attempts, m->attempt);
-			if (m->state == M_DONE || m->state == M_FAILED)
+			if (m->state == MODEL_DONE || m->state == MODEL_FAILED)
 				ck_assert(kit_is(r.items.items_val[i].body, m->result));
 		}
 	}
--- a/tests/unit/sim.c
+++ b/tests/unit/sim.c
@@ -15,16 +15,16 @@
 
 static sim_node_t *any_node(sim_t *s)
 {
-	return &s->nodes[sim_random(s, SIM_SLOTS)];
+	return &s->nodes[sim_random(s, SIM_ADDRS)];
 }
 
 /* A running replica that believes to lead, or NULL. */
 static sim_node_t *any_leader(sim_t *s)
 {
-	unsigned start = (unsigned)sim_random(s, SIM_SLOTS);
+	unsigned start = (unsigned)sim_random(s, SIM_ADDRS);
 
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		sim_node_t *n = &s->nodes[(start + i) % SIM_SLOTS];
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
+		sim_node_t *n = &s->nodes[(start + i) % SIM_ADDRS];
 
 		if (n->raft && !n->frozen_steps && raft_role(n->raft) == RAFT_LEADER)
 			return n;
@@ -67,7 +67,7 @@
 	for (unsigned i = 0; i < n; i++)
 		conf.peers[i] = (group_peer_t){.id = new_id(s, i), .voter = true};
 	raft_members_encode(&conf, &b);
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		sim_node_t *node = &s->nodes[i];
 
 		node->sim = s;
@@ -113,7 +113,7 @@
 
 static void tick_all(sim_t *s)
 {
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		sim_node_t *n = &s->nodes[i];
 
 		if (n->raft && !n->frozen_steps && chance(s, 900))
@@ -136,7 +136,7 @@
 {
 	bool heal = chance(s, 500);
 
-	for (unsigned i = 0; i < SIM_SLOTS; i++)
+	for (unsigned i = 0; i < SIM_ADDRS; i++)
 		s->nodes[i].partition = heal ? 0 : (unsigned)sim_random(s, 2);
 }
 
@@ -147,7 +147,7 @@
 	raft_status_t v;
 
 	*out = (raft_members_t){0};
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		if (!s->nodes[i].raft)
 			continue;
 		raft_get_status(s->nodes[i].raft, &v);
@@ -178,7 +178,7 @@
 {
 	raft_status_t v;
 
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		if (!s->nodes[i].raft)
 			return true;
 		raft_get_status(s->nodes[i].raft, &v);
@@ -276,7 +276,7 @@
 {
 	unsigned n = 1 + (unsigned)sim_random(s, DELIVERIES_MAX);
 
-	for (unsigned i = 0; i < SIM_SLOTS; i++)
+	for (unsigned i = 0; i < SIM_ADDRS; i++)
 		s->nodes[i].frozen_steps -= s->nodes[i].frozen_steps > 0;
 	for (unsigned i = 0; i < n; i++)
 		sim_deliver(s);
@@ -305,7 +305,7 @@
 
 	newest_conf(s, &conf);
 	for (unsigned i = 0; i < conf.n; i++) {
-		int slot = sim_id_slot(s, conf.peers[i].id);
+		int slot = sim_addr_of(s, conf.peers[i].id);
 		const sim_node_t *n = &s->nodes[slot];
 
 		if (n->id != conf.peers[i].id)
@@ -322,7 +322,7 @@
 	uint64_t writes = s->res->writes;
 
 	s->loss_percent = 0;
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		s->nodes[i].partition = 0;
 		s->nodes[i].frozen_steps = 0;
 		if (!s->nodes[i].raft)
@@ -335,7 +335,7 @@
 			sim_deliver(s);
 		if (chance(s, 150))
 			tick_all(s);
-		for (unsigned k = 0; k < SIM_SLOTS; k++) {
+		for (unsigned k = 0; k < SIM_ADDRS; k++) {
 			sim_node_sync(&s->nodes[k], SIZE_MAX);
 			raft_flush(s->nodes[k].raft);
 		}
@@ -348,7 +348,7 @@
 	if (is_stuck(s, 0))
 		s->res->stuck++;
 	else if (!s->res->violated)
-		sim_violate(s, "no agreement after %d calm steps", CALM_STEPS);
+		sim_report_violation(s, "no agreement after %d calm steps", CALM_STEPS);
 }
 
 /* The state that the reference gives is the one that each replica has. */
@@ -358,13 +358,13 @@
 
 	newest_conf(s, &conf);
 	for (unsigned i = 0; i < conf.n; i++) {
-		const sim_node_t *n = &s->nodes[sim_id_slot(s, conf.peers[i].id)];
+		const sim_node_t *n = &s->nodes[sim_addr_of(s, conf.peers[i].id)];
 
 		for (unsigned k = 0; k < SIM_KEYS && n->id == conf.peers[i].id; k++) {
 			if (n->state.version[k] < s->seen_version[k])
-				sim_violate(s, "replica %u lost an acknowledged write", n->addr);
+				sim_report_violation(s, "replica %u lost an acknowledged write", n->addr);
 			if (n->state.op[k] != any_leader(s)->state.op[k])
-				sim_violate(s, "replica %u differs from the leader", n->addr);
+				sim_report_violation(s, "replica %u differs from the leader", n->addr);
 		}
 	}
 }
@@ -382,7 +382,7 @@
 
 void sim_free(sim_t *s)
 {
-	for (unsigned i = 0; i < SIM_SLOTS; i++)
+	for (unsigned i = 0; i < SIM_ADDRS; i++)
 		sim_node_free(&s->nodes[i]);
 	while (s->npackets)
 		buf_free(&s->packets[--s->npackets].bytes);
@@ -398,7 +398,7 @@
 		busy = false;
 		while (s->npackets)
 			sim_deliver(s);
-		for (unsigned i = 0; i < SIM_SLOTS; i++) {
+		for (unsigned i = 0; i < SIM_ADDRS; i++) {
 			sim_node_t *n = &s->nodes[i];
 
 			if (!n->raft)
--- a/tests/unit/sim.h
+++ b/tests/unit/sim.h
@@ -5,10 +5,10 @@
 
 #include "raft/raft.h"
 
-#define SIM_SLOTS	 6 /* addresses at which a replica may run */
+#define SIM_ADDRS	 6 /* addresses at which a replica may run */
 #define SIM_KEYS	 3
-#define SIM_REF_MAX	 65536
-#define SIM_MESSAGES_MAX 512
+#define SIM_INDEX_MAX	 65536
+#define SIM_PACKETS_MAX 512
 #define SIM_IDS_MAX	 256
 
 /** One write to a register, as the log carries it. */
@@ -34,7 +34,7 @@
 
 /** Something persisted that isn't synced yet. */
 typedef struct {
-	enum { SIM_HARD, SIM_ENTRIES, SIM_RESET } type;
+	enum { SIM_HARD_STATE, SIM_ENTRIES, SIM_RESET } type;
 	uint64_t seq;
 	uint64_t term;
 	uint64_t index; /* vote, first index, or base */
@@ -110,8 +110,8 @@
 
 struct sim {
 	uint64_t random;
-	sim_node_t nodes[SIM_SLOTS];
-	sim_packet_t packets[SIM_MESSAGES_MAX];
+	sim_node_t nodes[SIM_ADDRS];
+	sim_packet_t packets[SIM_PACKETS_MAX];
 	unsigned npackets;
 	unsigned loss_percent; /* percent */
 	unsigned tick_per_mille; /* chance of a tick in a step; many ticks make elections collide */
@@ -125,9 +125,9 @@
 	struct {
 		uint64_t term;
 		uint64_t op;
-	} reference[SIM_REF_MAX]; /* by index; term 0 and op 0: nobody applied it yet */
+	} reference[SIM_INDEX_MAX]; /* by index; term 0 and op 0: nobody applied it yet */
 	uint64_t reference_last;
-	uint64_t leaders[SIM_REF_MAX]; /* by term */
+	uint64_t leaders[SIM_INDEX_MAX]; /* by term */
 	sim_call_t *calls;
 	size_t ncalls;
 	uint64_t next_op;
@@ -149,7 +149,7 @@
 
 /* sim_node.c */
 uint64_t sim_random(sim_t *s, uint64_t n);
-void sim_violate(sim_t *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void sim_report_violation(sim_t *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 void sim_node_start(sim_node_t *n);
 /** Stops a replica; a random number of its unsynced writes is lost. */
 void sim_node_stop(sim_node_t *n);
@@ -164,11 +164,11 @@
 void sim_call_begin(sim_t *s, sim_node_t *n, bool read, uint64_t token, uint64_t index,
 		    uint32_t key);
 void sim_call_read_done(sim_node_t *n, uint64_t token, bool ok);
-void sim_call_forget(sim_t *s, unsigned slot);
+void sim_calls_drop(sim_t *s, unsigned slot);
 
 /* sim_net.c */
 void sim_send(sim_node_t *from, const raft_msg_t *m);
 void sim_deliver(sim_t *s);
-int sim_id_slot(const sim_t *s, uint64_t id);
+int sim_addr_of(const sim_t *s, uint64_t id);
 
 #endif
--- a/tests/unit/sim_check.c
+++ b/tests/unit/sim_check.c
@@ -6,24 +6,24 @@
 /* Every replica applies the same entry at an index, in order, once. */
 static void check_reference(sim_t *s, uint64_t index, uint64_t term, uint64_t op)
 {
-	if (index >= SIM_REF_MAX) {
-		sim_violate(s, "the run is too long for its reference");
+	if (index >= SIM_INDEX_MAX) {
+		sim_report_violation(s, "the run is too long for its reference");
 		return;
 	}
 	if (index <= s->reference_last) {
 		if (s->reference[index].term != term || s->reference[index].op != op)
-			sim_violate(
+			sim_report_violation(
 				s, "entry %lu is op %lu of term %lu here, op %lu of term %lu there",
 				(unsigned long)index, (unsigned long)op, (unsigned long)term,
 				(unsigned long)s->reference[index].op, (unsigned long)s->reference[index].term);
 		return;
 	}
 	if (index != s->reference_last + 1)
-		sim_violate(s, "entry %lu is applied before %lu", (unsigned long)index,
+		sim_report_violation(s, "entry %lu is applied before %lu", (unsigned long)index,
 			    (unsigned long)s->reference_last + 1);
 	for (uint64_t i = 1; op && i <= s->reference_last; i++) {
 		if (s->reference[i].op == op)
-			sim_violate(s, "op %lu is applied twice", (unsigned long)op);
+			sim_report_violation(s, "op %lu is applied twice", (unsigned long)op);
 	}
 	s->reference_last = index;
 	s->reference[index].term = term;
@@ -39,7 +39,7 @@
 static void see_version(sim_t *s, const sim_call_t *c, uint64_t version)
 {
 	if (version < c->min_version + (c->read ? 0 : 1))
-		sim_violate(s, "a %s of key %u gives version %lu, %lu was known before it began",
+		sim_report_violation(s, "a %s of key %u gives version %lu, %lu was known before it began",
 			    c->read ? "read" : "write", c->key, (unsigned long)version,
 			    (unsigned long)c->min_version);
 	if (s->seen_version[c->key] < version)
@@ -60,7 +60,7 @@
 		if (c.term != term)
 			return;
 		if (cmd->op != c.token)
-			sim_violate(s, "op %lu gets the answer of op %lu", (unsigned long)c.token,
+			sim_report_violation(s, "op %lu gets the answer of op %lu", (unsigned long)c.token,
 				    (unsigned long)cmd->op);
 		see_version(s, &c, n->state.version[c.key]);
 		s->res->writes++;
@@ -76,7 +76,7 @@
 		memcpy(&cmd, e->data.data_val, sizeof(cmd));
 	check_reference(n->sim, index, e->term, cmd.op);
 	if (index <= n->state.applied)
-		sim_violate(n->sim, "entry %lu is applied after %lu", (unsigned long)index,
+		sim_report_violation(n->sim, "entry %lu is applied after %lu", (unsigned long)index,
 			    (unsigned long)n->state.applied);
 	n->state.applied = index;
 	if (e->kind != RAFT_ENTRY_COMMAND)
@@ -90,10 +90,10 @@
 {
 	sim_t *s = n->sim;
 
-	if (term >= SIM_REF_MAX)
+	if (term >= SIM_INDEX_MAX)
 		return;
 	if (s->leaders[term] != 0 && s->leaders[term] != n->id)
-		sim_violate(s, "two leaders in term %lu", (unsigned long)term);
+		sim_report_violation(s, "two leaders in term %lu", (unsigned long)term);
 	s->leaders[term] = n->id;
 	s->res->elections++;
 }
@@ -131,10 +131,10 @@
 		}
 		return;
 	}
-	sim_violate(s, "a read is answered twice");
+	sim_report_violation(s, "a read is answered twice");
 }
 
-void sim_call_forget(sim_t *s, unsigned slot)
+void sim_calls_drop(sim_t *s, unsigned slot)
 {
 	for (size_t i = s->ncalls; i > 0; i--) {
 		if (s->calls[i - 1].addr == slot)
--- a/tests/unit/sim_net.c
+++ b/tests/unit/sim_net.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include "proto/wire.h"
 
-int sim_id_slot(const sim_t *s, uint64_t id)
+int sim_addr_of(const sim_t *s, uint64_t id)
 {
 	for (unsigned i = 0; i < s->nids; i++) {
 		if (s->ids[i].id == id)
@@ -22,12 +22,12 @@
 void sim_send(sim_node_t *from, const raft_msg_t *m)
 {
 	sim_t *s = from->sim;
-	int slot = sim_id_slot(s, m->to);
+	int slot = sim_addr_of(s, m->to);
 	sim_packet_t *p;
 
 	if (slot < 0 || sim_random(s, 100) < s->loss_percent)
 		return;
-	if (s->npackets == SIM_MESSAGES_MAX)
+	if (s->npackets == SIM_PACKETS_MAX)
 		remove_packet(s, (unsigned)sim_random(s, s->npackets));
 	p = &s->packets[s->npackets++];
 	*p = (sim_packet_t){.from = from->addr, .to = (unsigned)slot};
--- a/tests/unit/sim_node.c
+++ b/tests/unit/sim_node.c
@@ -14,7 +14,7 @@
 	return (prng_next(&s->random) >> 11) % n;
 }
 
-void sim_violate(sim_t *s, const char *fmt, ...)
+void sim_report_violation(sim_t *s, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -60,7 +60,7 @@
 /* Makes one write durable. */
 static void do_write(sim_disk_t *d, sim_write_t *w)
 {
-	if (w->type == SIM_HARD) {
+	if (w->type == SIM_HARD_STATE) {
 		d->term = w->term;
 		d->vote = w->index;
 	} else if (w->type == SIM_RESET) {
@@ -114,7 +114,7 @@
 
 static void on_hard(void *ctx, uint64_t seq, uint64_t term, uint64_t vote)
 {
-	queue_write(ctx, (sim_write_t){SIM_HARD, seq, term, vote, NULL, 0});
+	queue_write(ctx, (sim_write_t){SIM_HARD_STATE, seq, term, vote, NULL, 0});
 }
 
 static void on_entries(void *ctx, uint64_t seq, uint64_t from, const raft_entry_t *e, size_t n)
@@ -196,12 +196,12 @@
 		return true;
 	if (n->incoming.n != sizeof(sn.state) ||
 	    raft_members_decode(c->members, &sn.members) != STATUS_OK) {
-		sim_violate(n->sim, "a snapshot arrived with %zu bytes", n->incoming.n);
+		sim_report_violation(n->sim, "a snapshot arrived with %zu bytes", n->incoming.n);
 		return false;
 	}
 	memcpy(&sn.state, n->incoming.p, sizeof(sn.state));
 	if (sn.state.applied > sn.index)
-		sim_violate(n->sim, "a snapshot holds more than its index");
+		sim_report_violation(n->sim, "a snapshot holds more than its index");
 	keep_snap(&n->disk, &sn);
 	n->state = sn.state;
 	n->sim->res->installs++;
@@ -285,7 +285,7 @@
 	n->raft = NULL;
 	n->frozen_steps = 0;
 	n->incoming.n = 0;
-	sim_call_forget(n->sim, n->addr);
+	sim_calls_drop(n->sim, n->addr);
 }
 
 void sim_node_free(sim_node_t *n)
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_http.c
@@ -9,7 +9,7 @@
 #include "net/http_server.h"
 #include "net/http_client.h"
 #include "net/sse.h"
-#include "net_kit.h"
+#include "http_kit.h"
 #include "suite_kit.h"
 
 /* ---- reader ---- */
--- a/tests/unit/test_net_endless.c
+++ b/tests/unit/test_http_limits.c
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 #include "net/sse.h"
-#include "net_kit.h"
+#include "http_kit.h"
 #include "suite_kit.h"
 
 /* ---- events ---- */
--- a/tests/unit/test_ledger_random.c
+++ b/tests/unit/test_ledger_random.c
@@ -13,7 +13,7 @@
 static void step_accept(void)
 {
 	unsigned k = rnd(KEYS);
-	mreq_t *r = &reqs[k];
+	model_request_t *r = &reqs[k];
 	uint64_t digest = 1 + rnd(2);
 	uint64_t session = any_session();
 	AUTO_RES res = BOTH(kit_accept(l, key_name(k), digest, k % 3 != 0, session));
@@ -29,7 +29,7 @@
 	ck_assert_int_eq(res.status, STATUS_OK);
 	ck_assert_int_eq(res.record.fresh, !r->exists);
 	if (!r->exists)
-		*r = (mreq_t){.exists = true,
+		*r = (model_request_t){.exists = true,
 			      .digest = digest,
 			      .repeatable = k % 3 != 0,
 			      .deadline_ms = kit_deadline_ms(key_name(k)),
@@ -40,7 +40,7 @@
 static void step_attempt(void)
 {
 	unsigned k = rnd(KEYS);
-	mreq_t *r = &reqs[k];
+	model_request_t *r = &reqs[k];
 	uint64_t session = rnd(3) ? r->session : any_session();
 	uint64_t token = 1 + rnd(3);
 	bool again = r->state == WIRE_ATTEMPTED && r->token == token;
@@ -65,7 +65,7 @@
 static void step_finish(void)
 {
 	unsigned k = rnd(KEYS);
-	mreq_t *r = &reqs[k];
+	model_request_t *r = &reqs[k];
 	wire_state_t state = (wire_state_t)(WIRE_DONE + rnd(3));
 	uint64_t session = rnd(3) ? r->session : any_session();
 	bool may = session == 0 || session == r->session || (r->repeatable && state == WIRE_DONE);
@@ -94,7 +94,7 @@
 static void step_open(void)
 {
 	unsigned n = rnd(JOBS);
-	mjob_t *j = &jobs[n];
+	model_job_t *j = &jobs[n];
 	unsigned count = 1 + n % ITEMS;
 	int64_t deadline_ms = kit_now_ms + (rnd(6) - 1) * (int64_t)LEDGER_BAND_MS;
 	uint64_t digest = kit_digest(count) + (rnd(6) == 0);
@@ -117,7 +117,7 @@
 		return;
 	}
 	if (!j->exists)
-		*j = (mjob_t){.exists = true,
+		*j = (model_job_t){.exists = true,
 			      .count = count,
 			      .deadline_ms = deadline_ms,
 			      .opened_ms = kit_now_ms};
@@ -127,7 +127,7 @@
 static void step_items(void)
 {
 	unsigned n = rnd(JOBS);
-	mjob_t *j = &jobs[n];
+	model_job_t *j = &jobs[n];
 	unsigned first = rnd(ITEMS);
 	unsigned many = 1 + rnd(ITEMS);
 	AUTO_RES res = BOTH(kit_items(l, job_caller(n), job_name(n), first, many));
@@ -145,7 +145,7 @@
 static void step_seal(void)
 {
 	unsigned n = rnd(JOBS);
-	mjob_t *j = &jobs[n];
+	model_job_t *j = &jobs[n];
 	bool full = j->exists && j->received == j->count && !j->cancelled;
 	AUTO_RES res = BOTH(kit_ref(l, WIRE_LEDGER_JOB_SEAL, job_caller(n), job_name(n)));
 
@@ -162,18 +162,18 @@
 static void step_cancel(void)
 {
 	unsigned n = rnd(JOBS);
-	mjob_t *j = &jobs[n];
+	model_job_t *j = &jobs[n];
 	AUTO_RES res = BOTH(kit_ref(l, WIRE_LEDGER_JOB_CANCEL, job_caller(n), job_name(n)));
 
 	if (!j->exists) {
 		ck_assert_int_eq(res.status, STATUS_NOT_FOUND);
 		return;
 	}
-	if (tally(j, M_WAITING) || tally(j, M_LEASED)) {
+	if (tally(j, MODEL_WAITING) || tally(j, MODEL_LEASED)) {
 		j->cancelled = true;
 		for (unsigned i = 0; i < j->count; i++)
-			if (j->items[i].state == M_WAITING)
-				j->items[i].state = M_DROPPED;
+			if (j->items[i].state == MODEL_WAITING)
+				j->items[i].state = MODEL_DROPPED;
 		settle(j);
 	}
 	check_job(j, &res.job);
@@ -181,37 +181,37 @@
 
 /* ---- leases and results ---- */
 
-static void note_given(given_t g, slot_t *s)
+static void note_given(model_lease_t g, model_session_t *s)
 {
 	given[ngiven++ % GIVEN] = g;
 	s->last_leases[s->nlast_leases++] = g;
 }
 
-static void take_item(slot_t *s, const wire_item_t *it)
+static void take_item(model_session_t *s, const wire_item_t *it)
 {
 	unsigned n = number_of(it->job);
-	mjob_t *j = &jobs[n];
-	mitem_t *m = &j->items[it->index];
+	model_job_t *j = &jobs[n];
+	model_item_t *m = &j->items[it->index];
 	int64_t band = j->deadline_ms / LEDGER_BAND_MS;
 	char body[16];
 
 	snprintf(body, sizeof(body), "item %u", it->index);
 	ck_assert(kit_is(it->body, body));
 	ck_assert(j->exists && j->sealed && !j->cancelled);
-	ck_assert_int_eq(m->state, M_WAITING);
+	ck_assert_int_eq(m->state, MODEL_WAITING);
 	ck_assert(band == first_band(true) || band == first_band(false));
 	ck_assert_uint_eq(it->attempt, m->attempt + 1);
 	ck_assert_int_eq(it->alone, m->deaths >= LEDGER_DEATHS_ALONE_MIN);
-	m->state = M_LEASED;
+	m->state = MODEL_LEASED;
 	m->session = s->session;
 	m->attempt = it->attempt;
-	note_given((given_t){false, n, it->index, it->attempt, s->session}, s);
+	note_given((model_lease_t){false, n, it->index, it->attempt, s->session}, s);
 }
 
-static void take_orphan(slot_t *s, const wire_item_t *it)
+static void take_orphan(model_session_t *s, const wire_item_t *it)
 {
 	unsigned k = number_of(it->key);
-	mreq_t *r = &reqs[k];
+	model_request_t *r = &reqs[k];
 
 	ck_assert(r->exists && r->state == WIRE_ACCEPTED && r->session == 0);
 	for (unsigned i = 0; i < KEYS; i++)
@@ -220,22 +220,22 @@
 	ck_assert_uint_eq(it->attempt, r->attempt + 1);
 	r->session = s->session;
 	r->attempt = it->attempt;
-	note_given((given_t){true, k, 0, it->attempt, s->session}, s);
+	note_given((model_lease_t){true, k, 0, it->attempt, s->session}, s);
 }
 
 /* A resend gives what the session still holds of the last answer and drops what was cancelled. */
-static void check_resend(slot_t *s, const wire_ledger_res_t *res)
+static void check_resend(model_session_t *s, const wire_ledger_res_t *res)
 {
 	unsigned at = 0;
 
 	for (unsigned i = 0; i < s->nlast_leases; i++) {
-		const given_t *g = &s->last_leases[i];
+		const model_lease_t *g = &s->last_leases[i];
 		const wire_item_t *it = &res->items.items_val[at];
 
 		if (!leased_to(s->session, g))
 			continue;
 		if (!g->request && jobs[g->number].cancelled) {
-			jobs[g->number].items[g->index].state = M_DROPPED;
+			jobs[g->number].items[g->index].state = MODEL_DROPPED;
 			settle(&jobs[g->number]);
 			continue;
 		}
@@ -248,7 +248,7 @@
 	ck_assert_uint_eq(at, res->items.items_len);
 }
 
-static void lease(slot_t *s, uint64_t seq, unsigned max)
+static void lease(model_session_t *s, uint64_t seq, unsigned max)
 {
 	AUTO_RES res = BOTH(kit_lease(l, s->session, seq, max));
 
@@ -275,7 +275,7 @@
 
 static void step_lease(void)
 {
-	slot_t *s = &slots[rnd(SLOTS)];
+	model_session_t *s = &slots[rnd(SLOTS)];
 	uint64_t lost = 1 + rnd((unsigned)last_session);
 
 	if (!is_live(lost) && rnd(4) == 0) {
@@ -289,7 +289,7 @@
 }
 
 /* Delivers a result for g as session says; the model decides if it counts. */
-static void deliver(const given_t *g, uint64_t session, bool done, wire_blame_t blame)
+static void deliver(const model_lease_t *g, uint64_t session, bool done, wire_blame_t blame)
 {
 	char body[16];
 	char name[8];
@@ -323,7 +323,7 @@
 static void step_done(void)
 {
 	unsigned have = ngiven < GIVEN ? ngiven : GIVEN;
-	const given_t *g;
+	const model_lease_t *g;
 
 	if (have == 0)
 		return;
@@ -333,7 +333,7 @@
 
 static void step_lost(void)
 {
-	slot_t *s = &slots[rnd(SLOTS)];
+	model_session_t *s = &slots[rnd(SLOTS)];
 	AUTO_RES res = BOTH(kit_lost(l, s->session));
 
 	ck_assert_int_eq(res.status, STATUS_OK);
@@ -346,10 +346,10 @@
 	}
 	for (unsigned j = 0; j < JOBS; j++) {
 		for (unsigned i = 0; i < jobs[j].count; i++) {
-			mitem_t *m = &jobs[j].items[i];
+			model_item_t *m = &jobs[j].items[i];
 
-			if (m->state == M_LEASED && m->session == s->session)
-				m->state = jobs[j].cancelled ? M_DROPPED : M_WAITING;
+			if (m->state == MODEL_LEASED && m->session == s->session)
+				m->state = jobs[j].cancelled ? MODEL_DROPPED : MODEL_WAITING;
 		}
 		settle(&jobs[j]);
 	}
@@ -372,20 +372,20 @@
 	unsigned n = 0;
 
 	for (unsigned k = 0; k < KEYS; k++) {
-		mreq_t *r = &reqs[k];
+		model_request_t *r = &reqs[k];
 
 		if (r->exists && r->state >= WIRE_DONE && r->end_ms + RETENTION_MS <= kit_now_ms) {
-			*r = (mreq_t){0};
+			*r = (model_request_t){0};
 			n++;
 		}
 	}
 	for (unsigned i = 0; i < JOBS; i++) {
-		mjob_t *j = &jobs[i];
+		model_job_t *j = &jobs[i];
 		bool unsealed = j->exists && !j->sealed && !j->cancelled;
 
 		if ((j->ended && j->end_ms + RETENTION_MS <= kit_now_ms) ||
 		    (unsealed && j->opened_ms + LEDGER_UNSEALED_MAX_MS <= kit_now_ms)) {
-			*j = (mjob_t){0};
+			*j = (model_job_t){0};
 			n++;
 		}
 	}
@@ -395,7 +395,7 @@
 /* After all faults every item of a sealed job and every orphan ends exactly once. */
 static void drain(void)
 {
-	slot_t *s = &slots[0];
+	model_session_t *s = &slots[0];
 
 	for (unsigned i = 1; i < SLOTS; i++) {
 		AUTO_RES res = BOTH(kit_lost(l, slots[i].session));
@@ -408,7 +408,7 @@
 	do {
 		lease(s, s->seq + 1, 8);
 		for (unsigned i = 0; i < s->nlast_leases; i++) {
-			const given_t g = s->last_leases[i];
+			const model_lease_t g = s->last_leases[i];
 
 			if (leased_to(s->session, &g))
 				deliver(&g, s->session, true, WIRE_BLAME_NONE);
--- a/tests/unit/test_raft.c
+++ b/tests/unit/test_raft.c
@@ -38,7 +38,7 @@
 
 static sim_node_t *leader(void)
 {
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		if (s->nodes[i].raft && raft_role(s->nodes[i].raft) == RAFT_LEADER)
 			return &s->nodes[i];
 	}
