--- a/tests/unit/dispatch_kit.h
+++ b/tests/unit/dispatch_kit.h
@@ -1,4 +1,5 @@
-/** A dispatcher whose effects are noted, for its unit tests. */
+/** Helpers for the dispatcher's tests: records what the dispatcher calls back, and makes
+ * dispatchers and requests. */
 #ifndef AUBURN_DISPATCH_KIT_H
 #define AUBURN_DISPATCH_KIT_H
 
@@ -8,12 +9,15 @@
 #include "policy/dispatch.h"
 #include "suite_kit.h"
 
-#define LOG_MAX 64
-/** Callers leave a stream that is silent for so long, in ms, as on the users' sheets. */
-#define PATIENCE_MS 3200
+#define EFFECTS_MAX 64
+/** Time without an event after which the callers of the tests' requests give up. */
+#define GIVE_UP_MS 3200
 
+typedef enum { GRANTED = 'g', REFUSED = 'r', ITEM_STARTED = 'R', ITEM_STOPPED = 'S' } effect_kind_t;
+
+/** One callback of the dispatcher with its arguments. */
 typedef struct {
-	char kind; /* g: granted, r: refused, R: an item runs, S: one is stopped */
+	char kind; /* effect_kind_t */
 	uint64_t entry;
 	uint64_t request;
 	char replica[32];
@@ -22,30 +26,31 @@
 	void *data;
 } effect_t;
 
-static effect_t effects[LOG_MAX];
+/** The callbacks in their order; after EFFECTS_MAX callbacks the oldest are overwritten. */
+static effect_t effects[EFFECTS_MAX];
 static int neffects;
 
-static inline effect_t *effect(char what)
+static inline effect_t *record_effect(char kind)
 {
-	effect_t *e = &effects[neffects++ % LOG_MAX];
+	effect_t *e = &effects[neffects++ % EFFECTS_MAX];
 
-	*e = (effect_t){.kind = what};
+	*e = (effect_t){.kind = kind};
 	return e;
 }
 
-static inline void on_grant(void *ctx, uint64_t entry, uint64_t request, str_t replica)
+static inline void record_grant(void *ctx, uint64_t entry, uint64_t request, str_t replica)
 {
-	effect_t *e = effect('g');
+	effect_t *e = record_effect(GRANTED);
 
 	e->entry = entry;
 	e->request = request;
 	snprintf(e->replica, sizeof(e->replica), "%.*s", STR_ARG(replica));
 }
 
-static inline void on_refuse(void *ctx, uint64_t entry, uint64_t request, int64_t retry_ms,
-			     dispatch_refusal_t why)
+static inline void record_refusal(void *ctx, uint64_t entry, uint64_t request, int64_t retry_ms,
+				  dispatch_refusal_t why)
 {
-	effect_t *e = effect('r');
+	effect_t *e = record_effect(REFUSED);
 
 	e->entry = entry;
 	e->request = request;
@@ -53,26 +58,29 @@
 	e->why = why;
 }
 
-static inline void on_run(void *ctx, void *data, uint64_t entry, str_t replica)
+static inline void record_item_start(void *ctx, void *data, uint64_t entry, str_t replica)
 {
-	effect_t *e = effect('R');
+	effect_t *e = record_effect(ITEM_STARTED);
 
 	e->entry = entry;
 	e->data = data;
 	snprintf(e->replica, sizeof(e->replica), "%.*s", STR_ARG(replica));
 }
 
-static inline void on_stop(void *ctx, void *data, uint64_t entry)
+static inline void record_item_stop(void *ctx, void *data, uint64_t entry)
 {
-	effect_t *e = effect('S');
+	effect_t *e = record_effect(ITEM_STOPPED);
 
 	e->entry = entry;
 	e->data = data;
 }
 
-static const dispatch_callbacks_t callbacks = {NULL, on_grant, on_refuse, on_run, on_stop};
+static const dispatch_callbacks_t callbacks = {NULL, record_grant, record_refusal,
+					       record_item_start, record_item_stop};
 
-static inline dispatch_t *fresh(unsigned replicas, unsigned slots)
+/** Makes a dispatcher with replicas r0, r1, ... of service s. Replicas with an even number and
+ * entry 1 are in zone a, the others and entry 2 in zone b. Clears the recorded effects. */
+static inline dispatch_t *new_dispatcher(unsigned replicas, unsigned slots)
 {
 	dispatch_t *d = dispatch_new(&callbacks, 7);
 	dispatch_replica_t v[16];
@@ -90,21 +98,22 @@
 	return d;
 }
 
-static inline dispatch_request_t ask_of(uint64_t request, deadline_t now)
+/** A new request of entry 1 that is due to start within 300 ms and to end within 5 s. */
+static inline dispatch_request_t make_request(uint64_t request, deadline_t now)
 {
 	return (dispatch_request_t){.entry = 1,
 				    .request = request,
 				    .service = STR("s"),
 				    .objective = now + 300,
 				    .deadline = now + 5000,
-				    .give_up_at = now + PATIENCE_MS};
+				    .give_up_at = now + GIVE_UP_MS};
 }
 
-static inline void ask(dispatch_t *d, uint64_t request, deadline_t now)
+static inline void add_request(dispatch_t *d, uint64_t request, deadline_t now)
 {
-	dispatch_request_t a = ask_of(request, now);
+	dispatch_request_t req = make_request(request, now);
 
-	dispatch_request_add(d, &a, now);
+	dispatch_request_add(d, &req, now);
 }
 
 #endif
--- a/tests/unit/suite_kit.h
+++ b/tests/unit/suite_kit.h
@@ -1,11 +1,11 @@
-/** Runs a suite of a test program. */
+/** The main function of all test programs. */
 #ifndef AUBURN_SUITE_KIT_H
 #define AUBURN_SUITE_KIT_H
 
 #include <check.h>
 #include <stdlib.h>
 
-/** The program's exit code; the suite is freed. */
+/** Runs the suite, frees it and returns the program's exit code. */
 static inline int suite_run(Suite *s)
 {
 	SRunner *r = srunner_create(s);
--- a/tests/unit/test_dispatch.c
+++ b/tests/unit/test_dispatch.c
@@ -1,43 +1,46 @@
-/* Unit tests of the dispatcher: online requests. */
+/* Tests of the dispatcher (policy/dispatch.h): online requests, the health of replicas, and
+ * replicas that leave. Guard against a request that waits although its caller can no longer use
+ * the answer, against more requests on a replica than it has slots, and against work for a replica
+ * that failed or leaves. */
 #include <stdlib.h>
 #include "dispatch_kit.h"
 #include "policy/leaving.h"
 
-START_TEST(a_free_place_of_the_own_zone_is_granted)
+START_TEST(a_free_slot_in_the_zone_of_the_entry_is_granted)
 {
-	dispatch_t *d = fresh(2, 2);
+	dispatch_t *d = new_dispatcher(2, 2);
 
-	ask(d, 1, 0);
+	add_request(d, 1, 0);
 	ck_assert_int_eq(neffects, 1);
-	ck_assert_int_eq(effects[0].kind, 'g');
+	ck_assert_int_eq(effects[0].kind, GRANTED);
 	ck_assert_str_eq(effects[0].replica, "r0");
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(no_replica_gets_more_than_it_runs_at_once)
+START_TEST(no_replica_is_granted_more_requests_than_it_has_slots)
 {
-	dispatch_t *d = fresh(4, 3);
-	unsigned at[4] = {0};
+	dispatch_t *d = new_dispatcher(4, 3);
+	unsigned per_replica[4] = {0};
 
 	for (uint64_t i = 1; i <= 12; i++)
-		ask(d, i, 0);
+		add_request(d, i, 0);
 	ck_assert_int_eq(neffects, 12);
 	for (int i = 0; i < 12; i++)
-		at[effects[i].replica[1] - '0']++;
+		per_replica[effects[i].replica[1] - '0']++;
 	for (int i = 0; i < 4; i++)
-		ck_assert_uint_eq(at[i], 3);
+		ck_assert_uint_eq(per_replica[i], 3);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(a_new_request_that_would_be_late_is_refused_with_the_time_of_room)
+START_TEST(a_new_request_that_would_miss_its_objective_is_refused_with_a_retry_time)
 {
-	dispatch_t *d = fresh(1, 1);
+	dispatch_t *d = new_dispatcher(1, 1);
 
-	ask(d, 1, 0);
-	ask(d, 2, 0);
-	ck_assert_int_eq(effects[1].kind, 'r');
+	add_request(d, 1, 0);
+	add_request(d, 2, 0);
+	ck_assert_int_eq(effects[1].kind, REFUSED);
 	ck_assert_uint_eq(effects[1].request, 2);
 	ck_assert_int_ge(effects[1].retry_ms, 300);
 	ck_assert_int_eq(effects[1].why, DISPATCH_PAST_OBJECTIVE);
@@ -45,16 +48,18 @@
 }
 END_TEST
 
-START_TEST(one_that_comes_back_waits_and_lets_those_in_time_go_first)
+/* A returning request counts as past its objective. Served first, it would make requests late that
+ * can still meet theirs. */
+START_TEST(a_returning_request_waits_behind_requests_that_can_meet_their_objective)
 {
-	dispatch_t *d = fresh(1, 8);
-	dispatch_request_t back = ask_of(20, 0);
+	dispatch_t *d = new_dispatcher(1, 8);
+	dispatch_request_t req = make_request(20, 0);
 
-	back.returning = true;
+	req.returning = true;
 	for (uint64_t i = 1; i <= 8; i++)
-		ask(d, i, 0);
-	dispatch_request_add(d, &back, 0);
-	ask(d, 21, 0);
+		add_request(d, i, 0);
+	dispatch_request_add(d, &req, 0);
+	add_request(d, 21, 0);
 	ck_assert_int_eq(neffects, 8);
 	dispatch_request_ended(d, 1, 1, DISPATCH_OK, 50);
 	ck_assert_uint_eq(effects[8].request, 21);
@@ -64,38 +69,42 @@
 }
 END_TEST
 
-START_TEST(what_can_not_end_before_its_caller_gives_up_is_refused_at_once)
+/* Waiting would only cost the caller the time in which it could try elsewhere. */
+START_TEST(a_request_that_cannot_end_by_its_deadline_is_refused_at_once)
 {
-	dispatch_t *d = fresh(1, 1);
-	dispatch_request_t back = ask_of(20, 0);
-
-	back.returning = true;
-	back.deadline = 500;
-	ask(d, 1, 0);
-	dispatch_request_add(d, &back, 0);
-	ck_assert_int_eq(effects[1].kind, 'r');
+	dispatch_t *d = new_dispatcher(1, 1);
+	dispatch_request_t req = make_request(20, 0);
+
+	req.returning = true;
+	req.deadline = 500;
+	add_request(d, 1, 0);
+	dispatch_request_add(d, &req, 0);
+	ck_assert_int_eq(effects[1].kind, REFUSED);
 	ck_assert_uint_eq(effects[1].request, 20);
 	ck_assert_int_eq(effects[1].why, DISPATCH_PAST_DEADLINE);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(one_whose_caller_leaves_before_there_is_room_is_refused_at_once)
+/* A queue longer than the callers' give-up time would serve only callers that are about to
+ * leave. */
+START_TEST(a_request_whose_caller_gives_up_before_a_slot_is_free_is_refused_at_once)
 {
-	dispatch_t *d = fresh(1, 1);
+	dispatch_t *d = new_dispatcher(1, 1);
 	int granted = 0;
 	int refused = 0;
 
-	/* One place that is held for 0.7 s: it serves four more callers within 3.2 s. */
+	/* A request holds the slot for 0.7 s by the initial estimate, so that four more callers get
+	 * it within the 3.2 s after which they give up. */
 	for (uint64_t i = 1; i <= 10; i++) {
-		dispatch_request_t back = ask_of(i, 0);
+		dispatch_request_t req = make_request(i, 0);
 
-		back.returning = true;
-		dispatch_request_add(d, &back, 0);
+		req.returning = true;
+		dispatch_request_add(d, &req, 0);
 	}
 	for (int i = 0; i < neffects; i++) {
-		granted += effects[i].kind == 'g';
-		refused += effects[i].kind == 'r';
+		granted += effects[i].kind == GRANTED;
+		refused += effects[i].kind == REFUSED;
 	}
 	ck_assert_int_eq(granted, 1);
 	ck_assert_int_eq(refused, 5);
@@ -103,19 +112,20 @@
 }
 END_TEST
 
-START_TEST(a_place_that_gets_free_too_late_is_not_given_to_a_caller_who_leaves)
+/* A slot that is granted so late that no event arrives before the give-up time is wasted. */
+START_TEST(a_waiting_request_is_refused_shortly_before_its_caller_gives_up)
 {
-	dispatch_t *d = fresh(1, 1);
-	dispatch_request_t back = ask_of(2, 0);
+	dispatch_t *d = new_dispatcher(1, 1);
+	dispatch_request_t req = make_request(2, 0);
 
-	back.returning = true;
-	ask(d, 1, 0);
-	dispatch_request_add(d, &back, 0);
+	req.returning = true;
+	add_request(d, 1, 0);
+	dispatch_request_add(d, &req, 0);
 	dispatch_tick(d, 2400);
 	ck_assert_int_eq(neffects, 1);
 	dispatch_tick(d, 3190);
 	ck_assert_int_eq(neffects, 2);
-	ck_assert_int_eq(effects[1].kind, 'r');
+	ck_assert_int_eq(effects[1].kind, REFUSED);
 	ck_assert_int_eq(effects[1].why, DISPATCH_CALLER_GIVES_UP);
 	dispatch_request_ended(d, 1, 1, DISPATCH_OK, 3195);
 	ck_assert_int_eq(neffects, 2);
@@ -123,68 +133,75 @@
 }
 END_TEST
 
-START_TEST(short_requests_wait_for_a_place_within_a_short_objective)
+/* The decision to wait follows the measured hold time: with a fixed estimate, services with short
+ * requests would refuse requests that a slot reaches in time. */
+START_TEST(a_request_waits_if_slots_become_free_within_its_objective)
 {
-	dispatch_t *d = fresh(1, 1);
-	dispatch_request_t a;
+	dispatch_t *d = new_dispatcher(1, 1);
+	dispatch_request_t req;
 
-	/* Requests hold their place for 10 ms: the next one has it in time. */
+	/* These requests bring the estimated hold time down to about 10 ms. */
 	for (uint64_t i = 1; i <= 200; i++) {
-		ask(d, i, (deadline_t)i * 20);
+		add_request(d, i, (deadline_t)i * 20);
 		dispatch_request_ended(d, 1, i, DISPATCH_OK, (deadline_t)i * 20 + 10);
 	}
-	ask(d, 201, 5000);
+	add_request(d, 201, 5000);
 	neffects = 0;
-	a = ask_of(202, 5001);
-	a.objective = 5001 + 40;
-	dispatch_request_add(d, &a, 5001);
+	req = make_request(202, 5001);
+	req.objective = 5001 + 40;
+	dispatch_request_add(d, &req, 5001);
 	ck_assert_int_eq(neffects, 0);
 	dispatch_request_ended(d, 1, 201, DISPATCH_OK, 5010);
-	ck_assert_int_eq(effects[0].kind, 'g');
+	ck_assert_int_eq(effects[0].kind, GRANTED);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(short_requests_of_one_service_do_not_shorten_the_estimate_of_another)
+/* With one estimate for all services, the short requests of t would let a request of s wait for a
+ * slot that comes too late. */
+START_TEST(hold_times_of_one_service_do_not_change_the_estimate_of_another)
 {
-	dispatch_t *d = fresh(1, 1);
+	dispatch_t *d = new_dispatcher(1, 1);
 	dispatch_replica_t v[] = {{STR("r0"), STR("a"), STR("s"), 1, false, 0},
 				  {STR("t0"), STR("a"), STR("t"), 1, false, 0}};
-	dispatch_request_t a;
+	dispatch_request_t req;
 
 	dispatch_set_replicas(d, v, 2, 0);
 	for (uint64_t i = 1; i <= 200; i++) {
-		a = ask_of(i, (deadline_t)i * 20);
-		a.service = STR("t");
-		dispatch_request_add(d, &a, (deadline_t)i * 20);
+		req = make_request(i, (deadline_t)i * 20);
+		req.service = STR("t");
+		dispatch_request_add(d, &req, (deadline_t)i * 20);
 		dispatch_request_ended(d, 1, i, DISPATCH_OK, (deadline_t)i * 20 + 10);
 	}
-	ask(d, 201, 5000);
+	add_request(d, 201, 5000);
 	neffects = 0;
-	/* That of s holds its place for 0.7 s, as far as is known. */
-	ask(d, 202, 5001);
+	/* Requests of s hold their slot for 0.7 s by the initial estimate. */
+	add_request(d, 202, 5001);
 	ck_assert_int_eq(neffects, 1);
-	ck_assert_int_eq(effects[0].kind, 'r');
+	ck_assert_int_eq(effects[0].kind, REFUSED);
 	ck_assert_int_eq(effects[0].why, DISPATCH_PAST_OBJECTIVE);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(waiting_requests_of_one_service_do_not_count_for_another)
+/* Requests of both services alternate in one queue. Counting those of t as ahead of those of s
+ * would refuse requests of s that a slot reaches in time. */
+START_TEST(the_queue_of_one_service_does_not_count_for_another)
 {
-	dispatch_t *d = fresh(1, 1);
+	dispatch_t *d = new_dispatcher(1, 1);
 	dispatch_replica_t v[] = {{STR("r0"), STR("a"), STR("s"), 1, false, 0},
 				  {STR("t0"), STR("a"), STR("t"), 4, false, 0}};
 
 	dispatch_set_replicas(d, v, 2, 0);
-	/* The queue alternates between both services; that of s holds four, as when it is alone. */
+	/* The requests alternate between both services. Four of s may wait, as many as if s were
+	 * the only service. */
 	for (uint64_t i = 1; i <= 20; i++) {
-		dispatch_request_t back = ask_of(i, 0);
+		dispatch_request_t req = make_request(i, 0);
 
-		back.returning = true;
-		back.service = i % 2 ? STR("s") : STR("t");
-		back.give_up_at += (deadline_t)i;
-		dispatch_request_add(d, &back, 0);
+		req.returning = true;
+		req.service = i % 2 ? STR("s") : STR("t");
+		req.give_up_at += (deadline_t)i;
+		dispatch_request_add(d, &req, 0);
 	}
 	{
 		dispatch_stats_t st;
@@ -192,7 +209,7 @@
 
 		dispatch_stats(d, &st);
 		for (int i = 0; i < neffects; i++)
-			refused_s += effects[i].kind == 'r' && effects[i].request % 2;
+			refused_s += effects[i].kind == REFUSED && effects[i].request % 2;
 		ck_assert_int_eq(refused_s, 10 - 1 - 4);
 		ck_assert_uint_eq(st.asks_waiting, 4 + 6);
 	}
@@ -200,58 +217,63 @@
 }
 END_TEST
 
-START_TEST(a_replica_that_failed_is_left_alone_then_tried_with_one)
+/* A crashed replica stays on the list for some seconds. Without back-off, all requests of that
+ * time would fail on it. */
+START_TEST(a_failed_replica_gets_no_work_for_a_while_then_one_request)
 {
-	dispatch_t *d = fresh(2, 4);
+	dispatch_t *d = new_dispatcher(2, 4);
 	int on_failed = 0;
 
-	ask(d, 1, 0);
+	add_request(d, 1, 0);
 	ck_assert_str_eq(effects[0].replica, "r0");
 	dispatch_request_ended(d, 1, 1, DISPATCH_BROKEN, 10);
 	for (uint64_t i = 2; i <= 4; i++) {
-		ask(d, i, 20);
+		add_request(d, i, 20);
 		ck_assert_str_eq(effects[i - 1].replica, "r1");
 	}
 	for (uint64_t i = 5; i <= 9; i++)
-		ask(d, i, 400);
+		add_request(d, i, 400);
 	for (int i = 4; i < neffects; i++)
-		on_failed += effects[i].kind == 'g' && strcmp(effects[i].replica, "r0") == 0;
+		on_failed += effects[i].kind == GRANTED && strcmp(effects[i].replica, "r0") == 0;
 	ck_assert_int_eq(on_failed, 1);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(replicas_that_are_all_silent_at_once_are_busy_not_failed)
+/* After a loss of power of all VMs, the old runs occupy the replicas for a while, and all are
+ * silent. Backing off from all of them would leave no slot for new work. */
+START_TEST(replicas_that_are_all_silent_at_once_do_not_count_as_failed)
 {
-	dispatch_t *d = fresh(4, 2);
+	dispatch_t *d = new_dispatcher(4, 2);
 	int granted;
 
 	for (uint64_t i = 1; i <= 8; i++)
-		ask(d, i, 0);
+		add_request(d, i, 0);
 	for (uint64_t i = 1; i <= 8; i++)
 		dispatch_request_ended(d, 1, i, DISPATCH_SILENT, 180);
 	granted = neffects;
 	for (uint64_t i = 11; i <= 18; i++)
-		ask(d, i, 185);
+		add_request(d, i, 185);
 	ck_assert_int_eq(neffects, granted + 8);
 	for (int i = granted; i < neffects; i++)
-		ck_assert_int_eq(effects[i].kind, 'g');
+		ck_assert_int_eq(effects[i].kind, GRANTED);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(one_silent_replica_of_many_is_left_alone)
+/* The exception for replicas that are all silent must not cover a single one that hangs. */
+START_TEST(one_silent_replica_of_many_gets_no_new_work)
 {
-	dispatch_t *d = fresh(4, 2);
+	dispatch_t *d = new_dispatcher(4, 2);
 
 	for (uint64_t i = 1; i <= 8; i++)
-		ask(d, i, 0);
+		add_request(d, i, 0);
 	for (uint64_t i = 1; i <= 8; i++)
 		dispatch_request_ended(
 			d, 1, i,
 			strcmp(effects[i - 1].replica, "r1") ? DISPATCH_OK : DISPATCH_SILENT, 180);
 	for (uint64_t i = 11; i <= 16; i++)
-		ask(d, i, 185);
+		add_request(d, i, 185);
 	ck_assert_int_eq(neffects, 14);
 	for (int i = 8; i < neffects; i++)
 		ck_assert_str_ne(effects[i].replica, "r1");
@@ -259,19 +281,21 @@
 }
 END_TEST
 
-START_TEST(runs_that_break_together_are_one_failure)
+/* When a replica crashes, all its runs break at once. Counted one by one, they would double the
+ * back-off with each run. */
+START_TEST(runs_that_break_together_count_as_one_failure)
 {
-	dispatch_t *d = fresh(2, 4);
+	dispatch_t *d = new_dispatcher(2, 4);
 	int on_failed = 0;
 
 	for (uint64_t i = 1; i <= 8; i++)
-		ask(d, i, 0);
+		add_request(d, i, 0);
 	for (uint64_t i = 1; i <= 8; i++) {
 		if (strcmp(effects[i - 1].replica, "r0") == 0)
 			dispatch_request_ended(d, 1, i, DISPATCH_BROKEN, 10);
 	}
-	/* Tried again after the first wait, not after one doubled four times. */
-	ask(d, 20, 270);
+	/* The back-off is that of one failure, not doubled for each broken run. */
+	add_request(d, 20, 270);
 	for (int i = 8; i < neffects; i++)
 		on_failed += strcmp(effects[i].replica, "r0") == 0;
 	ck_assert_int_eq(on_failed, 1);
@@ -279,19 +303,21 @@
 }
 END_TEST
 
-START_TEST(a_replica_that_failed_a_request_is_avoided_by_it)
+START_TEST(a_request_avoids_the_replicas_that_failed_it)
 {
-	dispatch_t *d = fresh(2, 4);
-	dispatch_request_t a = ask_of(1, 0);
+	dispatch_t *d = new_dispatcher(2, 4);
+	dispatch_request_t req = make_request(1, 0);
 
-	a.avoid[a.navoid++] = STR("r0");
-	dispatch_request_add(d, &a, 0);
+	req.avoid[req.navoid++] = STR("r0");
+	dispatch_request_add(d, &req, 0);
 	ck_assert_str_eq(effects[0].replica, "r1");
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(a_request_waits_for_the_first_list)
+/* A new leader has no list for its first moments; an empty list counts as none. Refusing requests
+ * then would fail all that arrive during a failover. The wait ends after 2 s. */
+START_TEST(a_request_waits_for_the_first_replica_list)
 {
 	dispatch_t *d = dispatch_new(&callbacks, 7);
 	dispatch_replica_t v = {STR("r0"), STR("a"), STR("s"), 4, false, 0};
@@ -299,50 +325,51 @@
 	neffects = 0;
 	dispatch_entry_add(d, 1, STR("a"), true);
 	dispatch_set_replicas(d, NULL, 0, 0);
-	ask(d, 1, 0);
+	add_request(d, 1, 0);
 	dispatch_tick(d, 400);
 	ck_assert_int_eq(neffects, 0);
 	dispatch_set_replicas(d, &v, 1, 410);
-	ck_assert_int_eq(effects[0].kind, 'g');
+	ck_assert_int_eq(effects[0].kind, GRANTED);
 	dispatch_free(d);
 	d = dispatch_new(&callbacks, 7);
 	neffects = 0;
-	ask(d, 1, 0);
+	add_request(d, 1, 0);
 	dispatch_tick(d, 1999);
 	ck_assert_int_eq(neffects, 0);
 	dispatch_tick(d, 2000);
 	ck_assert_int_eq(neffects, 1);
-	ck_assert_int_eq(effects[0].kind, 'r');
+	ck_assert_int_eq(effects[0].kind, REFUSED);
 	ck_assert_int_eq(effects[0].why, DISPATCH_NO_REPLICA_LIST);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(a_leaving_replica_gets_no_new_work)
+START_TEST(a_replica_listed_as_leaving_gets_no_new_work)
 {
-	dispatch_t *d = fresh(1, 4);
+	dispatch_t *d = new_dispatcher(1, 4);
 	dispatch_replica_t v = {STR("r0"), STR("a"), STR("s"), 4, true, 0};
 
 	dispatch_set_replicas(d, &v, 1, 0);
-	ask(d, 1, 0);
-	ck_assert_int_eq(effects[0].kind, 'r');
+	add_request(d, 1, 0);
+	ck_assert_int_eq(effects[0].kind, REFUSED);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(the_replica_that_read_a_prompt_gets_its_like)
+/* That replica has the prefix in its cache; any other would process the prompt anew. */
+START_TEST(requests_with_the_same_prefix_go_to_the_same_replica)
 {
-	dispatch_t *d = fresh(4, 4);
-	dispatch_request_t a = ask_of(1, 0);
+	dispatch_t *d = new_dispatcher(4, 4);
+	dispatch_request_t req = make_request(1, 0);
 	char first[32];
 
-	a.prefix = 77;
-	dispatch_request_add(d, &a, 0);
+	req.prefix = 77;
+	dispatch_request_add(d, &req, 0);
 	snprintf(first, sizeof(first), "%s", effects[0].replica);
 	dispatch_request_ended(d, 1, 1, DISPATCH_OK, 500);
 	for (uint64_t i = 2; i < 12; i++) {
-		a.request = i;
-		dispatch_request_add(d, &a, 1000 * (deadline_t)i);
+		req.request = i;
+		dispatch_request_add(d, &req, 1000 * (deadline_t)i);
 		ck_assert_str_eq(effects[neffects - 1].replica, first);
 		dispatch_request_ended(d, 1, i, DISPATCH_OK, 1000 * (deadline_t)i + 500);
 	}
@@ -350,13 +377,14 @@
 }
 END_TEST
 
-START_TEST(a_replica_that_says_it_leaves_gets_no_new_work)
+/* The replica announced that it leaves; the list shows this only seconds later. */
+START_TEST(a_replica_marked_as_leaving_gets_no_new_work)
 {
-	dispatch_t *d = fresh(2, 4);
+	dispatch_t *d = new_dispatcher(2, 4);
 
 	dispatch_replica_leaving(d, STR("r0"));
 	for (uint64_t i = 1; i <= 4; i++)
-		ask(d, i, 0);
+		add_request(d, i, 0);
 	ck_assert_int_eq(neffects, 4);
 	for (int i = 0; i < 4; i++)
 		ck_assert_str_eq(effects[i].replica, "r1");
@@ -364,48 +392,51 @@
 }
 END_TEST
 
-START_TEST(a_place_given_back_by_an_entry_that_knows_better_is_not_given_again)
+/* The entry knew of the announcement before the leader did and ended the granted run without
+ * sending it. Granting the replica again would cost each request a round trip. */
+START_TEST(a_replica_that_an_entry_reports_as_leaving_gets_no_new_work)
 {
-	dispatch_t *d = fresh(2, 4);
+	dispatch_t *d = new_dispatcher(2, 4);
 
-	ask(d, 1, 0);
+	add_request(d, 1, 0);
 	ck_assert_str_eq(effects[0].replica, "r0");
 	dispatch_request_ended(d, 1, 1, DISPATCH_REPLICA_LEAVING, 1);
 	for (uint64_t i = 2; i <= 5; i++)
-		ask(d, i, 2);
+		add_request(d, i, 2);
 	for (int i = 1; i <= 4; i++)
 		ck_assert_str_eq(effects[i].replica, "r1");
 	dispatch_free(d);
 }
 END_TEST
 
-/* Failures, and the prompts it had read, were those of the one before. */
-START_TEST(a_replica_that_starts_again_under_its_id_is_another_one)
+/* A replica with a later start time under the same id is a new process: the failures of the
+ * earlier one say nothing about it. */
+START_TEST(a_restarted_replica_has_no_failures)
 {
 	dispatch_replica_t v = {STR("r0"), STR("a"), STR("s"), 4, false, 1000};
-	dispatch_t *d = fresh(0, 0);
+	dispatch_t *d = new_dispatcher(0, 0);
 
 	dispatch_set_replicas(d, &v, 1, 0);
-	ask(d, 1, 0);
+	add_request(d, 1, 0);
 	dispatch_request_ended(d, 1, 1, DISPATCH_BROKEN, 1);
-	ask(d, 2, 2);
-	ck_assert_int_eq(effects[1].kind, 'r'); /* it is suspected */
+	add_request(d, 2, 2);
+	ck_assert_int_eq(effects[1].kind, REFUSED); /* r0 is in back-off */
 	neffects = 0;
 	v.start_time = 2000;
 	dispatch_set_replicas(d, &v, 1, 3);
 	for (uint64_t i = 3; i <= 6; i++)
-		ask(d, i, 4);
+		add_request(d, i, 4);
 	ck_assert_int_eq(neffects, 4);
 	for (int i = 0; i < 4; i++)
-		ck_assert_int_eq(effects[i].kind, 'g');
+		ck_assert_int_eq(effects[i].kind, GRANTED);
 	dispatch_free(d);
 }
 END_TEST
 
-START_TEST(leavers_are_known_by_id_and_start)
+START_TEST(leaving_replicas_are_identified_by_id_and_start_time)
 {
 	leaving_t *l = leaving_new();
-	leaving_replica_t known[4];
+	leaving_replica_t listed[4];
 
 	ck_assert(leaving_add(l, (leaving_replica_t){STR("i-1"), 1000}));
 	ck_assert(!leaving_add(l, (leaving_replica_t){STR("i-1"), 1000}));
@@ -414,20 +445,22 @@
 	ck_assert(leaving_check(l, (leaving_replica_t){STR("i-1"), 0}));
 	ck_assert(leaving_check(l, (leaving_replica_t){STR("i-2"), 700}));
 	ck_assert(!leaving_check(l, (leaving_replica_t){STR("i-3"), 1000}));
-	ck_assert_uint_eq(leaving_list(l, known, 4), 2);
-	/* It started again: the one that left isn't remembered. */
+	ck_assert_uint_eq(leaving_list(l, listed, 4), 2);
+	/* A later start time: the replica was restarted, so the process that left is forgotten. */
 	ck_assert(!leaving_check(l, (leaving_replica_t){STR("i-1"), 1001}));
 	ck_assert(!leaving_check(l, (leaving_replica_t){STR("i-1"), 1000}));
 	ck_assert(!leaving_check(l, (leaving_replica_t){STR("i-2"), 701}));
-	ck_assert_uint_eq(leaving_list(l, known, 4), 0);
+	ck_assert_uint_eq(leaving_list(l, listed, 4), 0);
 	leaving_free(l);
 }
 END_TEST
 
-START_TEST(leavers_are_bounded_in_number)
+/* An announcement is removed only once the replica restarts, so that a set without a limit would
+ * grow for ever. */
+START_TEST(the_set_of_leaving_replicas_is_bounded)
 {
 	leaving_t *l = leaving_new();
-	static leaving_replica_t known[LEAVING_MAX + 1];
+	static leaving_replica_t listed[LEAVING_MAX + 1];
 
 	for (unsigned i = 0; i < 3 * LEAVING_MAX; i++) {
 		char id[16];
@@ -435,7 +468,7 @@
 		snprintf(id, sizeof(id), "i-%u", i);
 		leaving_add(l, (leaving_replica_t){str_c(id), 1});
 	}
-	ck_assert_uint_eq(leaving_list(l, known, LEAVING_MAX + 1), LEAVING_MAX);
+	ck_assert_uint_eq(leaving_list(l, listed, LEAVING_MAX + 1), LEAVING_MAX);
 	ck_assert(leaving_check(l, (leaving_replica_t){STR("i-3071"), 1}));
 	leaving_free(l);
 }
@@ -447,29 +480,29 @@
 	TCase *t = tcase_create("all");
 
 	tcase_set_timeout(t, 60);
-	tcase_add_test(t, a_free_place_of_the_own_zone_is_granted);
-	tcase_add_test(t, no_replica_gets_more_than_it_runs_at_once);
-	tcase_add_test(t, a_new_request_that_would_be_late_is_refused_with_the_time_of_room);
-	tcase_add_test(t, one_that_comes_back_waits_and_lets_those_in_time_go_first);
-	tcase_add_test(t, what_can_not_end_before_its_caller_gives_up_is_refused_at_once);
-	tcase_add_test(t, one_whose_caller_leaves_before_there_is_room_is_refused_at_once);
-	tcase_add_test(t, a_place_that_gets_free_too_late_is_not_given_to_a_caller_who_leaves);
-	tcase_add_test(t, short_requests_wait_for_a_place_within_a_short_objective);
-	tcase_add_test(t, short_requests_of_one_service_do_not_shorten_the_estimate_of_another);
-	tcase_add_test(t, waiting_requests_of_one_service_do_not_count_for_another);
-	tcase_add_test(t, a_replica_that_failed_is_left_alone_then_tried_with_one);
-	tcase_add_test(t, replicas_that_are_all_silent_at_once_are_busy_not_failed);
-	tcase_add_test(t, one_silent_replica_of_many_is_left_alone);
-	tcase_add_test(t, runs_that_break_together_are_one_failure);
-	tcase_add_test(t, a_replica_that_failed_a_request_is_avoided_by_it);
-	tcase_add_test(t, a_request_waits_for_the_first_list);
-	tcase_add_test(t, a_leaving_replica_gets_no_new_work);
-	tcase_add_test(t, the_replica_that_read_a_prompt_gets_its_like);
-	tcase_add_test(t, a_replica_that_says_it_leaves_gets_no_new_work);
-	tcase_add_test(t, a_place_given_back_by_an_entry_that_knows_better_is_not_given_again);
-	tcase_add_test(t, a_replica_that_starts_again_under_its_id_is_another_one);
-	tcase_add_test(t, leavers_are_known_by_id_and_start);
-	tcase_add_test(t, leavers_are_bounded_in_number);
+	tcase_add_test(t, a_free_slot_in_the_zone_of_the_entry_is_granted);
+	tcase_add_test(t, no_replica_is_granted_more_requests_than_it_has_slots);
+	tcase_add_test(t, a_new_request_that_would_miss_its_objective_is_refused_with_a_retry_time);
+	tcase_add_test(t, a_returning_request_waits_behind_requests_that_can_meet_their_objective);
+	tcase_add_test(t, a_request_that_cannot_end_by_its_deadline_is_refused_at_once);
+	tcase_add_test(t, a_request_whose_caller_gives_up_before_a_slot_is_free_is_refused_at_once);
+	tcase_add_test(t, a_waiting_request_is_refused_shortly_before_its_caller_gives_up);
+	tcase_add_test(t, a_request_waits_if_slots_become_free_within_its_objective);
+	tcase_add_test(t, hold_times_of_one_service_do_not_change_the_estimate_of_another);
+	tcase_add_test(t, the_queue_of_one_service_does_not_count_for_another);
+	tcase_add_test(t, a_failed_replica_gets_no_work_for_a_while_then_one_request);
+	tcase_add_test(t, replicas_that_are_all_silent_at_once_do_not_count_as_failed);
+	tcase_add_test(t, one_silent_replica_of_many_gets_no_new_work);
+	tcase_add_test(t, runs_that_break_together_count_as_one_failure);
+	tcase_add_test(t, a_request_avoids_the_replicas_that_failed_it);
+	tcase_add_test(t, a_request_waits_for_the_first_replica_list);
+	tcase_add_test(t, a_replica_listed_as_leaving_gets_no_new_work);
+	tcase_add_test(t, requests_with_the_same_prefix_go_to_the_same_replica);
+	tcase_add_test(t, a_replica_marked_as_leaving_gets_no_new_work);
+	tcase_add_test(t, a_replica_that_an_entry_reports_as_leaving_gets_no_new_work);
+	tcase_add_test(t, a_restarted_replica_has_no_failures);
+	tcase_add_test(t, leaving_replicas_are_identified_by_id_and_start_time);
+	tcase_add_test(t, the_set_of_leaving_replicas_is_bounded);
 	suite_add_tcase(s, t);
 	return suite_run(s);
 }
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -1,3 +1,6 @@
+/* Tests of rate limits (policy/bucket.h), retries (policy/retry.h) and the choice of a replica
+ * (policy/balance.h). Guard against callers that exceed their rate, retries that multiply an
+ * overload, and load that gathers on a few replicas. */
 #include <stdio.h>
 #include <stdlib.h>
 #include "base/prng.h"
@@ -16,61 +19,65 @@
 	return s ? strtoull(s, NULL, 10) : 5;
 }
 
-START_TEST(bucket_gives_its_burst_then_its_rate)
+START_TEST(a_bucket_gives_its_burst_then_its_rate)
 {
-	bucket_t t = {0};
+	bucket_t bucket = {0};
 	int64_t after;
 	int taken = 0;
 
 	for (int i = 0; i < 5; i++)
-		ck_assert(bucket_take(&t, 10, 5, 1000, &after));
-	ck_assert(!bucket_take(&t, 10, 5, 1000, &after));
+		ck_assert(bucket_take(&bucket, 10, 5, 1000, &after));
+	ck_assert(!bucket_take(&bucket, 10, 5, 1000, &after));
 	ck_assert_int_eq(after, 100);
-	ck_assert(!bucket_take(&t, 10, 5, 1099, &after));
+	ck_assert(!bucket_take(&bucket, 10, 5, 1099, &after));
 	ck_assert_int_eq(after, 1);
-	ck_assert(bucket_take(&t, 10, 5, 1100, &after));
+	ck_assert(bucket_take(&bucket, 10, 5, 1100, &after));
 	for (int64_t now = 1100; now < 11100; now++)
-		taken += bucket_take(&t, 10, 5, now, &after);
+		taken += bucket_take(&bucket, 10, 5, now, &after);
 	ck_assert_int_eq(taken, 99);
 }
 END_TEST
 
-START_TEST(bucket_stays_within_its_burst_after_a_long_pause)
+/* The product of a long pause and a high rate must not overflow. */
+START_TEST(a_bucket_stays_within_its_burst_after_a_long_pause)
 {
-	bucket_t t = {0};
+	bucket_t bucket = {0};
 	int64_t after;
 	int taken = 0;
 
-	ck_assert(bucket_take(&t, 1000000, 3, 1, &after));
-	while (bucket_take(&t, 1000000, 3, INT64_MAX / 2, &after))
+	ck_assert(bucket_take(&bucket, 1000000, 3, 1, &after));
+	while (bucket_take(&bucket, 1000000, 3, INT64_MAX / 2, &after))
 		taken++;
 	ck_assert_int_eq(taken, 3);
-	ck_assert(!bucket_take(&t, 0, 3, INT64_MAX / 2, &after));
+	ck_assert(!bucket_take(&bucket, 0, 3, INT64_MAX / 2, &after));
 	ck_assert_int_eq(after, INT64_MAX);
 }
 END_TEST
 
-START_TEST(bucket_map_drops_the_idlest_and_stays_bounded)
+/* The callers' names come from outside, so their number is not limited. */
+START_TEST(a_bucket_map_drops_the_least_recently_used_and_stays_bounded)
 {
-	bucket_map_t *m = bucket_map_new(100);
+	bucket_map_t *map = bucket_map_new(100);
 	size_t full;
 	int64_t after;
 
 	for (uint64_t c = 1; c <= 100; c++)
-		ck_assert(bucket_take(bucket_map_get(m, c, 10), 1, 1, 10, &after));
-	full = bucket_map_bytes(m);
-	ck_assert(!bucket_take(bucket_map_get(m, 1, 10), 1, 1, 10, &after));
+		ck_assert(bucket_take(bucket_map_get(map, c, 10), 1, 1, 10, &after));
+	full = bucket_map_bytes(map);
+	ck_assert(!bucket_take(bucket_map_get(map, 1, 10), 1, 1, 10, &after));
 	for (uint64_t c = 101; c <= 150; c++)
-		bucket_map_get(m, c, 10);
-	/* 1 was used again, so it is still known as empty; 2 was dropped and starts full. */
-	ck_assert(!bucket_take(bucket_map_get(m, 1, 10), 1, 1, 10, &after));
-	ck_assert(bucket_take(bucket_map_get(m, 2, 10), 1, 1, 10, &after));
-	ck_assert_uint_eq(bucket_map_bytes(m), full);
-	bucket_map_free(m);
+		bucket_map_get(map, c, 10);
+	/* The bucket of caller 1 was used again and is still empty; that of 2 was dropped and is
+	 * full again. */
+	ck_assert(!bucket_take(bucket_map_get(map, 1, 10), 1, 1, 10, &after));
+	ck_assert(bucket_take(bucket_map_get(map, 2, 10), 1, 1, 10, &after));
+	ck_assert_uint_eq(bucket_map_bytes(map), full);
+	bucket_map_free(map);
 }
 END_TEST
 
-START_TEST(retries_stay_a_share_of_first_tries)
+/* When everything fails, retries without a budget would multiply the load. */
+START_TEST(retries_stay_a_share_of_first_attempts)
 {
 	retry_budget_t b;
 	int taken = 0;
@@ -78,7 +85,7 @@
 	retry_budget_init(&b, 10);
 	while (retry_budget_withdraw(&b))
 		taken++;
-	ck_assert_int_eq(taken, 10); /* the floor */
+	ck_assert_int_eq(taken, 10); /* the minimum that is allowed without first attempts */
 	for (int i = 0; i < 1000; i++) {
 		retry_budget_deposit(&b);
 		taken += retry_budget_withdraw(&b);
@@ -87,7 +94,7 @@
 }
 END_TEST
 
-START_TEST(only_what_surely_did_not_run_or_may_repeat_is_retried)
+START_TEST(only_calls_that_did_not_run_or_are_repeatable_are_retried)
 {
 	ck_assert(retry_allowed(VERDICT_NOT_RUN, false));
 	ck_assert(retry_allowed(VERDICT_NOT_RUN, true));
@@ -98,7 +105,9 @@
 }
 END_TEST
 
-START_TEST(breaker_lets_one_probe_through_after_a_doubling_pause)
+/* After three consecutive failures a replica gets no request for a pause that doubles with each
+ * failed probe, then one probe at a time until one succeeds. */
+START_TEST(the_breaker_lets_one_probe_through_after_a_doubling_pause)
 {
 	retry_breaker_t b;
 	int64_t now = 1000;
@@ -110,13 +119,13 @@
 	retry_breaker_success(&b);
 	retry_breaker_failure(&b, now);
 	retry_breaker_failure(&b, now);
-	ck_assert(retry_breaker_allow(&b, now)); /* not three in a row */
+	ck_assert(retry_breaker_allow(&b, now)); /* only two consecutive failures */
 	retry_breaker_failure(&b, now);
 	for (int i = 0; i < 3; i++) {
 		for (pause = 0; !retry_breaker_allow(&b, now + pause); pause++)
 			ck_assert_int_lt(pause, 60000);
 		now += pause;
-		ck_assert(!retry_breaker_allow(&b, now)); /* the probe is out */
+		ck_assert(!retry_breaker_allow(&b, now)); /* the probe has not ended yet */
 		if (last)
 			ck_assert_int_eq(pause, 2 * last);
 		last = pause;
@@ -140,12 +149,12 @@
 				     .reported_at = 1};
 }
 
-START_TEST(pick_prefers_room_zone_and_prefix)
+START_TEST(the_pick_prefers_free_slots_then_zone_and_prefix)
 {
 	balance_candidate_t c[2] = {candidate(4, 0), candidate(2, 0)};
 
 	ck_assert_int_eq(balance_pick(c, 2, BALANCE_TWO_CHOICES, 7, 1), 0);
-	c[0].sent_since_report = 3; /* sent by itself since the report */
+	c[0].sent_since_report = 3; /* requests sent here since the replica reported its load */
 	ck_assert_int_eq(balance_pick(c, 2, BALANCE_TWO_CHOICES, 7, 1), 1);
 	c[0] = c[1];
 	c[0].same_zone = false;
@@ -153,7 +162,7 @@
 	c[0].same_zone = true;
 	c[0].prefix_known = true;
 	ck_assert_int_eq(balance_pick(c, 2, BALANCE_LEAST_LOADED, 7, 1), 0);
-	c[0].free_slots = 0; /* a known prefix doesn't outweigh a queue */
+	c[0].free_slots = 0; /* a queue outweighs a known prefix */
 	c[0].queued = 2;
 	ck_assert_int_eq(balance_pick(c, 2, BALANCE_LEAST_LOADED, 7, 1), 1);
 	c[1].usable = false;
@@ -164,7 +173,7 @@
 }
 END_TEST
 
-START_TEST(pick_spreads_and_never_takes_an_unusable_one)
+START_TEST(the_pick_spreads_load_and_never_takes_an_unusable_replica)
 {
 	uint64_t rnd = seed();
 	balance_candidate_t c[18];
@@ -192,16 +201,16 @@
 int main(void)
 {
 	Suite *s = suite_create("policy");
-	TCase *t = tcase_create("policy");
-
-	suite_add_tcase(s, t);
-	tcase_add_test(t, bucket_gives_its_burst_then_its_rate);
-	tcase_add_test(t, bucket_stays_within_its_burst_after_a_long_pause);
-	tcase_add_test(t, bucket_map_drops_the_idlest_and_stays_bounded);
-	tcase_add_test(t, retries_stay_a_share_of_first_tries);
-	tcase_add_test(t, only_what_surely_did_not_run_or_may_repeat_is_retried);
-	tcase_add_test(t, breaker_lets_one_probe_through_after_a_doubling_pause);
-	tcase_add_test(t, pick_prefers_room_zone_and_prefix);
-	tcase_add_test(t, pick_spreads_and_never_takes_an_unusable_one);
+	TCase *bucket = tcase_create("policy");
+
+	suite_add_tcase(s, bucket);
+	tcase_add_test(bucket, a_bucket_gives_its_burst_then_its_rate);
+	tcase_add_test(bucket, a_bucket_stays_within_its_burst_after_a_long_pause);
+	tcase_add_test(bucket, a_bucket_map_drops_the_least_recently_used_and_stays_bounded);
+	tcase_add_test(bucket, retries_stay_a_share_of_first_attempts);
+	tcase_add_test(bucket, only_calls_that_did_not_run_or_are_repeatable_are_retried);
+	tcase_add_test(bucket, the_breaker_lets_one_probe_through_after_a_doubling_pause);
+	tcase_add_test(bucket, the_pick_prefers_free_slots_then_zone_and_prefix);
+	tcase_add_test(bucket, the_pick_spreads_load_and_never_takes_an_unusable_replica);
 	return suite_run(s);
 }
