--- a/tests/unit/sim.c
+++ b/tests/unit/sim.c
@@ -1,4 +1,5 @@
-/* The randomised run itself: callers, faults, repairs, and the calm at the end. */
+/* A run of the simulation: reads and writes of callers, membership changes and faults, then a phase
+ * without faults in which all replicas must catch up. */
 #include "sim.h"
 
 #include <stdio.h>
@@ -6,20 +7,20 @@
 #include <string.h>
 
 #define CALM_STEPS     4000
-#define DELIVERIES_MAX 8
+#define DELIVERIES_MAX 8 /* messages per step */
 
 static bool chance(sim_t *s, unsigned per_mille)
 {
 	return sim_random(s, 1000) < per_mille;
 }
 
-static sim_node_t *any_node(sim_t *s)
+static sim_node_t *random_node(sim_t *s)
 {
 	return &s->nodes[sim_random(s, SIM_ADDRS)];
 }
 
-/* A running replica that believes to lead, or NULL. */
-static sim_node_t *any_leader(sim_t *s)
+/* Returns a running replica that considers itself leader, or NULL. */
+static sim_node_t *random_leader(sim_t *s)
 {
 	unsigned start = (unsigned)sim_random(s, SIM_ADDRS);
 
@@ -32,18 +33,19 @@
 	return NULL;
 }
 
-static void flush(sim_t *s, sim_node_t *n)
+/* Flushes the replica at 70% of the calls, so that inputs are batched at random. */
+static void maybe_flush(sim_t *s, sim_node_t *n)
 {
 	if (n->raft && !n->frozen_steps && chance(s, 700))
 		raft_flush(n->raft);
 }
 
-static uint64_t new_id(sim_t *s, unsigned slot)
+static uint64_t new_id(sim_t *s, unsigned addr)
 {
 	uint64_t id = s->nids + 1;
 
 	s->ids[s->nids].id = id;
-	s->ids[s->nids].addr = slot;
+	s->ids[s->nids].addr = addr;
 	s->ids[s->nids].lost = false;
 	s->nids++;
 	return id;
@@ -58,15 +60,15 @@
 	return true;
 }
 
-/* The first voters, as a fresh folder holds them. */
+/* Starts all replicas; n of them have the first voters as the only entry of their log. */
 static void bootstrap(sim_t *s, unsigned n)
 {
-	raft_members_t conf = {.n = n};
+	raft_members_t members = {.n = n};
 	AUTO_BUF b = {0};
 
 	for (unsigned i = 0; i < n; i++)
-		conf.peers[i] = (group_peer_t){.id = new_id(s, i), .voter = true};
-	raft_members_encode(&conf, &b);
+		members.peers[i] = (group_peer_t){.id = new_id(s, i), .voter = true};
+	raft_members_encode(&members, &b);
 	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		sim_node_t *node = &s->nodes[i];
 
@@ -84,9 +86,9 @@
 	}
 }
 
-static void write_some(sim_t *s)
+static void start_write(sim_t *s)
 {
-	sim_node_t *n = any_leader(s);
+	sim_node_t *n = random_leader(s);
 	sim_cmd_t cmd = {.op = ++s->next_op, .key = (uint32_t)sim_random(s, SIM_KEYS)};
 	uint64_t index;
 
@@ -95,12 +97,12 @@
 	index = raft_propose(n->raft, (str_t){(const char *)&cmd, sizeof(cmd)});
 	if (index)
 		sim_call_begin(s, n, false, cmd.op, index, cmd.key);
-	flush(s, n);
+	maybe_flush(s, n);
 }
 
-static void read_some(sim_t *s)
+static void start_read(sim_t *s)
 {
-	sim_node_t *n = any_leader(s);
+	sim_node_t *n = random_leader(s);
 	uint64_t token = ++s->next_op;
 
 	if (!n)
@@ -108,7 +110,7 @@
 	sim_call_begin(s, n, true, token, 0, (uint32_t)sim_random(s, SIM_KEYS));
 	if (!raft_read_index(n->raft, token))
 		sim_call_read_done(n, token, false);
-	flush(s, n);
+	maybe_flush(s, n);
 }
 
 static void tick_all(sim_t *s)
@@ -118,11 +120,11 @@
 
 		if (n->raft && !n->frozen_steps && chance(s, 900))
 			raft_tick(n->raft);
-		flush(s, n);
+		maybe_flush(s, n);
 	}
 }
 
-static void restart(sim_t *s, sim_node_t *n)
+static void stop_or_start(sim_t *s, sim_node_t *n)
 {
 	if (n->raft) {
 		sim_node_stop(n);
@@ -132,16 +134,17 @@
 	}
 }
 
-static void partition(sim_t *s)
+/* Heals all partitions or assigns the replicas to two at random. */
+static void change_partitions(sim_t *s)
 {
-	bool heal = chance(s, 500);
+	bool whole = chance(s, 500);
 
 	for (unsigned i = 0; i < SIM_ADDRS; i++)
-		s->nodes[i].partition = heal ? 0 : (unsigned)sim_random(s, 2);
+		s->nodes[i].partition = whole ? 0 : (unsigned)sim_random(s, 2);
 }
 
-/* Members as the most advanced replica has them. */
-static void newest_conf(const sim_t *s, raft_members_t *out)
+/* Writes the members as of the running replica with the highest commit index. */
+static void newest_members(const sim_t *s, raft_members_t *out)
 {
 	uint64_t best = 0;
 	raft_status_t v;
@@ -158,8 +161,8 @@
 	}
 }
 
-/* True when a majority of these voters has lost its disk, counting `also` as one of them. */
-static bool majority_is_lost(const sim_t *s, const raft_members_t *c, uint64_t also)
+/* True if a majority of these voters has lost its disk, counting `other` as lost too. */
+static bool majority_is_lost(const sim_t *s, const raft_members_t *c, uint64_t other)
 {
 	unsigned voters = 0;
 	unsigned lost = 0;
@@ -168,13 +171,13 @@
 		if (!c->peers[i].voter)
 			continue;
 		voters++;
-		lost += is_lost(s, c->peers[i].id) || c->peers[i].id == also;
+		lost += is_lost(s, c->peers[i].id) || c->peers[i].id == other;
 	}
 	return voters > 0 && lost > (voters - 1) / 2;
 }
 
-/* True when some replica's log names voters whose majority would be lost. */
-static bool is_stuck(const sim_t *s, uint64_t also)
+/* True if a replica is stopped, or if its voters would have lost a majority of their disks. */
+static bool is_stuck(const sim_t *s, uint64_t other)
 {
 	raft_status_t v;
 
@@ -182,7 +185,7 @@
 		if (!s->nodes[i].raft)
 			return true;
 		raft_get_status(s->nodes[i].raft, &v);
-		if (majority_is_lost(s, &v.members, also))
+		if (majority_is_lost(s, &v.members, other))
 			return true;
 	}
 	return false;
@@ -199,79 +202,84 @@
 	s->res->disks_lost++;
 }
 
-static void lose_some_disk(sim_t *s)
+static void lose_random_disk(sim_t *s)
 {
-	sim_node_t *n = any_node(s);
+	sim_node_t *n = random_node(s);
 
 	if (s->nids < SIM_IDS_MAX && !is_stuck(s, n->id))
 		sim_lose_disk(s, n);
 }
 
-/* Learners join, are promoted once they may be, and the lost are removed. */
+/* Starts one membership change at a leader: adds or promotes a random replica, else removes a
+ * replica whose disk was lost or, if there are enough members, any other. */
 static void change_members(sim_t *s)
 {
-	sim_node_t *leader = any_leader(s);
-	group_peer_t peer = {.id = any_node(s)->id};
+	sim_node_t *leader = random_leader(s);
+	group_peer_t peer = {.id = random_node(s)->id};
 	uint64_t index = 0;
-	bool spare;
+	bool may_shrink;
 	raft_status_t v;
 	int at;
 
 	if (!leader)
 		return;
 	raft_get_status(leader->raft, &v);
-	spare = v.members.n > 4;
+	may_shrink = v.members.n > 4;
 	for (unsigned i = 0; i < v.members.n; i++)
-		spare &= !is_lost(s, v.members.peers[i].id);
+		may_shrink &= !is_lost(s, v.members.peers[i].id);
 	at = raft_members_find(&v.members, peer.id);
 	if (at < 0)
 		raft_add_learner(leader->raft, &peer, &index);
 	else if (!v.members.peers[at].voter)
 		raft_promote(leader->raft, peer.id, &index);
 	for (unsigned i = 0; i < v.members.n && !index; i++) {
-		if (is_lost(s, v.members.peers[i].id) || (spare && chance(s, 50)))
+		if (is_lost(s, v.members.peers[i].id) || (may_shrink && chance(s, 50)))
 			raft_remove(leader->raft, v.members.peers[i].id, &index);
 	}
 	s->res->changes += index != 0;
-	flush(s, leader);
+	maybe_flush(s, leader);
 }
 
-static void sync_some(sim_t *s)
+static void sync_random_disk(sim_t *s)
 {
-	sim_node_t *n = any_node(s);
+	sim_node_t *n = random_node(s);
 
 	if (!n->raft || n->frozen_steps)
 		return;
 	sim_node_sync(n, sim_random(s, 4));
-	flush(s, n);
+	maybe_flush(s, n);
 }
 
-static void fault(sim_t *s)
+/* Causes some faults at random: crashes and restarts, partitions, freezes, lost disks and
+ * messages, and transfers of leadership. */
+static void random_fault(sim_t *s)
 {
-	sim_node_t *n = any_node(s);
+	sim_node_t *n = random_node(s);
 
 	if (chance(s, 6) || (!n->raft && chance(s, 100)))
-		restart(s, n);
+		stop_or_start(s, n);
 	if (n->raft && n->disk.nwrites > 0 && chance(s, 20)) {
-		/* Right after it may have promised something. */
-		restart(s, n);
-		restart(s, n);
+		/* A crash while a vote or an acknowledgement may depend on an unsynced write. */
+		stop_or_start(s, n);
+		stop_or_start(s, n);
 	}
 	if (chance(s, 8))
-		partition(s);
+		change_partitions(s);
 	if (chance(s, 4) && n->raft)
 		n->frozen_steps = (unsigned)sim_random(s, 200);
 	if (chance(s, 3))
-		lose_some_disk(s);
+		lose_random_disk(s);
 	if (chance(s, 5))
 		s->loss_percent = chance(s, 500) ? 0 : (unsigned)sim_random(s, 40);
 	if (chance(s, 3)) {
-		n = any_leader(s);
+		n = random_leader(s);
 		if (n)
 			raft_transfer_leadership(n->raft);
 	}
 }
 
+/* One step without new faults: messages, ticks, syncs, calls, a snapshot and a membership change,
+ * each with its own chance. */
 static void step(sim_t *s)
 {
 	unsigned n = 1 + (unsigned)sim_random(s, DELIVERIES_MAX);
@@ -280,17 +288,17 @@
 		s->nodes[i].frozen_steps -= s->nodes[i].frozen_steps > 0;
 	for (unsigned i = 0; i < n; i++)
 		sim_deliver(s);
-	flush(s, any_node(s));
+	maybe_flush(s, random_node(s));
 	if (chance(s, s->tick_per_mille))
 		tick_all(s);
 	for (unsigned i = 0; i < s->sync_tries; i++)
-		sync_some(s);
+		sync_random_disk(s);
 	if (chance(s, 300))
-		write_some(s);
+		start_write(s);
 	if (chance(s, 150))
-		read_some(s);
-	if (chance(s, 30) && any_node(s)->raft) {
-		sim_node_t *node = any_node(s);
+		start_read(s);
+	if (chance(s, 30) && random_node(s)->raft) {
+		sim_node_t *node = random_node(s);
 
 		if (node->raft && !node->frozen_steps)
 			sim_node_snapshot(node);
@@ -299,25 +307,27 @@
 		change_members(s);
 }
 
-static bool all_equal(const sim_t *s)
+/* True if each member that still has its disk has applied all entries of the reference. */
+static bool all_caught_up(const sim_t *s)
 {
-	raft_members_t conf;
+	raft_members_t members;
 
-	newest_conf(s, &conf);
-	for (unsigned i = 0; i < conf.n; i++) {
-		int slot = sim_addr_of(s, conf.peers[i].id);
-		const sim_node_t *n = &s->nodes[slot];
+	newest_members(s, &members);
+	for (unsigned i = 0; i < members.n; i++) {
+		int addr = sim_addr_of(s, members.peers[i].id);
+		const sim_node_t *n = &s->nodes[addr];
 
-		if (n->id != conf.peers[i].id)
+		if (n->id != members.peers[i].id)
 			continue;
 		if (!n->raft || raft_applied_index(n->raft) != s->reference_last)
 			return false;
 	}
-	return conf.n > 0;
+	return members.n > 0;
 }
 
-/* With all replicas running and no losses, the group commits again and all come to agree. */
-static void calm(sim_t *s)
+/* With all replicas running and no faults, the group must commit again and all members must apply
+ * the same entries. */
+static void run_calm_phase(sim_t *s)
 {
 	uint64_t writes = s->res->writes;
 
@@ -329,7 +339,7 @@
 			sim_node_start(&s->nodes[i]);
 	}
 	for (unsigned i = 0; i < CALM_STEPS && !s->res->violated; i++) {
-		bool quiet = s->res->writes > writes + 3;
+		bool enough_writes = s->res->writes > writes + 3;
 
 		for (unsigned k = 0; k < DELIVERIES_MAX; k++)
 			sim_deliver(s);
@@ -339,32 +349,37 @@
 			sim_node_sync(&s->nodes[k], SIZE_MAX);
 			raft_flush(s->nodes[k].raft);
 		}
-		if (!quiet && chance(s, 100))
-			write_some(s);
-		if (quiet && all_equal(s))
+		if (!enough_writes && chance(s, 100))
+			start_write(s);
+		if (enough_writes && all_caught_up(s))
 			return;
 	}
-	/* A removal under way when a disk was lost can leave voters whose majority is gone. */
+	/* A removal that was pending when a disk was lost can leave voters without a majority. */
 	if (is_stuck(s, 0))
 		s->res->stuck++;
 	else if (!s->res->violated)
-		sim_report_violation(s, "no agreement after %d calm steps", CALM_STEPS);
+		sim_report_violation(s, "members have not caught up after %d steps without faults",
+				     CALM_STEPS);
 }
 
-/* The state that the reference gives is the one that each replica has. */
+/* Checks that each member has the leader's state and no acknowledged write is missing. */
 static void check_final(sim_t *s)
 {
-	raft_members_t conf;
+	raft_members_t members;
 
-	newest_conf(s, &conf);
-	for (unsigned i = 0; i < conf.n; i++) {
-		const sim_node_t *n = &s->nodes[sim_addr_of(s, conf.peers[i].id)];
+	newest_members(s, &members);
+	for (unsigned i = 0; i < members.n; i++) {
+		const sim_node_t *n = &s->nodes[sim_addr_of(s, members.peers[i].id)];
 
-		for (unsigned k = 0; k < SIM_KEYS && n->id == conf.peers[i].id; k++) {
+		for (unsigned k = 0; k < SIM_KEYS && n->id == members.peers[i].id; k++) {
 			if (n->state.version[k] < s->seen_version[k])
-				sim_report_violation(s, "replica %u lost an acknowledged write", n->addr);
-			if (n->state.op[k] != any_leader(s)->state.op[k])
-				sim_report_violation(s, "replica %u differs from the leader", n->addr);
+				sim_report_violation(
+					s, "replica at address %u lost an acknowledged write",
+					n->addr);
+			if (n->state.op[k] != random_leader(s)->state.op[k])
+				sim_report_violation(
+					s, "replica at address %u differs from the leader",
+					n->addr);
 		}
 	}
 }
@@ -419,11 +434,11 @@
 	s->sync_tries = 1 + (unsigned)sim_random(s, 4);
 	for (res->step = 0; res->step < o->steps && !res->violated; res->step++) {
 		step(s);
-		fault(s);
+		random_fault(s);
 	}
 	if (!res->violated)
-		calm(s);
-	if (!res->violated && !res->stuck && any_leader(s))
+		run_calm_phase(s);
+	if (!res->violated && !res->stuck && random_leader(s))
 		check_final(s);
 	sim_free(s);
 	return !res->violated;
--- a/tests/unit/sim.h
+++ b/tests/unit/sim.h
@@ -1,24 +1,29 @@
-/** A randomised run of the log's core: replicas, disks and a network in one thread, with a
- * reference model of what was acknowledged. Everything follows from the seed. */
+/**
+ * Randomised simulation of the Raft core (raft/raft.h): replicas, their disks and a network in one
+ * thread, with crashes, lost disks, partitions and lost messages. A reference model checks that all
+ * replicas apply the same entries in the same order and that no acknowledged write is lost. A run
+ * is a function of its seed. Used by test_raft and by the tool auburn-core-random.
+ */
 #ifndef AUBURN_SIM_H
 #define AUBURN_SIM_H
 
 #include "raft/raft.h"
 
-#define SIM_ADDRS	 6 /* addresses at which a replica may run */
-#define SIM_KEYS	 3
-#define SIM_INDEX_MAX	 65536
+#define SIM_ADDRS	6 /* addresses, each of which runs one replica at a time */
+#define SIM_KEYS	3
+#define SIM_INDEX_MAX	65536
 #define SIM_PACKETS_MAX 512
-#define SIM_IDS_MAX	 256
+#define SIM_IDS_MAX	256
 
-/** One write to a register, as the log carries it. */
+/** A write to a register, as a log entry holds it. */
 typedef struct {
 	uint64_t op; /* unique; 0: not a write */
 	uint32_t key;
 	uint32_t pad;
 } sim_cmd_t;
 
-/** The replicated state: the newest write to each register, and how many there were. */
+/** The replicated state: for each register its last write and its version, the number of writes to
+ * it. */
 typedef struct {
 	uint64_t applied;
 	uint64_t op[SIM_KEYS];
@@ -32,12 +37,12 @@
 	sim_state_t state;
 } sim_snap_t;
 
-/** Something persisted that isn't synced yet. */
+/** A write to the disk that is not synced yet. */
 typedef struct {
 	enum { SIM_HARD_STATE, SIM_ENTRIES, SIM_RESET } type;
 	uint64_t seq;
 	uint64_t term;
-	uint64_t index; /* vote, first index, or base */
+	uint64_t index; /* SIM_HARD_STATE: vote; SIM_ENTRIES: first index; SIM_RESET: base */
 	raft_entry_t *entries;
 	size_t n;
 } sim_write_t;
@@ -47,7 +52,7 @@
 	uint64_t vote;
 	uint64_t base;
 	uint64_t base_term;
-	raft_entry_t *entries; /* from base + 1 */
+	raft_entry_t *entries; /* from index base + 1 */
 	size_t n;
 	sim_snap_t snaps[2]; /* [0] is the newest */
 	unsigned nsnaps;
@@ -64,10 +69,10 @@
 	raft_t *raft; /* NULL: stopped */
 	sim_disk_t disk;
 	sim_state_t state;
-	unsigned frozen_steps; /* steps left */
-	unsigned partition; /* messages pass only between equal ones */
+	unsigned frozen_steps; /* steps for which it neither runs nor receives messages */
+	unsigned partition; /* messages pass only within a partition */
 	buf_t incoming; /* snapshot being received */
-	buf_t outgoing;
+	buf_t outgoing; /* rest of the snapshot being sent */
 	buf_t outgoing_members;
 } sim_node_t;
 
@@ -77,16 +82,16 @@
 	buf_t bytes;
 } sim_packet_t;
 
-/** A read or a write that was begun and not answered. */
+/** A read or write that a caller has started and that is not answered yet. */
 typedef struct {
 	bool read;
-	uint64_t token; /* op of a write */
+	uint64_t token; /* a write's op */
 	unsigned addr;
 	uint64_t id;
 	uint64_t index;
 	uint64_t term;
 	uint32_t key;
-	uint64_t min_version; /* version that was seen by somebody when it began */
+	uint64_t min_version; /* highest version any caller had seen when the call started */
 } sim_call_t;
 
 typedef struct {
@@ -101,11 +106,12 @@
 	uint64_t writes; /* acknowledged */
 	uint64_t reads;
 	uint64_t elections;
-	uint64_t installs;
+	uint64_t installs; /* snapshots received whole */
 	uint64_t restarts;
 	uint64_t disks_lost;
-	uint64_t changes; /* of members */
-	uint64_t stuck; /* ended with a majority of its voters lost: nothing to agree on */
+	uint64_t changes; /* membership changes */
+	uint64_t stuck; /* runs that ended with the disks of a majority of voters lost, so that
+			   nothing could commit any more */
 } sim_result_t;
 
 struct sim {
@@ -113,62 +119,81 @@
 	sim_node_t nodes[SIM_ADDRS];
 	sim_packet_t packets[SIM_PACKETS_MAX];
 	unsigned npackets;
-	unsigned loss_percent; /* percent */
-	unsigned tick_per_mille; /* chance of a tick in a step; many ticks make elections collide */
-	unsigned sync_tries; /* tries to sync in a step */
+	unsigned loss_percent; /* messages lost when sent */
+	unsigned tick_per_mille; /* chance of a tick per step; frequent ticks cause split votes */
+	unsigned sync_tries; /* random replicas whose disks may sync in a step */
 	struct {
 		uint64_t id;
 		unsigned addr;
-		bool lost; /* its disk is gone */
+		bool lost; /* its disk was lost */
 	} ids[SIM_IDS_MAX];
 	unsigned nids;
 	struct {
 		uint64_t term;
 		uint64_t op;
-	} reference[SIM_INDEX_MAX]; /* by index; term 0 and op 0: nobody applied it yet */
-	uint64_t reference_last;
-	uint64_t leaders[SIM_INDEX_MAX]; /* by term */
+	} reference[SIM_INDEX_MAX]; /* by index; the entries applied by any replica */
+	uint64_t reference_last; /* highest index in reference */
+	uint64_t leaders[SIM_INDEX_MAX]; /* id of the leader of each term */
 	sim_call_t *calls;
 	size_t ncalls;
 	uint64_t next_op;
-	uint64_t seen_version[SIM_KEYS]; /* highest version acknowledged or read */
+	uint64_t seen_version[SIM_KEYS]; /* highest version that a caller has seen */
 	sim_result_t *res;
 };
 
-/** Runs one seed to its end; false when something was violated. */
+/** Runs one seed; false if an invariant was violated, which res->what describes. */
 bool sim_run(const sim_options_t *o, sim_result_t *res);
 
-/** For tests that steer by hand: replicas 0 to voters-1 are the first voters, the others learners
- * to be; nothing is lost and nothing happens by itself. */
+/** Makes a simulation without random events, for tests that control each step: the replicas at
+ * addresses 0 to voters-1 are the first voters, the others belong to no group yet. With voters = 0
+ * their number is random, 3 to 5. */
 sim_t *sim_new(uint64_t seed, unsigned voters, sim_result_t *res);
 void sim_free(sim_t *s);
-/** Delivers, syncs and flushes until nothing is under way. */
+/** Delivers messages, syncs disks and flushes until no message and no unsynced write is left. */
 void sim_settle(sim_t *s);
-/** The address comes back with an empty disk, and so as another replica. */
+/** Restarts the replica with an empty disk and therefore a new id. */
 void sim_lose_disk(sim_t *s, sim_node_t *n);
 
 /* sim_node.c */
+
+/** Returns a random number below n. */
 uint64_t sim_random(sim_t *s, uint64_t n);
+/** Records the first violation of an invariant; later ones are ignored. */
 void sim_report_violation(sim_t *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+/** Starts a replica from its disk. */
 void sim_node_start(sim_node_t *n);
-/** Stops a replica; a random number of its unsynced writes is lost. */
+/** Stops a replica as a crash does: a random number of its newest unsynced writes is lost. */
 void sim_node_stop(sim_node_t *n);
+/** Syncs up to this many of the oldest unsynced writes. */
 void sim_node_sync(sim_node_t *n, size_t writes);
+/** Saves a snapshot of the applied state and compacts the log up to the one before. */
 void sim_node_snapshot(sim_node_t *n);
 void sim_disk_clear(sim_disk_t *d);
 void sim_node_free(sim_node_t *n);
 
 /* sim_check.c */
+
+/** Checks an entry that a replica applies against the reference, and answers its caller. */
 void sim_check_apply(sim_node_t *n, uint64_t index, const raft_entry_t *e);
+/** Checks that a term has only one leader. */
 void sim_check_leader(sim_node_t *n, uint64_t term);
+/** Records the start of a read or write. token: a read's token or a write's op; index: the write's
+ * log index. */
 void sim_call_begin(sim_t *s, sim_node_t *n, bool read, uint64_t token, uint64_t index,
 		    uint32_t key);
+/** Ends a read; if ok, its caller sees the replica's state. */
 void sim_call_read_done(sim_node_t *n, uint64_t token, bool ok);
-void sim_calls_drop(sim_t *s, unsigned slot);
+/** Drops the calls at a replica that has stopped. */
+void sim_calls_drop(sim_t *s, unsigned addr);
 
 /* sim_net.c */
+
+/** Encodes and queues a message; some are lost. */
 void sim_send(sim_node_t *from, const raft_msg_t *m);
+/** Delivers a random queued message, unless its receiver is frozen; some stay queued and are
+ * delivered again. A message is lost if its receiver is stopped or in another partition. */
 void sim_deliver(sim_t *s);
+/** Returns the address at which a replica runs or ran, or -1. */
 int sim_addr_of(const sim_t *s, uint64_t id);
 
 #endif
--- a/tests/unit/sim_check.c
+++ b/tests/unit/sim_check.c
@@ -1,29 +1,34 @@
-/* The reference model: what was applied at each index, and what each caller may see. */
+/* The reference model of the simulation: which entry was applied at each index, and which versions
+ * callers may see. */
 #include "sim.h"
 
 #include <string.h>
 
-/* Every replica applies the same entry at an index, in order, once. */
-static void check_reference(sim_t *s, uint64_t index, uint64_t term, uint64_t op)
+/* Checks that an index holds the same entry on every replica, that entries are applied in order,
+ * and that no write is applied twice. */
+static void check_entry(sim_t *s, uint64_t index, uint64_t term, uint64_t op)
 {
 	if (index >= SIM_INDEX_MAX) {
-		sim_report_violation(s, "the run is too long for its reference");
+		sim_report_violation(s, "the run has more entries than the reference can hold");
 		return;
 	}
 	if (index <= s->reference_last) {
 		if (s->reference[index].term != term || s->reference[index].op != op)
-			sim_report_violation(
-				s, "entry %lu is op %lu of term %lu here, op %lu of term %lu there",
-				(unsigned long)index, (unsigned long)op, (unsigned long)term,
-				(unsigned long)s->reference[index].op, (unsigned long)s->reference[index].term);
+			sim_report_violation(s,
+					     "entry %lu is op %lu of term %lu, another replica "
+					     "applied op %lu of term %lu",
+					     (unsigned long)index, (unsigned long)op,
+					     (unsigned long)term,
+					     (unsigned long)s->reference[index].op,
+					     (unsigned long)s->reference[index].term);
 		return;
 	}
 	if (index != s->reference_last + 1)
-		sim_report_violation(s, "entry %lu is applied before %lu", (unsigned long)index,
-			    (unsigned long)s->reference_last + 1);
+		sim_report_violation(s, "entry %lu was applied before %lu", (unsigned long)index,
+				     (unsigned long)s->reference_last + 1);
 	for (uint64_t i = 1; op && i <= s->reference_last; i++) {
 		if (s->reference[i].op == op)
-			sim_report_violation(s, "op %lu is applied twice", (unsigned long)op);
+			sim_report_violation(s, "op %lu was applied twice", (unsigned long)op);
 	}
 	s->reference_last = index;
 	s->reference[index].term = term;
@@ -35,18 +40,22 @@
 	s->calls[i] = s->calls[--s->ncalls];
 }
 
-/* A caller learns of a version; nobody who begins later may learn of a lower one. */
-static void see_version(sim_t *s, const sim_call_t *c, uint64_t version)
+/* A caller sees a version: it must not be below one that any caller had seen before this call
+ * started, and a write must make a new one. */
+static void check_version(sim_t *s, const sim_call_t *c, uint64_t version)
 {
 	if (version < c->min_version + (c->read ? 0 : 1))
-		sim_report_violation(s, "a %s of key %u gives version %lu, %lu was known before it began",
-			    c->read ? "read" : "write", c->key, (unsigned long)version,
-			    (unsigned long)c->min_version);
+		sim_report_violation(
+			s,
+			"a %s of key %u returned version %lu, %lu had been seen before it started",
+			c->read ? "read" : "write", c->key, (unsigned long)version,
+			(unsigned long)c->min_version);
 	if (s->seen_version[c->key] < version)
 		s->seen_version[c->key] = version;
 }
 
-/* Acknowledges the write at this entry if the replica has a caller for it. */
+/* Acknowledges the write at this index if its caller waits at this replica. If the entry has
+ * another term, the write was replaced by a later leader and its call ends without an answer. */
 static void answer_write(sim_node_t *n, uint64_t index, uint64_t term, const sim_cmd_t *cmd)
 {
 	sim_t *s = n->sim;
@@ -60,9 +69,9 @@
 		if (c.term != term)
 			return;
 		if (cmd->op != c.token)
-			sim_report_violation(s, "op %lu gets the answer of op %lu", (unsigned long)c.token,
-				    (unsigned long)cmd->op);
-		see_version(s, &c, n->state.version[c.key]);
+			sim_report_violation(s, "op %lu got the answer of op %lu",
+					     (unsigned long)c.token, (unsigned long)cmd->op);
+		check_version(s, &c, n->state.version[c.key]);
 		s->res->writes++;
 		return;
 	}
@@ -74,10 +83,10 @@
 
 	if (e->kind == RAFT_ENTRY_COMMAND)
 		memcpy(&cmd, e->data.data_val, sizeof(cmd));
-	check_reference(n->sim, index, e->term, cmd.op);
+	check_entry(n->sim, index, e->term, cmd.op);
 	if (index <= n->state.applied)
-		sim_report_violation(n->sim, "entry %lu is applied after %lu", (unsigned long)index,
-			    (unsigned long)n->state.applied);
+		sim_report_violation(n->sim, "entry %lu was applied after %lu",
+				     (unsigned long)index, (unsigned long)n->state.applied);
 	n->state.applied = index;
 	if (e->kind != RAFT_ENTRY_COMMAND)
 		return;
@@ -126,18 +135,18 @@
 			continue;
 		end_call(s, i);
 		if (ok) {
-			see_version(s, &c, n->state.version[c.key]);
+			check_version(s, &c, n->state.version[c.key]);
 			s->res->reads++;
 		}
 		return;
 	}
-	sim_report_violation(s, "a read is answered twice");
+	sim_report_violation(s, "a read was answered twice");
 }
 
-void sim_calls_drop(sim_t *s, unsigned slot)
+void sim_calls_drop(sim_t *s, unsigned addr)
 {
 	for (size_t i = s->ncalls; i > 0; i--) {
-		if (s->calls[i - 1].addr == slot)
+		if (s->calls[i - 1].addr == addr)
 			end_call(s, i - 1);
 	}
 }
--- a/tests/unit/sim_net.c
+++ b/tests/unit/sim_net.c
@@ -1,4 +1,4 @@
-/* The network of the randomised run: by address, in any order, with losses and repeats. */
+/* The simulation's network: delivers messages by address, in any order, with losses and repeats. */
 #include "sim.h"
 
 #include <string.h>
@@ -22,19 +22,18 @@
 void sim_send(sim_node_t *from, const raft_msg_t *m)
 {
 	sim_t *s = from->sim;
-	int slot = sim_addr_of(s, m->to);
+	int addr = sim_addr_of(s, m->to);
 	sim_packet_t *p;
 
-	if (slot < 0 || sim_random(s, 100) < s->loss_percent)
+	if (addr < 0 || sim_random(s, 100) < s->loss_percent)
 		return;
 	if (s->npackets == SIM_PACKETS_MAX)
 		remove_packet(s, (unsigned)sim_random(s, s->npackets));
 	p = &s->packets[s->npackets++];
-	*p = (sim_packet_t){.from = from->addr, .to = (unsigned)slot};
+	*p = (sim_packet_t){.from = from->addr, .to = (unsigned)addr};
 	wire_encode(&p->bytes, XDR_PROC(raft_msg_t), m);
 }
 
-/* Hands one message, any, to whatever runs at its address. */
 void sim_deliver(sim_t *s)
 {
 	unsigned i;
--- a/tests/unit/sim_node.c
+++ b/tests/unit/sim_node.c
@@ -1,4 +1,4 @@
-/* A replica of the randomised run: its disk, its state and the core's callbacks. */
+/* A replica of the simulation: its disk, its state and the callbacks of its Raft core. */
 #include "sim.h"
 #include "base/prng.h"
 
@@ -7,6 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Smaller than the state, so that a snapshot takes several chunks. */
 #define CHUNK_BYTES 24
 
 uint64_t sim_random(sim_t *s, uint64_t n)
@@ -41,15 +42,15 @@
 	free(w->entries);
 }
 
-static void drop_entries(sim_disk_t *d, size_t keep)
+static void truncate_log(sim_disk_t *d, size_t nkept)
 {
-	while (d->n > keep)
+	while (d->n > nkept)
 		free(d->entries[--d->n].data.data_val);
 }
 
 void sim_disk_clear(sim_disk_t *d)
 {
-	drop_entries(d, 0);
+	truncate_log(d, 0);
 	for (size_t i = 0; i < d->nwrites; i++)
 		free_write(&d->writes[i]);
 	free(d->entries);
@@ -57,18 +58,18 @@
 	*d = (sim_disk_t){0};
 }
 
-/* Makes one write durable. */
-static void do_write(sim_disk_t *d, sim_write_t *w)
+/* Changes the durable state by one write, and frees the write. */
+static void apply_write(sim_disk_t *d, sim_write_t *w)
 {
 	if (w->type == SIM_HARD_STATE) {
 		d->term = w->term;
 		d->vote = w->index;
 	} else if (w->type == SIM_RESET) {
-		drop_entries(d, 0);
+		truncate_log(d, 0);
 		d->base = w->index;
 		d->base_term = w->term;
 	} else {
-		drop_entries(d, w->index - d->base - 1);
+		truncate_log(d, w->index - d->base - 1);
 		d->entries = mem_grow(d->entries, (d->n + w->n) * sizeof(*d->entries));
 		memcpy(d->entries + d->n, w->entries, w->n * sizeof(*d->entries));
 		d->n += w->n;
@@ -80,7 +81,7 @@
 static void sync_disk(sim_disk_t *d, size_t n)
 {
 	for (size_t i = 0; i < n; i++)
-		do_write(d, &d->writes[i]);
+		apply_write(d, &d->writes[i]);
 	d->nwrites -= n;
 	if (d->nwrites)
 		memmove(d->writes, d->writes + n, d->nwrites * sizeof(*d->writes));
@@ -136,23 +137,24 @@
 	sim_check_apply(ctx, index, e);
 }
 
-static void keep_snap(sim_disk_t *d, const sim_snap_t *sn)
+/* Makes this the newest of the two snapshots on the disk. */
+static void add_snapshot(sim_disk_t *d, const sim_snap_t *snap)
 {
 	d->snaps[1] = d->snaps[0];
-	d->snaps[0] = *sn;
+	d->snaps[0] = *snap;
 	if (d->nsnaps < 2)
 		d->nsnaps++;
 }
 
 void sim_node_snapshot(sim_node_t *n)
 {
-	sim_snap_t sn = {.index = raft_applied_index(n->raft), .state = n->state};
+	sim_snap_t snap = {.index = raft_applied_index(n->raft), .state = n->state};
 
-	if (sn.index == 0 || (n->disk.nsnaps && n->disk.snaps[0].index >= sn.index))
+	if (snap.index == 0 || (n->disk.nsnaps && n->disk.snaps[0].index >= snap.index))
 		return;
-	sn.term = raft_term_at(n->raft, sn.index);
-	raft_members_at(n->raft, sn.index, &sn.members);
-	keep_snap(&n->disk, &sn);
+	snap.term = raft_term_at(n->raft, snap.index);
+	raft_members_at(n->raft, snap.index, &snap.members);
+	add_snapshot(&n->disk, &snap);
 	if (n->disk.nsnaps > 1)
 		raft_compact(n->raft, n->disk.snaps[1].index);
 }
@@ -160,32 +162,32 @@
 static bool on_snap_read(void *ctx, raft_snap_chunk_t *c)
 {
 	sim_node_t *n = ctx;
-	const sim_snap_t *sn = NULL;
+	const sim_snap_t *snap = NULL;
 
 	for (unsigned i = n->disk.nsnaps; i > 0; i--) {
 		if (c->index == 0 || n->disk.snaps[i - 1].index == c->index)
-			sn = &n->disk.snaps[i - 1];
+			snap = &n->disk.snaps[i - 1];
 	}
-	if (!sn || c->offset > sizeof(sn->state))
+	if (!snap || c->offset > sizeof(snap->state))
 		return false;
 	n->outgoing.n = n->outgoing_members.n = 0;
-	buf_add(&n->outgoing, (str_t){(const char *)&sn->state, sizeof(sn->state)});
+	buf_add(&n->outgoing, (str_t){(const char *)&snap->state, sizeof(snap->state)});
 	buf_drop_front(&n->outgoing, c->offset);
-	raft_members_encode(&sn->members, &n->outgoing_members);
-	c->index = sn->index;
-	c->term = sn->term;
+	raft_members_encode(&snap->members, &n->outgoing_members);
+	c->index = snap->index;
+	c->term = snap->term;
 	c->members = str_buf(&n->outgoing_members);
 	c->data = str_buf(&n->outgoing);
 	if (c->data.n > CHUNK_BYTES)
 		c->data.n = CHUNK_BYTES;
-	c->last = c->offset + c->data.n == sizeof(sn->state);
+	c->last = c->offset + c->data.n == sizeof(snap->state);
 	return true;
 }
 
 static bool on_snap_write(void *ctx, const raft_snap_chunk_t *c)
 {
 	sim_node_t *n = ctx;
-	sim_snap_t sn = {.index = c->index, .term = c->term};
+	sim_snap_t snap = {.index = c->index, .term = c->term};
 
 	if (c->offset == 0)
 		n->incoming.n = 0;
@@ -194,16 +196,19 @@
 	buf_add(&n->incoming, c->data);
 	if (!c->last)
 		return true;
-	if (n->incoming.n != sizeof(sn.state) ||
-	    raft_members_decode(c->members, &sn.members) != STATUS_OK) {
-		sim_report_violation(n->sim, "a snapshot arrived with %zu bytes", n->incoming.n);
+	if (n->incoming.n != sizeof(snap.state) ||
+	    raft_members_decode(c->members, &snap.members) != STATUS_OK) {
+		sim_report_violation(
+			n->sim,
+			"a snapshot of %zu bytes was received, or its members are malformed",
+			n->incoming.n);
 		return false;
 	}
-	memcpy(&sn.state, n->incoming.p, sizeof(sn.state));
-	if (sn.state.applied > sn.index)
-		sim_report_violation(n->sim, "a snapshot holds more than its index");
-	keep_snap(&n->disk, &sn);
-	n->state = sn.state;
+	memcpy(&snap.state, n->incoming.p, sizeof(snap.state));
+	if (snap.state.applied > snap.index)
+		sim_report_violation(n->sim, "a snapshot holds entries after its index");
+	add_snapshot(&n->disk, &snap);
+	n->state = snap.state;
 	n->sim->res->installs++;
 	return true;
 }
@@ -219,8 +224,9 @@
 		sim_check_leader(ctx, term);
 }
 
-/* Drops what the snapshot holds, or all of a log that doesn't go on from it. */
-static void join_snapshot(sim_disk_t *d)
+/* Drops the entries that the newest snapshot covers, or the whole log if it does not continue the
+ * snapshot. */
+static void align_log_with_snapshot(sim_disk_t *d)
 {
 	uint64_t index = d->nsnaps ? d->snaps[0].index : 0;
 	uint64_t term = d->nsnaps ? d->snaps[0].term : 0;
@@ -229,7 +235,7 @@
 	if (index == d->base)
 		return;
 	if (skip > d->n || d->entries[skip - 1].term != term) {
-		drop_entries(d, 0);
+		truncate_log(d, 0);
 	} else {
 		for (size_t i = 0; i < skip; i++)
 			free(d->entries[i].data.data_val);
@@ -260,7 +266,7 @@
 				   .read_done = on_read_done,
 				   .role = on_role}};
 
-	join_snapshot(d);
+	align_log_with_snapshot(d);
 	n->state = (sim_state_t){0};
 	if (d->nsnaps) {
 		n->state = d->snaps[0].state;
--- a/tests/unit/test_group.c
+++ b/tests/unit/test_group.c
@@ -1,4 +1,6 @@
-/* Unit tests of the group runtime: replicas in one process over function calls, real files. */
+/* Tests of a replicated group at run time (raft/group.h): up to five replicas in one process,
+ * which send messages by function calls and use real files. Guard against acknowledged commands
+ * that are lost, and stale reads, when a leader or a disk fails. */
 #include <fcntl.h>
 #include <pthread.h>
 #include <stdio.h>
@@ -12,21 +14,21 @@
 #define REPLICAS_MAX 5
 #define WAIT_MS	     30000
 
-/* A state machine that counts and remembers the sum of the commands' numbers. */
+/* A replica. Its state machine adds up the numbers in the commands. */
 typedef struct {
 	char addr[32];
 	group_t *group;
-	pthread_rwlock_t lock; /* guards g against senders */
-	_Atomic bool isolated; /* neither sends nor receives */
+	pthread_rwlock_t lock; /* guards `group`, which other replicas use in on_send */
+	_Atomic bool isolated; /* its messages are dropped in both directions */
 	uint64_t applied;
 	uint64_t sum;
 	uint64_t restores;
 } node_t;
 
 static node_t nodes[REPLICAS_MAX];
-static char root[64];
+static char root_dir[64];
 
-static uint64_t number_of(str_t cmd)
+static uint64_t parse_number(str_t cmd)
 {
 	uint64_t v = 0;
 
@@ -41,10 +43,11 @@
 
 	ck_assert(index > n->applied);
 	n->applied = index;
-	__atomic_fetch_add(&n->sum, number_of(cmd), __ATOMIC_RELAXED);
+	__atomic_fetch_add(&n->sum, parse_number(cmd), __ATOMIC_RELAXED);
 	buf_addf(result, "%lu", (unsigned long)n->sum);
 }
 
+/* The snapshot is padded, so that it is sent in several chunks. */
 static void on_snapshot(void *ctx, buf_t *out)
 {
 	node_t *n = ctx;
@@ -82,12 +85,12 @@
 	}
 }
 
-static deadline_t soon(void)
+static deadline_t wait_deadline(void)
 {
 	return clock_now_ms() + WAIT_MS;
 }
 
-static status_t start_with(unsigned i, unsigned nseeds, uint64_t snapshot_entries)
+static status_t open_replica(unsigned i, unsigned nseeds, uint64_t snapshot_entries)
 {
 	static const char *const seeds[] = {"127.0.20.1:1", "127.0.20.2:1", "127.0.20.3:1"};
 	node_t *n = &nodes[i];
@@ -110,7 +113,7 @@
 			     .restore = on_restore,
 			     .send = on_send};
 
-	snprintf(dir, sizeof(dir), "%s/%u", root, i);
+	snprintf(dir, sizeof(dir), "%s/%u", root_dir, i);
 	n->applied = 0;
 	__atomic_store_n(&n->sum, 0, __ATOMIC_RELAXED);
 	n->isolated = false;
@@ -121,12 +124,12 @@
 	return st;
 }
 
-static void start(unsigned i, unsigned nseeds)
+static void start_replica(unsigned i, unsigned nseeds)
 {
-	ck_assert_int_eq(start_with(i, nseeds, 1000000), STATUS_OK);
+	ck_assert_int_eq(open_replica(i, nseeds, 1000000), STATUS_OK);
 }
 
-static void stop(unsigned i)
+static void stop_replica(unsigned i)
 {
 	node_t *n = &nodes[i];
 	group_t *g = n->group;
@@ -137,16 +140,16 @@
 	group_close(g);
 }
 
-/* Waits until some replica but `not` leads and can commit. */
-static unsigned wait_leader(int not )
+/* Waits until a replica other than `except` leads and can commit; returns its number. */
+static unsigned wait_leader(int except)
 {
-	deadline_t d = soon();
+	deadline_t d = wait_deadline();
 
 	for (;;) {
 		for (unsigned i = 0; i < REPLICAS_MAX; i++) {
 			group_status_t s;
 
-			if (!nodes[i].group || (int)i == not )
+			if (!nodes[i].group || (int)i == except)
 				continue;
 			group_get_status(nodes[i].group, &s);
 			if (s.leader &&
@@ -158,27 +161,27 @@
 	}
 }
 
-static status_t add(unsigned i, const char *number)
+static status_t propose_number(unsigned i, const char *number)
 {
-	return group_propose(nodes[i].group, str_c(number), soon(), NULL);
+	return group_propose(nodes[i].group, str_c(number), wait_deadline(), NULL);
 }
 
-/* Adds the number once, by whichever replica but `not` leads. */
-static void must_add(int not, const char *number)
+/* Commits the number once, by a leader other than replica `except`. */
+static void add_number(int except, const char *number)
 {
-	deadline_t d = soon();
+	deadline_t d = wait_deadline();
 	status_t st;
 
 	do {
-		st = add(wait_leader(not ), number);
+		st = propose_number(wait_leader(except), number);
 		ck_assert(clock_left_ms(d) > 0);
-	} while (st == STATUS_NOT_LEADER); /* surely not done */
+	} while (st == STATUS_NOT_LEADER); /* then it was not applied and never will be */
 	ck_assert_int_eq(st, STATUS_OK);
 }
 
 static void wait_sum(unsigned i, uint64_t sum)
 {
-	deadline_t d = soon();
+	deadline_t d = wait_deadline();
 
 	while (__atomic_load_n(&nodes[i].sum, __ATOMIC_RELAXED) != sum) {
 		ck_assert(clock_left_ms(d) > 0);
@@ -190,8 +193,8 @@
 {
 	const char *tmp = getenv("TMPDIR");
 
-	snprintf(root, sizeof(root), "%s/auburn-gr-XXXXXX", tmp ? tmp : "/tmp");
-	ck_assert_ptr_nonnull(mkdtemp(root));
+	snprintf(root_dir, sizeof(root_dir), "%s/auburn-gr-XXXXXX", tmp ? tmp : "/tmp");
+	ck_assert_ptr_nonnull(mkdtemp(root_dir));
 	memset(nodes, 0, sizeof(nodes));
 	for (unsigned i = 0; i < REPLICAS_MAX; i++) {
 		snprintf(nodes[i].addr, sizeof(nodes[i].addr), "127.0.20.%u:1", i + 1);
@@ -199,7 +202,7 @@
 	}
 }
 
-static int remove_one(const char *path, const struct stat *sb, int type, struct FTW *f)
+static int remove_file(const char *path, const struct stat *sb, int type, struct FTW *f)
 {
 	return remove(path);
 }
@@ -208,104 +211,111 @@
 {
 	for (unsigned i = 0; i < REPLICAS_MAX; i++) {
 		if (nodes[i].group)
-			stop(i);
+			stop_replica(i);
 	}
-	nftw(root, remove_one, 16, FTW_DEPTH | FTW_PHYS);
+	nftw(root_dir, remove_file, 16, FTW_DEPTH | FTW_PHYS);
 }
 
-START_TEST(single_replica_restarts)
+START_TEST(a_single_replica_keeps_its_state_over_a_restart)
 {
 	AUTO_BUF r = {0};
 
-	start(0, 1);
+	start_replica(0, 1);
 	ck_assert_uint_eq(wait_leader(-1), 0);
 	for (int i = 0; i < 100; i++)
-		ck_assert_int_eq(add(0, "2"), STATUS_OK);
-	stop(0);
-	start(0, 1);
+		ck_assert_int_eq(propose_number(0, "2"), STATUS_OK);
+	stop_replica(0);
+	start_replica(0, 1);
 	wait_leader(-1);
-	ck_assert_int_eq(group_propose(nodes[0].group, STR("1"), soon(), &r), STATUS_OK);
+	ck_assert_int_eq(group_propose(nodes[0].group, STR("1"), wait_deadline(), &r), STATUS_OK);
 	ck_assert_str_eq(r.p, "201");
 }
 END_TEST
 
-START_TEST(leader_lost_and_back)
+START_TEST(a_lost_leader_is_replaced_and_catches_up_when_it_returns)
 {
-	unsigned first;
+	unsigned first_leader;
 
 	for (unsigned i = 0; i < 3; i++)
-		start(i, 3);
+		start_replica(i, 3);
 	for (int i = 0; i < 20; i++)
-		must_add(-1, "1");
-	first = wait_leader(-1);
-	stop(first);
-	must_add((int)first, "5");
-	start(first, 3);
-	wait_sum(first, 25);
+		add_number(-1, "1");
+	first_leader = wait_leader(-1);
+	stop_replica(first_leader);
+	add_number((int)first_leader, "5");
+	start_replica(first_leader, 3);
+	wait_sum(first_leader, 25);
 }
 END_TEST
 
-START_TEST(cut_off_leader_acknowledges_nothing)
+/* A command acknowledged by a leader without a majority is lost once the others elect a new
+ * leader. */
+START_TEST(an_isolated_leader_acknowledges_nothing)
 {
-	unsigned first;
+	unsigned first_leader;
 
 	for (unsigned i = 0; i < 3; i++)
-		start(i, 3);
-	first = wait_leader(-1);
-	nodes[first].isolated = true;
-	ck_assert_int_ne(group_propose(nodes[first].group, STR("7"), clock_now_ms() + 1000, NULL),
+		start_replica(i, 3);
+	first_leader = wait_leader(-1);
+	nodes[first_leader].isolated = true;
+	ck_assert_int_ne(
+		group_propose(nodes[first_leader].group, STR("7"), clock_now_ms() + 1000, NULL),
+		STATUS_OK);
+	ck_assert_int_ne(group_read_barrier(nodes[first_leader].group, clock_now_ms() + 1000),
 			 STATUS_OK);
-	ck_assert_int_ne(group_read_barrier(nodes[first].group, clock_now_ms() + 1000), STATUS_OK);
-	must_add((int)first, "1");
-	nodes[first].isolated = false;
-	wait_sum(first, 1);
+	add_number((int)first_leader, "1");
+	nodes[first_leader].isolated = false;
+	wait_sum(first_leader, 1);
 }
 END_TEST
 
-static _Atomic bool thaw;
+static _Atomic bool unfreeze;
 
-static void freeze(void *ctx, void *arg)
+/* Runs on the group's thread and blocks it, as a frozen process would. */
+static void block_until_unfrozen(void *ctx, void *arg)
 {
-	while (!thaw)
+	while (!unfreeze)
 		clock_sleep_ms(5);
 }
 
-static void *freeze_group(void *arg)
+static void *freeze_group_thread(void *arg)
 {
-	group_with_state(arg, freeze, NULL);
+	group_with_state(arg, block_until_unfrozen, NULL);
 	return NULL;
 }
 
 typedef struct {
 	unsigned node;
 	status_t st;
-} read_t;
+} barrier_read_t;
 
-static void *read_frozen(void *arg)
+static void *read_barrier_thread(void *arg)
 {
-	read_t *r = arg;
+	barrier_read_t *r = arg;
 
-	r->st = group_read_barrier(nodes[r->node].group, soon());
+	r->st = group_read_barrier(nodes[r->node].group, wait_deadline());
 	return NULL;
 }
 
-START_TEST(frozen_leader_wakes_and_gives_no_stale_answer)
+/* A leader is frozen while another is elected and commits. A read that was waiting at the old
+ * leader must not be answered before the old leader has checked that it still leads. */
+START_TEST(a_leader_that_was_frozen_answers_no_read_from_its_old_state)
 {
-	read_t read = {0};
-	pthread_t frozen;
+	barrier_read_t read = {0};
+	pthread_t freezer;
 	pthread_t reader;
 
-	thaw = false;
+	unfreeze = false;
 	for (unsigned i = 0; i < 3; i++)
-		start(i, 3);
+		start_replica(i, 3);
 	read.node = wait_leader(-1);
-	pthread_create(&frozen, NULL, freeze_group, nodes[read.node].group);
+	pthread_create(&freezer, NULL, freeze_group_thread, nodes[read.node].group);
 	clock_sleep_ms(50);
-	pthread_create(&reader, NULL, read_frozen, &read);
-	nodes[read.node].isolated = true; /* nobody tells it */
-	must_add((int)read.node, "3");
-	thaw = true;
-	pthread_join(frozen, NULL);
+	pthread_create(&reader, NULL, read_barrier_thread, &read);
+	nodes[read.node].isolated = true; /* it receives no message of the new leader */
+	add_number((int)read.node, "3");
+	unfreeze = true;
+	pthread_join(freezer, NULL);
 	pthread_join(reader, NULL);
 	ck_assert_int_eq(read.st, STATUS_NOT_LEADER);
 	nodes[read.node].isolated = false;
@@ -313,22 +323,22 @@
 }
 END_TEST
 
-START_TEST(planned_stop_hands_leadership_over)
+START_TEST(a_planned_stop_transfers_leadership)
 {
-	unsigned first;
+	unsigned first_leader;
 
 	for (unsigned i = 0; i < 3; i++)
-		start(i, 3);
-	first = wait_leader(-1);
-	ck_assert_int_eq(group_step_down(nodes[first].group, soon()), STATUS_OK);
-	must_add((int)first, "1");
+		start_replica(i, 3);
+	first_leader = wait_leader(-1);
+	ck_assert_int_eq(group_step_down(nodes[first_leader].group, wait_deadline()), STATUS_OK);
+	add_number((int)first_leader, "1");
 }
 END_TEST
 
-/* Repeats a change of members until it is done, by whoever leads. */
-static void change(status_t (*fn)(group_t *g, const group_peer_t *p), const group_peer_t *p)
+/* Repeats a membership change at the current leader until it is done. */
+static void change_members(status_t (*fn)(group_t *g, const group_peer_t *p), const group_peer_t *p)
 {
-	deadline_t d = soon();
+	deadline_t d = wait_deadline();
 	status_t st;
 
 	do {
@@ -339,23 +349,23 @@
 	} while (st != STATUS_OK);
 }
 
-static status_t do_add(group_t *g, const group_peer_t *p)
+static status_t add_learner(group_t *g, const group_peer_t *p)
 {
-	return group_add_learner(g, p, soon());
+	return group_add_learner(g, p, wait_deadline());
 }
 
-static status_t do_promote(group_t *g, const group_peer_t *p)
+static status_t promote(group_t *g, const group_peer_t *p)
 {
-	return group_promote(g, p->id, soon());
+	return group_promote(g, p->id, wait_deadline());
 }
 
-static status_t do_remove(group_t *g, const group_peer_t *p)
+static status_t remove_member(group_t *g, const group_peer_t *p)
 {
-	return group_remove(g, p->id, soon());
+	return group_remove(g, p->id, wait_deadline());
 }
 
-/* Adds the replica at i as a learner and waits until it may vote. */
-static void join(unsigned i)
+/* Adds replica i as a learner, waits until it has caught up, and promotes it. */
+static void join_as_voter(unsigned i)
 {
 	group_status_t s;
 	group_peer_t p = {0};
@@ -363,11 +373,13 @@
 	group_get_status(nodes[i].group, &s);
 	p.id = s.self;
 	snprintf(p.addr, sizeof(p.addr), "%s", nodes[i].addr);
-	change(do_add, &p);
-	change(do_promote, &p);
+	change_members(add_learner, &p);
+	change_members(promote, &p);
 }
 
-START_TEST(lost_disk_is_replaced_from_snapshot)
+/* The log is compacted, so the new replica depends on the snapshot. It must be a full voter
+ * afterwards: with another replica lost, it is needed for the majority. */
+START_TEST(a_lost_disk_is_replaced_from_a_snapshot)
 {
 	group_peer_t old = {0};
 	group_status_t s;
@@ -375,31 +387,31 @@
 	unsigned lost;
 
 	for (unsigned i = 0; i < 3; i++)
-		ck_assert_int_eq(start_with(i, 3, 50), STATUS_OK);
+		ck_assert_int_eq(open_replica(i, 3, 50), STATUS_OK);
 	for (int i = 0; i < 300; i++)
-		must_add(-1, "1");
+		add_number(-1, "1");
 	lost = (wait_leader(-1) + 1) % 3;
 	old.id = group_seed_id(0, nodes[lost].addr);
-	stop(lost);
-	start(3, 0); /* an empty disk elsewhere */
-	join(3);
-	change(do_remove, &old);
+	stop_replica(lost);
+	start_replica(3, 0); /* a replica with an empty disk at another address */
+	join_as_voter(3);
+	change_members(remove_member, &old);
 	wait_sum(3, 300);
 	ck_assert_uint_ge(nodes[3].restores, 1);
-	/* A second one is lost right after the repair. */
+	/* A second replica, the leader, is lost right after the repair. */
 	leader = wait_leader(-1);
-	stop(leader);
-	must_add(-1, "1");
+	stop_replica(leader);
+	add_number(-1, "1");
 	group_get_status(nodes[wait_leader(-1)].group, &s);
 	ck_assert_uint_eq(s.npeers, 3);
-	stop(3);
-	start(3, 0);
+	stop_replica(3);
+	start_replica(3, 0);
 	wait_sum(3, 301);
 }
 END_TEST
 
-/* Eight bytes, since up to seven may be padding. */
-static void flip_middle_of_log(const char *dir)
+/* Flips a bit in each of eight adjacent bytes, as up to seven may be padding. */
+static void damage_log(const char *dir)
 {
 	char path[160];
 	char bytes[8];
@@ -414,67 +426,69 @@
 	close(fd);
 }
 
-START_TEST(damaged_folder_joins_again_under_a_new_id)
+/* Repaired under its old id, the replica would lack entries that it had acknowledged. */
+START_TEST(a_replica_with_a_damaged_directory_joins_again_under_a_new_id)
 {
 	group_peer_t old = {.id = group_seed_id(0, nodes[1].addr)};
 	group_status_t s;
 	char dir[128];
-	char aside[160];
+	char damaged_dir[160];
 
 	for (unsigned i = 0; i < 3; i++)
-		start(i, 3);
+		start_replica(i, 3);
 	for (int i = 0; i < 50; i++)
-		must_add(-1, "1");
+		add_number(-1, "1");
 	wait_sum(1, 50);
-	stop(1);
-	snprintf(dir, sizeof(dir), "%s/1", root);
-	snprintf(aside, sizeof(aside), "%s.damaged", dir);
-	flip_middle_of_log(dir);
+	stop_replica(1);
+	snprintf(dir, sizeof(dir), "%s/1", root_dir);
+	snprintf(damaged_dir, sizeof(damaged_dir), "%s.damaged", dir);
+	damage_log(dir);
 	ck_assert(group_exists(dir));
-	ck_assert_int_eq(start_with(1, 3, 1000), STATUS_CORRUPT);
+	ck_assert_int_eq(open_replica(1, 3, 1000), STATUS_CORRUPT);
 	ck_assert(strstr(status_message(), "log-0000000000000001: offset ") != NULL);
-	ck_assert_int_eq(rename(dir, aside), 0);
+	ck_assert_int_eq(rename(dir, damaged_dir), 0);
 	ck_assert(!group_exists(dir));
-	start(1, 0);
+	start_replica(1, 0);
 	group_get_status(nodes[1].group, &s);
 	ck_assert_uint_ne(s.self, old.id);
-	join(1);
-	change(do_remove, &old);
+	join_as_voter(1);
+	change_members(remove_member, &old);
 	wait_sum(1, 50);
 }
 END_TEST
 
-START_TEST(failing_disk_stops_acknowledging)
+/* After a failed sync the data may not be on the disk, even if a later sync succeeds. */
+START_TEST(a_replica_with_a_failed_disk_acknowledges_nothing)
 {
-	deadline_t d = soon();
+	deadline_t d = wait_deadline();
 	status_t st;
 
 	setenv("AUBURN_DISK_FAULT", "fsync_fail_after=40", 1);
-	start(0, 3);
+	start_replica(0, 3);
 	unsetenv("AUBURN_DISK_FAULT");
-	start(1, 3);
-	start(2, 3);
-	/* Replica 0 may lead as well until its disk fails. */
+	start_replica(1, 3);
+	start_replica(2, 3);
+	/* Replica 0 may also be the leader until its disk fails. */
 	do {
-		add(wait_leader(-1), "1");
-		st = group_propose(nodes[0].group, STR("1"), soon(), NULL);
+		propose_number(wait_leader(-1), "1");
+		st = group_propose(nodes[0].group, STR("1"), wait_deadline(), NULL);
 		ck_assert(clock_left_ms(d) > 0);
 	} while (st != STATUS_IO);
-	/* The others go on without it, and it goes on saying what is wrong with it. */
+	/* The others continue without it, and it continues to report the failure. */
 	for (int i = 0; i < 10; i++)
-		must_add(0, "1");
-	ck_assert_int_eq(group_propose(nodes[0].group, STR("1"), soon(), NULL), STATUS_IO);
+		add_number(0, "1");
+	ck_assert_int_eq(group_propose(nodes[0].group, STR("1"), wait_deadline(), NULL), STATUS_IO);
 }
 END_TEST
 
-/* Adds 50 times, by whichever replica takes it. */
-static void *propose_many(void *arg)
+/* Proposes to each replica in turn until 50 commands are committed. */
+static void *propose_thread(void *arg)
 {
 	unsigned *done = arg;
-	deadline_t d = soon();
+	deadline_t d = wait_deadline();
 
 	for (unsigned i = 0; *done < 50 && clock_left_ms(d) > 0; i++) {
-		status_t st = add(i % 3, "1");
+		status_t st = propose_number(i % 3, "1");
 
 		*done += st == STATUS_OK;
 		if (st == STATUS_TIMEOUT)
@@ -483,6 +497,7 @@
 	return NULL;
 }
 
+/* One sync per command would limit the group to the rate of the disk's syncs. */
 START_TEST(concurrent_proposals_share_syncs)
 {
 	unsigned done[16] = {0};
@@ -491,10 +506,10 @@
 	unsigned leader;
 
 	for (unsigned i = 0; i < 3; i++)
-		start(i, 3);
+		start_replica(i, 3);
 	wait_leader(-1);
 	for (int i = 0; i < 16; i++)
-		pthread_create(&t[i], NULL, propose_many, &done[i]);
+		pthread_create(&t[i], NULL, propose_thread, &done[i]);
 	for (int i = 0; i < 16; i++) {
 		pthread_join(t[i], NULL);
 		ck_assert_uint_eq(done[i], 50);
@@ -508,20 +523,20 @@
 
 int main(void)
 {
-	Suite *s = suite_create("gr");
-	TCase *t = tcase_create("gr");
+	Suite *s = suite_create("group");
+	TCase *t = tcase_create("group");
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 120);
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, single_replica_restarts);
-	tcase_add_test(t, leader_lost_and_back);
-	tcase_add_test(t, cut_off_leader_acknowledges_nothing);
-	tcase_add_test(t, frozen_leader_wakes_and_gives_no_stale_answer);
-	tcase_add_test(t, planned_stop_hands_leadership_over);
-	tcase_add_test(t, lost_disk_is_replaced_from_snapshot);
-	tcase_add_test(t, damaged_folder_joins_again_under_a_new_id);
-	tcase_add_test(t, failing_disk_stops_acknowledging);
+	tcase_add_test(t, a_single_replica_keeps_its_state_over_a_restart);
+	tcase_add_test(t, a_lost_leader_is_replaced_and_catches_up_when_it_returns);
+	tcase_add_test(t, an_isolated_leader_acknowledges_nothing);
+	tcase_add_test(t, a_leader_that_was_frozen_answers_no_read_from_its_old_state);
+	tcase_add_test(t, a_planned_stop_transfers_leadership);
+	tcase_add_test(t, a_lost_disk_is_replaced_from_a_snapshot);
+	tcase_add_test(t, a_replica_with_a_damaged_directory_joins_again_under_a_new_id);
+	tcase_add_test(t, a_replica_with_a_failed_disk_acknowledges_nothing);
 	tcase_add_test(t, concurrent_proposals_share_syncs);
 	return suite_run(s);
 }
--- a/tests/unit/test_raft.c
+++ b/tests/unit/test_raft.c
@@ -1,25 +1,27 @@
-/* Unit tests of the log's core: fixed seeds of the randomised run, and each protection by itself.
- */
+/* Tests of the Raft core (raft/raft.h): random runs of the simulation with fixed seeds, and each
+ * safety rule by itself. Each rule guards against a lost or changed entry, two leaders in a term,
+ * a stale read, or a group that cannot elect a leader. */
 #include <stdlib.h>
 #include <string.h>
 #include "sim.h"
 #include "suite_kit.h"
 
-#define ELECTION_TICKS 6 /* as the replicas of sim_node_start have it */
+#define ELECTION_TICKS 6 /* as set by sim_node_start */
 #define FIXED_SEEDS    140
 
-static sim_t *s;
+static sim_t *sim;
 static sim_result_t res;
 
+/* Three voters at addresses 0 to 2; the replicas at the other addresses can become learners. */
 static void setup(void)
 {
-	s = sim_new(7, 3, &res);
+	sim = sim_new(7, 3, &res);
 }
 
 static void teardown(void)
 {
 	ck_assert_msg(!res.violated, "%s", res.what);
-	sim_free(s);
+	sim_free(sim);
 }
 
 static void tick(sim_node_t *n, unsigned ticks)
@@ -28,7 +30,7 @@
 		raft_tick(n->raft);
 }
 
-static raft_status_t view(const sim_node_t *n)
+static raft_status_t status_of(const sim_node_t *n)
 {
 	raft_status_t v;
 
@@ -36,50 +38,50 @@
 	return v;
 }
 
-static sim_node_t *leader(void)
+static sim_node_t *find_leader(void)
 {
 	for (unsigned i = 0; i < SIM_ADDRS; i++) {
-		if (s->nodes[i].raft && raft_role(s->nodes[i].raft) == RAFT_LEADER)
-			return &s->nodes[i];
+		if (sim->nodes[i].raft && raft_role(sim->nodes[i].raft) == RAFT_LEADER)
+			return &sim->nodes[i];
 	}
 	return NULL;
 }
 
-/* Makes the replica at `slot` lead. */
-static sim_node_t *elect(unsigned slot)
+/* Makes the replica at this address the leader. */
+static sim_node_t *elect(unsigned addr)
 {
-	tick(&s->nodes[slot], 2 * ELECTION_TICKS);
-	sim_settle(s);
-	ck_assert_int_eq(raft_role(s->nodes[slot].raft), RAFT_LEADER);
-	return &s->nodes[slot];
+	tick(&sim->nodes[addr], 2 * ELECTION_TICKS);
+	sim_settle(sim);
+	ck_assert_int_eq(raft_role(sim->nodes[addr].raft), RAFT_LEADER);
+	return &sim->nodes[addr];
 }
 
-static uint64_t propose(sim_node_t *n)
+static uint64_t start_write(sim_node_t *n)
 {
-	sim_cmd_t cmd = {.op = ++s->next_op};
+	sim_cmd_t cmd = {.op = ++sim->next_op};
 	uint64_t index = raft_propose(n->raft, (str_t){(const char *)&cmd, sizeof(cmd)});
 
 	ck_assert_uint_ne(index, 0);
-	sim_call_begin(s, n, false, cmd.op, index, 0);
+	sim_call_begin(sim, n, false, cmd.op, index, 0);
 	return index;
 }
 
-static unsigned count_packets(unsigned from)
+static unsigned count_packets_from(unsigned from)
 {
 	unsigned n = 0;
 
-	for (unsigned i = 0; i < s->npackets; i++)
-		n += s->packets[i].from == from;
+	for (unsigned i = 0; i < sim->npackets; i++)
+		n += sim->packets[i].from == from;
 	return n;
 }
 
-static void drop_packets(void)
+static void drop_all_packets(void)
 {
-	while (s->npackets)
-		buf_free(&s->packets[--s->npackets].bytes);
+	while (sim->npackets)
+		buf_free(&sim->packets[--sim->npackets].bytes);
 }
 
-START_TEST(fixed_seeds)
+START_TEST(random_runs_keep_the_invariants)
 {
 	sim_options_t o = {.steps = 2000};
 	sim_result_t r;
@@ -89,347 +91,382 @@
 }
 END_TEST
 
-START_TEST(prevote_keeps_the_term_of_a_cut_off_follower)
+/* With a higher term, the follower would depose the leader when it returns. */
+START_TEST(prevote_keeps_the_term_of_an_isolated_follower)
 {
-	sim_node_t *l = elect(0);
-	uint64_t term = view(l).term;
+	sim_node_t *leader = elect(0);
+	uint64_t term = status_of(leader).term;
 
-	s->nodes[1].partition = 1;
+	sim->nodes[1].partition = 1;
 	for (int i = 0; i < 20; i++) {
-		tick(&s->nodes[1], ELECTION_TICKS);
-		sim_settle(s);
+		tick(&sim->nodes[1], ELECTION_TICKS);
+		sim_settle(sim);
 	}
-	ck_assert_uint_eq(view(&s->nodes[1]).term, term);
-	s->nodes[1].partition = 0;
-	tick(l, 2);
-	sim_settle(s);
-	ck_assert_ptr_eq(leader(), l);
-	ck_assert_uint_eq(view(&s->nodes[1]).leader, l->id);
+	ck_assert_uint_eq(status_of(&sim->nodes[1]).term, term);
+	sim->nodes[1].partition = 0;
+	tick(leader, 2);
+	sim_settle(sim);
+	ck_assert_ptr_eq(find_leader(), leader);
+	ck_assert_uint_eq(status_of(&sim->nodes[1]).leader, leader->id);
 }
 END_TEST
 
-START_TEST(lease_of_a_heard_leader_refuses_votes)
+/* A candidate that has lost contact must not depose a leader that the other followers still
+ * receive messages from, even if its term and its log are newer. */
+START_TEST(a_follower_of_a_live_leader_refuses_votes)
 {
-	sim_node_t *l = elect(0);
-	uint64_t term = view(l).term;
+	sim_node_t *leader = elect(0);
+	uint64_t term = status_of(leader).term;
 	raft_msg_t vote = {.type = RAFT_VOTE,
-			   .from = s->nodes[1].id,
-			   .to = s->nodes[2].id,
+			   .from = sim->nodes[1].id,
+			   .to = sim->nodes[2].id,
 			   .term = term + 1,
 			   .index = 100,
 			   .log_term = term};
 
-	tick(&s->nodes[1], 2 * ELECTION_TICKS);
-	sim_settle(s);
-	raft_receive(s->nodes[2].raft, &vote);
-	sim_settle(s);
-	ck_assert_uint_eq(view(&s->nodes[2]).term, term);
-	ck_assert_ptr_eq(leader(), l);
+	tick(&sim->nodes[1], 2 * ELECTION_TICKS);
+	sim_settle(sim);
+	raft_receive(sim->nodes[2].raft, &vote);
+	sim_settle(sim);
+	ck_assert_uint_eq(status_of(&sim->nodes[2]).term, term);
+	ck_assert_ptr_eq(find_leader(), leader);
 }
 END_TEST
 
-START_TEST(check_quorum_ends_a_cut_off_leader)
+/* A leader without a majority cannot commit; callers would wait for it in vain. */
+START_TEST(an_isolated_leader_steps_down)
 {
-	sim_node_t *l = elect(0);
+	sim_node_t *leader = elect(0);
 
-	l->partition = 1;
-	tick(l, ELECTION_TICKS + 1);
-	ck_assert_int_ne(raft_role(l->raft), RAFT_LEADER);
+	leader->partition = 1;
+	tick(leader, ELECTION_TICKS + 1);
+	ck_assert_int_ne(raft_role(leader->raft), RAFT_LEADER);
 }
 END_TEST
 
-START_TEST(learner_is_promoted_only_when_synced)
+/* A voter that lacks most of the log counts towards the majority but cannot acknowledge new
+ * entries: commits could stop. */
+START_TEST(a_learner_is_promoted_only_once_it_has_caught_up)
 {
-	sim_node_t *l = elect(0);
-	group_peer_t p = {.id = s->nodes[4].id};
+	sim_node_t *leader = elect(0);
+	group_peer_t p = {.id = sim->nodes[4].id};
 	uint64_t index;
 
-	propose(l);
-	sim_settle(s);
-	s->nodes[4].partition = 1;
-	ck_assert_int_eq(raft_add_learner(l->raft, &p, &index), STATUS_OK);
-	sim_settle(s);
-	ck_assert_uint_ge(view(l).commit, index);
-	ck_assert_int_eq(raft_promote(l->raft, p.id, &index), STATUS_LIMIT);
-	s->nodes[4].partition = 0;
-	tick(l, 2);
-	sim_settle(s);
-	ck_assert_int_eq(raft_promote(l->raft, p.id, &index), STATUS_OK);
-	sim_settle(s);
-	ck_assert_uint_eq(view(&s->nodes[4]).last, view(l).last);
+	start_write(leader);
+	sim_settle(sim);
+	sim->nodes[4].partition = 1;
+	ck_assert_int_eq(raft_add_learner(leader->raft, &p, &index), STATUS_OK);
+	sim_settle(sim);
+	ck_assert_uint_ge(status_of(leader).commit, index);
+	ck_assert_int_eq(raft_promote(leader->raft, p.id, &index), STATUS_LIMIT);
+	sim->nodes[4].partition = 0;
+	tick(leader, 2);
+	sim_settle(sim);
+	ck_assert_int_eq(raft_promote(leader->raft, p.id, &index), STATUS_OK);
+	sim_settle(sim);
+	ck_assert_uint_eq(status_of(&sim->nodes[4]).last, status_of(leader).last);
 }
 END_TEST
 
-START_TEST(vote_leaves_only_after_its_sync)
+/* After a crash, a replica whose vote was not durable could vote for another candidate in the same
+ * term. */
+START_TEST(a_vote_is_sent_only_after_its_sync)
 {
-	sim_node_t *n = &s->nodes[2];
+	sim_node_t *n = &sim->nodes[2];
 	raft_msg_t vote = {
-		.type = RAFT_VOTE, .from = s->nodes[1].id, .to = n->id, .term = 5, .index = 1};
+		.type = RAFT_VOTE, .from = sim->nodes[1].id, .to = n->id, .term = 5, .index = 1};
 
 	raft_receive(n->raft, &vote);
-	ck_assert_uint_eq(count_packets(2), 0);
+	ck_assert_uint_eq(count_packets_from(2), 0);
 	sim_node_sync(n, SIZE_MAX);
-	ck_assert_uint_eq(count_packets(2), 1);
-	ck_assert_uint_eq(n->disk.vote, s->nodes[1].id);
+	ck_assert_uint_eq(count_packets_from(2), 1);
+	ck_assert_uint_eq(n->disk.vote, sim->nodes[1].id);
 }
 END_TEST
 
+/* An entry that a majority holds only in memory is lost if these replicas crash. */
 START_TEST(nothing_commits_before_a_majority_has_synced)
 {
-	sim_node_t *l = elect(0);
-	uint64_t index = propose(l);
+	sim_node_t *leader = elect(0);
+	uint64_t index = start_write(leader);
 
-	raft_flush(l->raft);
+	raft_flush(leader->raft);
 	for (int i = 0; i < 50; i++)
-		sim_deliver(s);
-	ck_assert_uint_lt(view(l).commit, index);
-	sim_node_sync(l, SIZE_MAX);
-	ck_assert_uint_lt(view(l).commit, index);
-	sim_node_sync(&s->nodes[1], SIZE_MAX);
-	while (s->npackets)
-		sim_deliver(s);
-	ck_assert_uint_eq(view(l).commit, index);
+		sim_deliver(sim);
+	ck_assert_uint_lt(status_of(leader).commit, index);
+	sim_node_sync(leader, SIZE_MAX);
+	ck_assert_uint_lt(status_of(leader).commit, index);
+	sim_node_sync(&sim->nodes[1], SIZE_MAX);
+	while (sim->npackets)
+		sim_deliver(sim);
+	ck_assert_uint_eq(status_of(leader).commit, index);
 	ck_assert_uint_eq(res.writes, 1);
 }
 END_TEST
 
-START_TEST(followers_alone_may_commit_while_the_leader_syncs)
+/* The leader's own disk counts like any other: a slow one must not delay commits. */
+START_TEST(a_majority_of_followers_commits_before_the_leader_has_synced)
 {
-	sim_node_t *l = elect(0);
-	uint64_t index = propose(l);
-
-	raft_flush(l->raft);
-	while (s->npackets)
-		sim_deliver(s);
-	sim_node_sync(&s->nodes[1], SIZE_MAX);
-	while (s->npackets)
-		sim_deliver(s);
-	ck_assert_uint_lt(view(l).commit, index); /* one of three, the leader's isn't done */
-	sim_node_sync(&s->nodes[2], SIZE_MAX);
-	while (s->npackets)
-		sim_deliver(s);
-	ck_assert_uint_eq(view(l).commit, index);
+	sim_node_t *leader = elect(0);
+	uint64_t index = start_write(leader);
+
+	raft_flush(leader->raft);
+	while (sim->npackets)
+		sim_deliver(sim);
+	sim_node_sync(&sim->nodes[1], SIZE_MAX);
+	while (sim->npackets)
+		sim_deliver(sim);
+	/* One of three disks has synced; the leader's has not. */
+	ck_assert_uint_lt(status_of(leader).commit, index);
+	sim_node_sync(&sim->nodes[2], SIZE_MAX);
+	while (sim->npackets)
+		sim_deliver(sim);
+	ck_assert_uint_eq(status_of(leader).commit, index);
 }
 END_TEST
 
-START_TEST(read_waits_for_a_majority)
+/* A leader that was replaced without its knowledge would answer from an old state. */
+START_TEST(a_read_waits_for_a_majority)
 {
-	sim_node_t *old = elect(0);
-	sim_node_t *now;
-
-	propose(old);
-	sim_settle(s);
-	old->partition = 1;
-	sim_call_begin(s, old, true, 1000, 0, 0);
-	ck_assert(raft_read_index(old->raft, 1000));
-	sim_settle(s);
+	sim_node_t *old_leader = elect(0);
+	sim_node_t *new_leader;
+
+	start_write(old_leader);
+	sim_settle(sim);
+	old_leader->partition = 1;
+	sim_call_begin(sim, old_leader, true, 1000, 0, 0);
+	ck_assert(raft_read_index(old_leader->raft, 1000));
+	sim_settle(sim);
 	ck_assert_uint_eq(res.reads, 0);
-	tick(&s->nodes[2], ELECTION_TICKS);
-	now = elect(1);
-	propose(now);
-	sim_settle(s);
-	old->partition = 0;
-	tick(now, 2);
-	sim_settle(s);
+	tick(&sim->nodes[2], ELECTION_TICKS);
+	new_leader = elect(1);
+	start_write(new_leader);
+	sim_settle(sim);
+	old_leader->partition = 0;
+	tick(new_leader, 2);
+	sim_settle(sim);
 	ck_assert_uint_eq(res.reads, 0);
-	ck_assert_uint_eq(s->ncalls, 0); /* it was told that leadership was lost */
-	sim_call_begin(s, now, true, 1001, 0, 0);
-	ck_assert(raft_read_index(now->raft, 1001));
-	sim_settle(s);
+	ck_assert_uint_eq(sim->ncalls, 0); /* the read failed: leadership was lost */
+	sim_call_begin(sim, new_leader, true, 1001, 0, 0);
+	ck_assert(raft_read_index(new_leader->raft, 1001));
+	sim_settle(sim);
 	ck_assert_uint_eq(res.reads, 1);
 }
 END_TEST
 
-START_TEST(replaced_disk_is_not_the_old_voter)
+/* A replica that lost its disk has lost its votes and acknowledged entries. Under its old id it
+ * could vote twice in a term, or help to commit without the entries that it had acknowledged. */
+START_TEST(a_replica_with_a_new_disk_does_not_count_as_the_old_voter)
 {
-	sim_node_t *l = elect(0);
-	raft_msg_t vote = {.type = RAFT_VOTE, .from = l->id, .to = s->nodes[1].id, .term = 50};
+	sim_node_t *leader = elect(0);
+	raft_msg_t vote = {
+		.type = RAFT_VOTE, .from = leader->id, .to = sim->nodes[1].id, .term = 50};
 	uint64_t index;
 
-	sim_lose_disk(s, &s->nodes[1]);
-	raft_receive(s->nodes[1].raft, &vote); /* for the id that the address had before */
-	ck_assert_uint_eq(view(&s->nodes[1]).term, 0);
-	sim_node_stop(&s->nodes[2]);
-	index = propose(l);
+	sim_lose_disk(sim, &sim->nodes[1]);
+	raft_receive(sim->nodes[1].raft, &vote); /* to the replica's former id */
+	ck_assert_uint_eq(status_of(&sim->nodes[1]).term, 0);
+	sim_node_stop(&sim->nodes[2]);
+	index = start_write(leader);
 	for (int i = 0; i < 5; i++) {
-		tick(l, 1);
-		sim_settle(s);
+		tick(leader, 1);
+		sim_settle(sim);
 	}
-	ck_assert_uint_lt(view(l).commit, index);
-	ck_assert_uint_eq(view(&s->nodes[1]).last, 0);
-	tick(l, ELECTION_TICKS);
-	ck_assert_int_ne(raft_role(l->raft), RAFT_LEADER);
+	ck_assert_uint_lt(status_of(leader).commit, index);
+	ck_assert_uint_eq(status_of(&sim->nodes[1]).last, 0);
+	tick(leader, ELECTION_TICKS);
+	ck_assert_int_ne(raft_role(leader->raft), RAFT_LEADER);
 }
 END_TEST
 
-START_TEST(transfer_needs_no_timeout)
+/* A planned stop of the leader must not leave the group without a leader for an election
+ * timeout. */
+START_TEST(a_leadership_transfer_needs_no_election_timeout)
 {
-	sim_node_t *l = elect(0);
-
-	propose(l);
-	ck_assert(raft_transfer_leadership(l->raft));
-	ck_assert_uint_eq(raft_propose(l->raft, STR("x")), 0);
-	sim_settle(s);
-	ck_assert_ptr_nonnull(leader());
-	ck_assert_ptr_ne(leader(), l);
+	sim_node_t *leader = elect(0);
+
+	start_write(leader);
+	ck_assert(raft_transfer_leadership(leader->raft));
+	ck_assert_uint_eq(raft_propose(leader->raft, STR("x")), 0);
+	sim_settle(sim);
+	ck_assert_ptr_nonnull(find_leader());
+	ck_assert_ptr_ne(find_leader(), leader);
 	ck_assert_uint_eq(res.writes, 1);
 }
 END_TEST
 
-START_TEST(learner_catches_up_by_a_snapshot)
+/* The leader has compacted the entries that the learner lacks. After a restart the learner must
+ * continue from the snapshot. */
+START_TEST(a_learner_catches_up_by_a_snapshot)
 {
-	sim_node_t *l = elect(0);
-	group_peer_t p = {.id = s->nodes[4].id};
+	sim_node_t *leader = elect(0);
+	group_peer_t p = {.id = sim->nodes[4].id};
 	uint64_t index;
 
 	for (int i = 0; i < 2; i++) {
-		propose(l);
-		sim_settle(s);
-		sim_node_snapshot(l);
+		start_write(leader);
+		sim_settle(sim);
+		sim_node_snapshot(leader);
 	}
-	ck_assert_uint_gt(view(l).base, 1);
-	ck_assert_int_eq(raft_add_learner(l->raft, &p, &index), STATUS_OK);
+	ck_assert_uint_gt(status_of(leader).base, 1);
+	ck_assert_int_eq(raft_add_learner(leader->raft, &p, &index), STATUS_OK);
 	for (int i = 0; i < 4; i++) {
-		sim_settle(s);
-		tick(l, 1);
+		sim_settle(sim);
+		tick(leader, 1);
 	}
 	ck_assert_uint_eq(res.installs, 1);
-	ck_assert_uint_eq(view(&s->nodes[4]).synced, view(l).last);
-	sim_node_stop(&s->nodes[4]);
-	sim_node_start(&s->nodes[4]);
-	ck_assert_uint_ge(view(&s->nodes[4]).base, view(l).base);
+	ck_assert_uint_eq(status_of(&sim->nodes[4]).synced, status_of(leader).last);
+	sim_node_stop(&sim->nodes[4]);
+	sim_node_start(&sim->nodes[4]);
+	ck_assert_uint_ge(status_of(&sim->nodes[4]).base, status_of(leader).base);
 }
 END_TEST
 
+/* Two changes at a time can lead to majorities that do not overlap, and so to two leaders. The log
+ * of a new leader may end with a pending change of its predecessor, so it must first commit an
+ * entry of its own term. */
 START_TEST(members_change_one_at_a_time)
 {
-	sim_node_t *l = elect(0);
-	group_peer_t first = {.id = s->nodes[4].id};
-	group_peer_t second = {.id = s->nodes[5].id};
+	sim_node_t *leader = elect(0);
+	group_peer_t first = {.id = sim->nodes[4].id};
+	group_peer_t second = {.id = sim->nodes[5].id};
 	uint64_t index;
 
-	ck_assert_int_eq(raft_add_learner(l->raft, &first, &index), STATUS_OK);
-	ck_assert_int_eq(raft_add_learner(l->raft, &second, &index), STATUS_LIMIT);
-	sim_settle(s);
-	ck_assert_int_eq(raft_add_learner(l->raft, &second, &index), STATUS_OK);
-	sim_settle(s);
-	tick(l, 2);
-	sim_settle(s);
-	/* A new leader first commits an entry of its own term. */
-	ck_assert(raft_transfer_leadership(l->raft));
-	for (unsigned i = 0; raft_role(l->raft) == RAFT_LEADER || !leader(); i++) {
-		sim_deliver(s);
-		sim_node_sync(&s->nodes[i % 3], SIZE_MAX);
+	ck_assert_int_eq(raft_add_learner(leader->raft, &first, &index), STATUS_OK);
+	ck_assert_int_eq(raft_add_learner(leader->raft, &second, &index), STATUS_LIMIT);
+	sim_settle(sim);
+	ck_assert_int_eq(raft_add_learner(leader->raft, &second, &index), STATUS_OK);
+	sim_settle(sim);
+	tick(leader, 2);
+	sim_settle(sim);
+	/* A new leader must commit an entry of its own term before it changes members. */
+	ck_assert(raft_transfer_leadership(leader->raft));
+	for (unsigned i = 0; raft_role(leader->raft) == RAFT_LEADER || !find_leader(); i++) {
+		sim_deliver(sim);
+		sim_node_sync(&sim->nodes[i % 3], SIZE_MAX);
 	}
-	ck_assert_int_eq(raft_remove(leader()->raft, second.id, &index), STATUS_LIMIT);
-	sim_settle(s);
-	ck_assert_int_eq(raft_remove(leader()->raft, second.id, &index), STATUS_OK);
-	sim_settle(s);
+	ck_assert_int_eq(raft_remove(find_leader()->raft, second.id, &index), STATUS_LIMIT);
+	sim_settle(sim);
+	ck_assert_int_eq(raft_remove(find_leader()->raft, second.id, &index), STATUS_OK);
+	sim_settle(sim);
 }
 END_TEST
 
-START_TEST(removal_that_leaves_no_live_majority_is_refused)
+/* With one of three voters dead, the removal of a live one would leave a group of two that can
+ * never commit again. */
+START_TEST(a_removal_that_leaves_no_live_majority_is_refused)
 {
-	sim_node_t *l = elect(0);
+	sim_node_t *leader = elect(0);
 	uint64_t index;
 
-	sim_lose_disk(s, &s->nodes[1]);
+	sim_lose_disk(sim, &sim->nodes[1]);
 	for (int i = 0; i < ELECTION_TICKS; i++) {
-		tick(l, 1);
-		sim_settle(s);
+		tick(leader, 1);
+		sim_settle(sim);
 	}
-	ck_assert_int_eq(raft_remove(l->raft, s->nodes[2].id, &index), STATUS_LIMIT);
-	ck_assert_int_eq(raft_remove(l->raft, s->ids[1].id, &index), STATUS_OK);
-	sim_settle(s);
-	ck_assert_uint_ge(view(l).commit, index);
+	ck_assert_int_eq(raft_remove(leader->raft, sim->nodes[2].id, &index), STATUS_LIMIT);
+	ck_assert_int_eq(raft_remove(leader->raft, sim->ids[1].id, &index), STATUS_OK);
+	sim_settle(sim);
+	ck_assert_uint_ge(status_of(leader).commit, index);
 }
 END_TEST
 
-START_TEST(removed_leader_steps_down)
+START_TEST(a_removed_leader_steps_down)
 {
-	sim_node_t *l = elect(0);
+	sim_node_t *leader = elect(0);
 	uint64_t index;
 
-	ck_assert_int_eq(raft_remove(l->raft, l->id, &index), STATUS_OK);
-	sim_settle(s);
-	ck_assert_int_ne(raft_role(l->raft), RAFT_LEADER);
-	tick(&s->nodes[2], ELECTION_TICKS);
+	ck_assert_int_eq(raft_remove(leader->raft, leader->id, &index), STATUS_OK);
+	sim_settle(sim);
+	ck_assert_int_ne(raft_role(leader->raft), RAFT_LEADER);
+	tick(&sim->nodes[2], ELECTION_TICKS);
 	elect(1);
 }
 END_TEST
 
-START_TEST(entries_of_earlier_terms_commit_only_with_one_of_this_term)
+/* An entry of an earlier term can still be replaced by a later leader even when a majority holds
+ * it (Raft paper, section 5.4.2). */
+START_TEST(entries_of_earlier_terms_commit_only_with_an_entry_of_the_current_term)
 {
-	sim_node_t *l = elect(0);
-	uint64_t old = propose(l);
-	raft_msg_t ack = {
-		.type = RAFT_APPEND_RESP, .from = s->nodes[1].id, .to = l->id, .index = old};
-
-	l->partition = 1;
-	sim_settle(s);
-	raft_step_down(l->raft);
-	tick(&s->nodes[1], ELECTION_TICKS);
-	tick(&s->nodes[2], ELECTION_TICKS);
-	drop_packets();
-	l->partition = 0;
-	tick(l, 2 * ELECTION_TICKS);
-	while (raft_role(l->raft) != RAFT_LEADER) {
-		sim_deliver(s);
+	sim_node_t *leader = elect(0);
+	uint64_t old_index = start_write(leader);
+	raft_msg_t ack = {.type = RAFT_APPEND_RESP,
+			  .from = sim->nodes[1].id,
+			  .to = leader->id,
+			  .index = old_index};
+
+	leader->partition = 1;
+	sim_settle(sim);
+	raft_step_down(leader->raft);
+	tick(&sim->nodes[1], ELECTION_TICKS);
+	tick(&sim->nodes[2], ELECTION_TICKS);
+	drop_all_packets();
+	leader->partition = 0;
+	tick(leader, 2 * ELECTION_TICKS);
+	while (raft_role(leader->raft) != RAFT_LEADER) {
+		sim_deliver(sim);
 		for (int i = 0; i < 3; i++)
-			sim_node_sync(&s->nodes[i], SIZE_MAX);
+			sim_node_sync(&sim->nodes[i], SIZE_MAX);
 	}
-	ack.term = view(l).term;
-	ack.index = old;
-	raft_receive(l->raft, &ack);
-	ck_assert_uint_lt(view(l).commit, old);
-	ack.index = view(l).last;
-	raft_receive(l->raft, &ack);
-	sim_node_sync(l, SIZE_MAX);
-	ck_assert_uint_gt(view(l).commit, old);
+	ack.term = status_of(leader).term;
+	ack.index = old_index;
+	raft_receive(leader->raft, &ack);
+	ck_assert_uint_lt(status_of(leader).commit, old_index);
+	ack.index = status_of(leader).last;
+	raft_receive(leader->raft, &ack);
+	sim_node_sync(leader, SIZE_MAX);
+	ck_assert_uint_gt(status_of(leader).commit, old_index);
 }
 END_TEST
 
-START_TEST(snapshot_inside_the_log_keeps_what_follows)
+/* A delayed snapshot message must not remove entries that the follower has acknowledged since. */
+START_TEST(a_snapshot_within_the_log_keeps_the_entries_after_it)
 {
-	sim_node_t *l = elect(0);
-	sim_node_t *f = &s->nodes[1];
-	uint64_t first = propose(l);
-	raft_msg_t snap = {.type = RAFT_SNAPSHOT, .from = l->id, .to = f->id, .term = view(l).term};
+	sim_node_t *leader = elect(0);
+	sim_node_t *follower = &sim->nodes[1];
+	uint64_t first = start_write(leader);
+	raft_msg_t snap = {.type = RAFT_SNAPSHOT,
+			   .from = leader->id,
+			   .to = follower->id,
+			   .term = status_of(leader).term};
 	uint64_t last;
 
-	last = propose(l);
-	sim_settle(s);
-	ck_assert_uint_lt(view(f).commit, first);
+	last = start_write(leader);
+	sim_settle(sim);
+	ck_assert_uint_lt(status_of(follower).commit, first);
 	snap.index = first;
-	snap.log_term = view(l).term;
-	raft_receive(f->raft, &snap);
-	ck_assert_uint_eq(view(f).last, last);
-	ck_assert_uint_eq(view(f).commit, first);
-	sim_settle(s);
+	snap.log_term = status_of(leader).term;
+	raft_receive(follower->raft, &snap);
+	ck_assert_uint_eq(status_of(follower).last, last);
+	ck_assert_uint_eq(status_of(follower).commit, first);
+	sim_settle(sim);
 }
 END_TEST
 
-START_TEST(removed_voter_campaigns_until_its_removal_is_committed)
+/* The leader's log ends with its own removal, which is not committed, so the other voter has a
+ * shorter log and cannot win its vote. If the leader did not campaign either, the group would stay
+ * without a leader. */
+START_TEST(a_leader_campaigns_until_its_own_removal_is_committed)
 {
-	sim_node_t *l = elect(0);
+	sim_node_t *leader = elect(0);
 	uint64_t index;
 
-	ck_assert_int_eq(raft_remove(l->raft, s->nodes[2].id, &index), STATUS_OK);
-	sim_settle(s);
-	sim_node_stop(&s->nodes[2]);
-	l->partition = 1;
-	ck_assert_int_eq(raft_remove(l->raft, l->id, &index), STATUS_OK);
-	sim_settle(s);
-	tick(l, ELECTION_TICKS + 1);
-	tick(&s->nodes[1], ELECTION_TICKS);
-	l->partition = 0;
+	ck_assert_int_eq(raft_remove(leader->raft, sim->nodes[2].id, &index), STATUS_OK);
+	sim_settle(sim);
+	sim_node_stop(&sim->nodes[2]);
+	leader->partition = 1;
+	ck_assert_int_eq(raft_remove(leader->raft, leader->id, &index), STATUS_OK);
+	sim_settle(sim);
+	tick(leader, ELECTION_TICKS + 1);
+	tick(&sim->nodes[1], ELECTION_TICKS);
+	leader->partition = 0;
 	for (int i = 0; i < 6; i++) {
-		tick(l, ELECTION_TICKS);
-		tick(&s->nodes[1], ELECTION_TICKS);
-		sim_settle(s);
+		tick(leader, ELECTION_TICKS);
+		tick(&sim->nodes[1], ELECTION_TICKS);
+		sim_settle(sim);
 	}
-	ck_assert_ptr_eq(leader(), &s->nodes[1]);
-	ck_assert_uint_eq(view(&s->nodes[1]).members.n, 1);
+	ck_assert_ptr_eq(find_leader(), &sim->nodes[1]);
+	ck_assert_uint_eq(status_of(&sim->nodes[1]).members.n, 1);
 }
 END_TEST
 
@@ -442,24 +479,24 @@
 	suite_add_tcase(suite, t);
 	suite_add_tcase(suite, seeds);
 	tcase_set_timeout(seeds, 300);
-	tcase_add_test(seeds, fixed_seeds);
+	tcase_add_test(seeds, random_runs_keep_the_invariants);
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, prevote_keeps_the_term_of_a_cut_off_follower);
-	tcase_add_test(t, lease_of_a_heard_leader_refuses_votes);
-	tcase_add_test(t, check_quorum_ends_a_cut_off_leader);
-	tcase_add_test(t, learner_is_promoted_only_when_synced);
-	tcase_add_test(t, vote_leaves_only_after_its_sync);
+	tcase_add_test(t, prevote_keeps_the_term_of_an_isolated_follower);
+	tcase_add_test(t, a_follower_of_a_live_leader_refuses_votes);
+	tcase_add_test(t, an_isolated_leader_steps_down);
+	tcase_add_test(t, a_learner_is_promoted_only_once_it_has_caught_up);
+	tcase_add_test(t, a_vote_is_sent_only_after_its_sync);
 	tcase_add_test(t, nothing_commits_before_a_majority_has_synced);
-	tcase_add_test(t, followers_alone_may_commit_while_the_leader_syncs);
-	tcase_add_test(t, read_waits_for_a_majority);
-	tcase_add_test(t, replaced_disk_is_not_the_old_voter);
-	tcase_add_test(t, transfer_needs_no_timeout);
-	tcase_add_test(t, learner_catches_up_by_a_snapshot);
+	tcase_add_test(t, a_majority_of_followers_commits_before_the_leader_has_synced);
+	tcase_add_test(t, a_read_waits_for_a_majority);
+	tcase_add_test(t, a_replica_with_a_new_disk_does_not_count_as_the_old_voter);
+	tcase_add_test(t, a_leadership_transfer_needs_no_election_timeout);
+	tcase_add_test(t, a_learner_catches_up_by_a_snapshot);
 	tcase_add_test(t, members_change_one_at_a_time);
-	tcase_add_test(t, removal_that_leaves_no_live_majority_is_refused);
-	tcase_add_test(t, removed_leader_steps_down);
-	tcase_add_test(t, entries_of_earlier_terms_commit_only_with_one_of_this_term);
-	tcase_add_test(t, snapshot_inside_the_log_keeps_what_follows);
-	tcase_add_test(t, removed_voter_campaigns_until_its_removal_is_committed);
+	tcase_add_test(t, a_removal_that_leaves_no_live_majority_is_refused);
+	tcase_add_test(t, a_removed_leader_steps_down);
+	tcase_add_test(t, entries_of_earlier_terms_commit_only_with_an_entry_of_the_current_term);
+	tcase_add_test(t, a_snapshot_within_the_log_keeps_the_entries_after_it);
+	tcase_add_test(t, a_leader_campaigns_until_its_own_removal_is_committed);
 	return suite_run(suite);
 }
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -1,4 +1,6 @@
-/* Unit tests of the store: what a folder holds after each kind of damage. */
+/* Tests of the store of one replica (raft/store.h): what a directory holds after a crash or after
+ * damage. Guard against acknowledged entries that are lost without an error, and against a replica
+ * that refuses to start after a normal crash. */
 #include <fcntl.h>
 #include <ftw.h>
 #include <stdio.h>
@@ -8,22 +10,23 @@
 #include "raft/store_internal.h"
 #include "suite_kit.h"
 
-static char root[64];
+static char root_dir[64];
 static char dir[96];
-static store_t *s;
-static store_contents_t st;
+static store_t *store;
+static store_contents_t contents;
 
-static status_t open_again(void)
+/* Closes the store, if open, and opens the directory again, as a restart does. */
+static status_t reopen(void)
 {
 	store_options_t o = {.dir = dir, .new_id = 77, .segment_bytes = 4096};
 
-	store_close(s);
-	store_contents_free(&st);
-	s = NULL;
-	return store_open(&o, &s, &st);
+	store_close(store);
+	store_contents_free(&contents);
+	store = NULL;
+	return store_open(&o, &store, &contents);
 }
 
-static int remove_one(const char *path, const struct stat *sb, int type, struct FTW *f)
+static int remove_file(const char *path, const struct stat *sb, int type, struct FTW *f)
 {
 	return remove(path);
 }
@@ -32,219 +35,230 @@
 {
 	const char *tmp = getenv("TMPDIR");
 
-	snprintf(root, sizeof(root), "%s/auburn-rs-XXXXXX", tmp ? tmp : "/tmp");
-	ck_assert_ptr_nonnull(mkdtemp(root));
-	snprintf(dir, sizeof(dir), "%s/a/b", root);
+	snprintf(root_dir, sizeof(root_dir), "%s/auburn-rs-XXXXXX", tmp ? tmp : "/tmp");
+	ck_assert_ptr_nonnull(mkdtemp(root_dir));
+	snprintf(dir, sizeof(dir), "%s/a/b", root_dir);
 	ck_assert(!store_exists(dir));
-	ck_assert_int_eq(open_again(), STATUS_OK);
+	ck_assert_int_eq(reopen(), STATUS_OK);
 	ck_assert(store_exists(dir));
-	ck_assert(st.created);
+	ck_assert(contents.created);
 }
 
 static void teardown(void)
 {
-	store_close(s);
-	store_contents_free(&st);
-	nftw(root, remove_one, 16, FTW_DEPTH | FTW_PHYS);
+	store_close(store);
+	store_contents_free(&contents);
+	nftw(root_dir, remove_file, 16, FTW_DEPTH | FTW_PHYS);
 }
 
-/* Appends and syncs the entry at index, of this term. */
-static void put(uint64_t index, uint64_t term, str_t data)
+/* Appends and syncs one entry. */
+static void append_synced(uint64_t index, uint64_t term, str_t data)
 {
 	raft_entry_t e = {.term = term, .kind = RAFT_ENTRY_COMMAND};
 	uint64_t seq;
 
 	e.data.data_val = (char *)data.p;
 	e.data.data_len = (u_int)data.n;
-	store_queue_entries(s, index, index, &e, 1);
-	ck_assert_int_eq(store_sync(s, &seq), STATUS_OK);
+	store_queue_entries(store, index, index, &e, 1);
+	ck_assert_int_eq(store_sync(store, &seq), STATUS_OK);
 	ck_assert_uint_eq(seq, index);
 }
 
-static void put_hard(uint64_t term, uint64_t vote)
+static void append_hard_state(uint64_t term, uint64_t vote)
 {
 	uint64_t seq;
 
-	store_queue_hard_state(s, 1, term, vote);
-	ck_assert_int_eq(store_sync(s, &seq), STATUS_OK);
+	store_queue_hard_state(store, 1, term, vote);
+	ck_assert_int_eq(store_sync(store, &seq), STATUS_OK);
 }
 
-static void path_of(const char *name, char path[256])
+static void file_path(const char *name, char path[256])
 {
 	snprintf(path, 256, "%s/%s", dir, name);
 }
 
-static long size_of(const char *name)
+static long file_size(const char *name)
 {
 	char path[256];
 	struct stat sb;
 
-	path_of(name, path);
+	file_path(name, path);
 	ck_assert_int_eq(stat(path, &sb), 0);
 	return sb.st_size;
 }
 
-static void cut(const char *name, long size)
+static void truncate_file(const char *name, long size)
 {
 	char path[256];
 
-	path_of(name, path);
+	file_path(name, path);
 	ck_assert_int_eq(truncate(path, size), 0);
 }
 
-static void flip(const char *name, long at)
+static void flip_bit(const char *name, long offset)
 {
 	char path[256];
 	char c;
 	int fd;
 
-	path_of(name, path);
+	file_path(name, path);
 	fd = open(path, O_RDWR);
-	ck_assert_int_eq(pread(fd, &c, 1, at), 1);
+	ck_assert_int_eq(pread(fd, &c, 1, offset), 1);
 	c ^= 0x40;
-	ck_assert_int_eq(pwrite(fd, &c, 1, at), 1);
+	ck_assert_int_eq(pwrite(fd, &c, 1, offset), 1);
 	close(fd);
 }
 
-#define SEGMENT "log-0000000000000001"
+#define FIRST_SEGMENT "log-0000000000000001"
 
-START_TEST(entries_and_votes_last)
+START_TEST(entries_and_votes_survive_a_restart)
 {
-	put_hard(3, 99);
-	put(1, 1, STR("a"));
-	put(2, 3, STR("bb"));
-	put(2, 3, STR("cc")); /* takes the place of the one before */
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert(!st.created);
-	ck_assert_uint_eq(st.id, 77);
-	ck_assert_uint_eq(st.term, 3);
-	ck_assert_uint_eq(st.vote, 99);
-	ck_assert_uint_eq(st.nentries, 2);
-	ck_assert_mem_eq(st.entries[1].data.data_val, "cc", 2);
+	append_hard_state(3, 99);
+	append_synced(1, 1, STR("a"));
+	append_synced(2, 3, STR("bb"));
+	append_synced(2, 3, STR("cc")); /* replaces the entry at index 2 */
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert(!contents.created);
+	ck_assert_uint_eq(contents.id, 77);
+	ck_assert_uint_eq(contents.term, 3);
+	ck_assert_uint_eq(contents.vote, 99);
+	ck_assert_uint_eq(contents.nentries, 2);
+	ck_assert_mem_eq(contents.entries[1].data.data_val, "cc", 2);
 }
 END_TEST
 
-START_TEST(torn_last_record_is_cut)
+/* A crash in the middle of a write leaves an incomplete record, which was never acknowledged. The
+ * replica must start, and write over it. */
+START_TEST(a_torn_last_record_is_truncated)
 {
-	long whole;
-
-	put(1, 1, STR("first"));
-	whole = size_of(SEGMENT);
-	put(2, 1, STR("second"));
-	cut(SEGMENT, size_of(SEGMENT) - 9);
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert_uint_eq(st.nentries, 1);
-	ck_assert_uint_gt(st.cut_bytes, 0);
-	ck_assert_int_eq(size_of(SEGMENT), whole);
-	put(2, 1, STR("again"));
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert_uint_eq(st.nentries, 2);
+	long size_before;
+
+	append_synced(1, 1, STR("first"));
+	size_before = file_size(FIRST_SEGMENT);
+	append_synced(2, 1, STR("second"));
+	truncate_file(FIRST_SEGMENT, file_size(FIRST_SEGMENT) - 9);
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert_uint_eq(contents.nentries, 1);
+	ck_assert_uint_gt(contents.cut_bytes, 0);
+	ck_assert_int_eq(file_size(FIRST_SEGMENT), size_before);
+	append_synced(2, 1, STR("again"));
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert_uint_eq(contents.nentries, 2);
 }
 END_TEST
 
-START_TEST(flipped_byte_in_the_middle_is_an_error)
+/* The record was acknowledged; truncating the log there would lose it and all entries after it.
+ * The message names the file and the offset. */
+START_TEST(a_damaged_record_before_the_last_is_an_error)
 {
-	char want[64];
-	long at;
-
-	put(1, 1, STR("first"));
-	at = size_of(SEGMENT);
-	put(2, 1, STR("second"));
-	put(3, 1, STR("third"));
-	flip(SEGMENT, at + (long)sizeof(store_record_t) + 1);
-	ck_assert_int_eq(open_again(), STATUS_CORRUPT);
-	snprintf(want, sizeof(want), SEGMENT ": offset %ld", at);
-	ck_assert_msg(strstr(status_message(), want) != NULL, "%s", status_message());
+	char want_message[64];
+	long damage_at;
+
+	append_synced(1, 1, STR("first"));
+	damage_at = file_size(FIRST_SEGMENT);
+	append_synced(2, 1, STR("second"));
+	append_synced(3, 1, STR("third"));
+	flip_bit(FIRST_SEGMENT, damage_at + (long)sizeof(store_record_t) + 1);
+	ck_assert_int_eq(reopen(), STATUS_CORRUPT);
+	snprintf(want_message, sizeof(want_message), FIRST_SEGMENT ": offset %ld", damage_at);
+	ck_assert_msg(strstr(status_message(), want_message) != NULL, "%s", status_message());
 }
 END_TEST
 
-START_TEST(flipped_byte_in_the_newest_record_is_an_error)
+/* Without the mark the record could not be told from an incomplete write and would be truncated. */
+START_TEST(a_damaged_newest_record_is_an_error_once_it_is_marked_as_synced)
 {
-	long at;
-
-	put(1, 1, STR("first"));
-	at = size_of(SEGMENT);
-	put(2, 1, STR("second"));
-	store_write_sync_mark(s);
-	flip(SEGMENT, at + (long)sizeof(store_record_t) + 1);
-	ck_assert_int_eq(open_again(), STATUS_CORRUPT);
+	long damage_at;
+
+	append_synced(1, 1, STR("first"));
+	damage_at = file_size(FIRST_SEGMENT);
+	append_synced(2, 1, STR("second"));
+	store_write_sync_mark(store);
+	flip_bit(FIRST_SEGMENT, damage_at + (long)sizeof(store_record_t) + 1);
+	ck_assert_int_eq(reopen(), STATUS_CORRUPT);
 }
 END_TEST
 
-START_TEST(flipped_header_is_an_error)
+START_TEST(a_damaged_segment_header_is_an_error)
 {
-	put(1, 1, STR("first"));
-	flip(SEGMENT, 9);
-	ck_assert_int_eq(open_again(), STATUS_CORRUPT);
-	ck_assert(strstr(status_message(), SEGMENT ": offset 0") != NULL);
+	append_synced(1, 1, STR("first"));
+	flip_bit(FIRST_SEGMENT, 9);
+	ck_assert_int_eq(reopen(), STATUS_CORRUPT);
+	ck_assert(strstr(status_message(), FIRST_SEGMENT ": offset 0") != NULL);
 }
 END_TEST
 
-START_TEST(flipped_byte_in_an_older_segment_is_an_error)
+/* Only the newest segment can end with an incomplete write. */
+START_TEST(damage_at_the_end_of_an_older_segment_is_an_error)
 {
 	for (uint64_t i = 1; i <= 200; i++)
-		put(i, 1, STR("some bytes that fill a segment"));
-	flip(SEGMENT, size_of(SEGMENT) - 1);
-	flip(SEGMENT, size_of(SEGMENT) - 20);
-	ck_assert_int_eq(open_again(), STATUS_CORRUPT);
+		append_synced(i, 1, STR("some bytes that fill a segment"));
+	flip_bit(FIRST_SEGMENT, file_size(FIRST_SEGMENT) - 1);
+	flip_bit(FIRST_SEGMENT, file_size(FIRST_SEGMENT) - 20);
+	ck_assert_int_eq(reopen(), STATUS_CORRUPT);
 }
 END_TEST
 
-START_TEST(broken_snapshot_gives_way_to_the_one_before)
+/* The log keeps the entries after the older snapshot for this case. */
+START_TEST(a_damaged_snapshot_is_skipped_for_the_one_before)
 {
 	AUTO_BUF conf = {0};
 	raft_members_t none = {0};
 
 	raft_members_encode(&none, &conf);
 	for (uint64_t i = 1; i <= 20; i++)
-		put(i, 1, STR("x"));
-	ck_assert_int_eq(store_save_snapshot(s, 5, 1, str_buf(&conf), STR("state at 5")),
+		append_synced(i, 1, STR("x"));
+	ck_assert_int_eq(store_save_snapshot(store, 5, 1, str_buf(&conf), STR("state at 5")),
 			 STATUS_OK);
-	ck_assert_int_eq(store_save_snapshot(s, 9, 1, str_buf(&conf), STR("state at 9")),
+	ck_assert_int_eq(store_save_snapshot(store, 9, 1, str_buf(&conf), STR("state at 9")),
 			 STATUS_OK);
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert_uint_eq(st.snap_index, 9);
-	ck_assert_uint_eq(st.nentries, 11);
-	ck_assert_str_eq(st.snap.p, "state at 9");
-	cut("snap-0000000000000009", size_of("snap-0000000000000009") - 3);
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert(st.snap_broken);
-	ck_assert_uint_eq(st.snap_index, 5);
-	ck_assert_uint_eq(st.nentries, 15);
-	ck_assert_str_eq(st.snap.p, "state at 5");
-	ck_assert_int_eq(store_save_snapshot(s, 12, 1, str_buf(&conf), STR("state at 12")),
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert_uint_eq(contents.snap_index, 9);
+	ck_assert_uint_eq(contents.nentries, 11);
+	ck_assert_str_eq(contents.snap.p, "state at 9");
+	truncate_file("snap-0000000000000009", file_size("snap-0000000000000009") - 3);
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert(contents.snap_broken);
+	ck_assert_uint_eq(contents.snap_index, 5);
+	ck_assert_uint_eq(contents.nentries, 15);
+	ck_assert_str_eq(contents.snap.p, "state at 5");
+	ck_assert_int_eq(store_save_snapshot(store, 12, 1, str_buf(&conf), STR("state at 12")),
 			 STATUS_OK);
-	flip("snap-000000000000000c", size_of("snap-000000000000000c") - 20); /* in the state */
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert_uint_eq(st.snap_index, 5);
-	ck_assert_str_eq(st.snap.p, "state at 5");
+	/* This bit belongs to the state. */
+	flip_bit("snap-000000000000000c", file_size("snap-000000000000000c") - 20);
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert_uint_eq(contents.snap_index, 5);
+	ck_assert_str_eq(contents.snap.p, "state at 5");
 }
 END_TEST
 
-START_TEST(segments_go_when_two_snapshots_hold_them)
+/* Terms and votes of removed segments must be kept. */
+START_TEST(segments_are_removed_once_two_snapshots_cover_them)
 {
 	AUTO_BUF conf = {0};
 	raft_members_t none = {0};
 	char path[256];
 
 	raft_members_encode(&none, &conf);
-	put_hard(4, 5);
+	append_hard_state(4, 5);
 	for (uint64_t i = 1; i <= 300; i++)
-		put(i, 4, STR("some bytes that fill a segment"));
-	ck_assert_int_eq(store_save_snapshot(s, 250, 4, str_buf(&conf), STR("a")), STATUS_OK);
-	path_of(SEGMENT, path);
+		append_synced(i, 4, STR("some bytes that fill a segment"));
+	ck_assert_int_eq(store_save_snapshot(store, 250, 4, str_buf(&conf), STR("a")), STATUS_OK);
+	file_path(FIRST_SEGMENT, path);
 	ck_assert_int_eq(access(path, F_OK), 0);
-	ck_assert_int_eq(store_save_snapshot(s, 290, 4, str_buf(&conf), STR("b")), STATUS_OK);
+	ck_assert_int_eq(store_save_snapshot(store, 290, 4, str_buf(&conf), STR("b")), STATUS_OK);
 	ck_assert_int_ne(access(path, F_OK), 0);
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert_uint_eq(st.term, 4);
-	ck_assert_uint_eq(st.vote, 5);
-	ck_assert_uint_eq(st.snap_index, 290);
-	ck_assert_uint_eq(st.nentries, 10);
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert_uint_eq(contents.term, 4);
+	ck_assert_uint_eq(contents.vote, 5);
+	ck_assert_uint_eq(contents.snap_index, 290);
+	ck_assert_uint_eq(contents.nentries, 10);
 }
 END_TEST
 
-START_TEST(received_snapshot_starts_the_log_anew)
+/* The snapshot of a leader replaces a log that ends before it. Chunks in the wrong order and a
+ * missing checksum are refused; a log without the snapshot that it continues is an error. */
+START_TEST(a_received_snapshot_resets_the_log)
 {
 	AUTO_BUF conf = {0};
 	raft_members_t none = {0};
@@ -253,35 +267,38 @@
 
 	raft_members_encode(&none, &conf);
 	c.members = str_buf(&conf);
-	put(1, 1, STR("old"));
-	ck_assert_int_eq(store_receive_snapshot(s, &c), STATUS_OK);
-	ck_assert_int_eq(store_receive_snapshot(s, &(raft_snap_chunk_t){.index = 50, .offset = 3}),
-			 STATUS_INVALID);
+	append_synced(1, 1, STR("old"));
+	ck_assert_int_eq(store_receive_snapshot(store, &c), STATUS_OK);
+	ck_assert_int_eq(
+		store_receive_snapshot(store, &(raft_snap_chunk_t){.index = 50, .offset = 3}),
+		STATUS_INVALID);
 	c.offset = 5;
 	c.data = STR("and half");
 	c.last = true;
-	ck_assert_int_eq(store_receive_snapshot(s, &c),
-			 STATUS_INVALID); /* its checksum is missing */
-	ck_assert_uint_eq(store_newest_snapshot(s), 0);
+	/* The checksum is missing. */
+	ck_assert_int_eq(store_receive_snapshot(store, &c), STATUS_INVALID);
+	ck_assert_uint_eq(store_newest_snapshot(store), 0);
 	c.offset = 0;
 	c.data = STR("half and half");
 	c.crc = store_crc(0, c.data.p, c.data.n);
-	ck_assert_int_eq(store_receive_snapshot(s, &c), STATUS_OK);
-	/* The process ends before the log is begun anew: the next one does so. */
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert_str_eq(st.snap.p, "half and half");
-	ck_assert_uint_eq(st.nentries, 0);
-	put(51, 2, STR("new"));
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert_uint_eq(st.nentries, 1);
-	store_queue_reset(s, 52, 51, 2);
-	ck_assert_int_eq(store_sync(s, &seq), STATUS_OK);
-	ck_assert_int_eq(open_again(),
-			 STATUS_CORRUPT); /* the log begins after 51, no snapshot there */
+	ck_assert_int_eq(store_receive_snapshot(store, &c), STATUS_OK);
+	/* A crash before the log is reset: the next start resets it. */
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert_str_eq(contents.snap.p, "half and half");
+	ck_assert_uint_eq(contents.nentries, 0);
+	append_synced(51, 2, STR("new"));
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert_uint_eq(contents.nentries, 1);
+	store_queue_reset(store, 52, 51, 2);
+	ck_assert_int_eq(store_sync(store, &seq), STATUS_OK);
+	/* The log begins after 51, where there is no snapshot. */
+	ck_assert_int_eq(reopen(), STATUS_CORRUPT);
 }
 END_TEST
 
-START_TEST(full_disk_acknowledges_nothing)
+/* After the first failed write every later sync must fail as well; the entries synced before
+ * remain. */
+START_TEST(a_full_disk_acknowledges_nothing)
 {
 	raft_entry_t e = {.term = 1, .kind = RAFT_ENTRY_COMMAND};
 	char data[600] = {0};
@@ -290,37 +307,39 @@
 	uint64_t i;
 
 	setenv("AUBURN_DISK_FAULT", "full_after_bytes=8192", 1);
-	ck_assert_int_eq(open_again(), STATUS_OK);
+	ck_assert_int_eq(reopen(), STATUS_OK);
 	unsetenv("AUBURN_DISK_FAULT");
 	e.data.data_val = data;
 	e.data.data_len = sizeof(data);
 	for (i = 1; got == STATUS_OK && i < 100; i++) {
-		store_queue_entries(s, i, i, &e, 1);
-		got = store_sync(s, &seq);
+		store_queue_entries(store, i, i, &e, 1);
+		got = store_sync(store, &seq);
 	}
 	ck_assert_int_eq(got, STATUS_IO);
-	ck_assert_int_eq(store_sync(s, &seq), STATUS_IO);
-	ck_assert_int_eq(open_again(), STATUS_OK);
-	ck_assert_uint_ge(st.nentries, i - 2);
+	ck_assert_int_eq(store_sync(store, &seq), STATUS_IO);
+	ck_assert_int_eq(reopen(), STATUS_OK);
+	ck_assert_uint_ge(contents.nentries, i - 2);
 }
 END_TEST
 
-START_TEST(failing_sync_stays_failed)
+/* A sync that succeeds after a failed one does not mean that the data of the failed one is on the
+ * disk. */
+START_TEST(a_store_whose_sync_failed_stays_failed)
 {
 	uint64_t seq;
 
 	setenv("AUBURN_DISK_FAULT", "fsync_fail_after=1", 1);
-	ck_assert_int_eq(open_again(), STATUS_OK);
+	ck_assert_int_eq(reopen(), STATUS_OK);
 	unsetenv("AUBURN_DISK_FAULT");
-	put(1, 1, STR("a"));
-	store_queue_hard_state(s, 2, 2, 0);
-	ck_assert_int_eq(store_sync(s, &seq), STATUS_IO);
-	store_queue_hard_state(s, 3, 3, 0);
-	ck_assert_int_eq(store_sync(s, &seq), STATUS_IO);
+	append_synced(1, 1, STR("a"));
+	store_queue_hard_state(store, 2, 2, 0);
+	ck_assert_int_eq(store_sync(store, &seq), STATUS_IO);
+	store_queue_hard_state(store, 3, 3, 0);
+	ck_assert_int_eq(store_sync(store, &seq), STATUS_IO);
 }
 END_TEST
 
-/* What a folder should hold: entry base + 1 + i has term terms[i]. */
+/* The expected contents of a directory; entry base + 1 + i has term terms[i]. */
 typedef struct {
 	uint64_t base;
 	uint64_t n;
@@ -329,69 +348,69 @@
 	uint64_t vote;
 } model_t;
 
-static void entry_text(uint64_t index, uint64_t term, char text[64])
+static void make_entry_text(uint64_t index, uint64_t term, char text[64])
 {
 	snprintf(text, 64, "%lu of %lu %.*s", (unsigned long)index, (unsigned long)term,
 		 (int)(index % 30), "..............................");
 }
 
-/* Queues one random record and notes it in the model. */
-static void queue_any(model_t *m, uint64_t seq)
+/* Queues one random record and applies it to the model. */
+static void queue_random_record(model_t *m, uint64_t seq)
 {
 	char text[64];
 	raft_entry_t e = {.kind = RAFT_ENTRY_COMMAND};
-	uint64_t keep = m->n;
+	uint64_t nkept = m->n;
 
 	if (rand() % 5 == 0) {
 		m->vote = m->term == 0 || rand() % 2 ? 7 : m->vote;
 		m->term++;
-		store_queue_hard_state(s, seq, m->term, m->vote);
+		store_queue_hard_state(store, seq, m->term, m->vote);
 		return;
 	}
 	if (rand() % 6 == 0 && m->n > 0)
-		keep = m->n - (uint64_t)rand() % (m->n < 4 ? m->n : 4);
-	if (keep == 512)
-		keep = 300;
+		nkept = m->n - (uint64_t)rand() % (m->n < 4 ? m->n : 4);
+	if (nkept == 512)
+		nkept = 300;
 	e.term = m->term;
-	entry_text(m->base + keep + 1, e.term, text);
+	make_entry_text(m->base + nkept + 1, e.term, text);
 	e.data.data_val = text;
 	e.data.data_len = (u_int)strlen(text);
-	store_queue_entries(s, seq, m->base + keep + 1, &e, 1);
-	m->terms[keep] = e.term;
-	m->n = keep + 1;
+	store_queue_entries(store, seq, m->base + nkept + 1, &e, 1);
+	m->terms[nkept] = e.term;
+	m->n = nkept + 1;
 }
 
-static bool matches(const model_t *m)
+static bool contents_match(const model_t *m)
 {
-	if (st.term != m->term || st.vote != m->vote || st.snap_index != m->base ||
-	    st.nentries != m->n)
+	if (contents.term != m->term || contents.vote != m->vote ||
+	    contents.snap_index != m->base || contents.nentries != m->n)
 		return false;
 	for (uint64_t i = 0; i < m->n; i++) {
 		char text[64];
 
-		entry_text(m->base + 1 + i, m->terms[i], text);
-		if (st.entries[i].term != m->terms[i] ||
-		    st.entries[i].data.data_len != strlen(text) ||
-		    memcmp(st.entries[i].data.data_val, text, strlen(text)) != 0)
+		make_entry_text(m->base + 1 + i, m->terms[i], text);
+		if (contents.entries[i].term != m->terms[i] ||
+		    contents.entries[i].data.data_len != strlen(text) ||
+		    memcmp(contents.entries[i].data.data_val, text, strlen(text)) != 0)
 			return false;
 	}
 	return true;
 }
 
-/* Cuts the newest segment at a random place within what was written last. */
-static void tear(uint64_t number, long from)
+/* Truncates a segment at a random offset at or after `from`, where the last write begins. */
+static void tear_newest_write(uint64_t segment, long from)
 {
 	char name[64];
 	long size;
 
-	snprintf(name, sizeof(name), "log-%016lx", (unsigned long)number);
-	size = size_of(name);
+	snprintf(name, sizeof(name), "log-%016lx", (unsigned long)segment);
+	size = file_size(name);
 	if (size > from)
-		cut(name, from + rand() % (size - from + 1));
+		truncate_file(name, from + rand() % (size - from + 1));
 }
 
-/* Moves the model's base to its last entry but some, as a snapshot does. */
-static void snapshot_model(model_t *m)
+/* Saves a snapshot that covers all but the last entries, at most two, and compacts the model. */
+static void take_snapshot(model_t *m)
 {
 	AUTO_BUF conf = {0};
 	raft_members_t none = {0};
@@ -400,16 +419,19 @@
 	if (m->n < 3)
 		return;
 	raft_members_encode(&none, &conf);
-	ck_assert_int_eq(store_save_snapshot(s, m->base + skip, m->terms[skip - 1], str_buf(&conf),
-					     STR("state")),
+	ck_assert_int_eq(store_save_snapshot(store, m->base + skip, m->terms[skip - 1],
+					     str_buf(&conf), STR("state")),
 			 STATUS_OK);
 	memmove(m->terms, m->terms + skip, (m->n - skip) * sizeof(m->terms[0]));
 	m->base += skip;
 	m->n -= skip;
 }
 
-START_TEST(torn_writes_leave_a_prefix)
+/* Several records are written with one sync, which a crash may tear anywhere. After the restart
+ * the store must hold the synced records and a prefix of the others. */
+START_TEST(a_torn_write_leaves_a_prefix_of_the_records)
 {
+	/* states[0]: all that is synced; states[i]: the first i unsynced records as well. */
 	static model_t states[16];
 	uint64_t seq = 0;
 
@@ -417,34 +439,34 @@
 	memset(states, 0, sizeof(states));
 	for (int round = 0; round < 60; round++) {
 		unsigned n = 1 + (unsigned)rand() % 15;
-		model_t *now = &states[0];
-		uint64_t number;
+		model_t *synced = &states[0];
+		uint64_t segment;
 		bool found = false;
 		uint64_t got;
 		long from;
 
 		for (int i = rand() % 20; i >= 0; i--) {
-			queue_any(now, ++seq);
-			ck_assert_int_eq(store_sync(s, &got), STATUS_OK);
+			queue_random_record(synced, ++seq);
+			ck_assert_int_eq(store_sync(store, &got), STATUS_OK);
 		}
 		if (rand() % 4 == 0)
-			snapshot_model(now);
+			take_snapshot(synced);
 		if (rand() % 2)
-			store_write_sync_mark(s);
-		number = s->number;
-		from = (long)s->size;
+			store_write_sync_mark(store);
+		segment = store->number;
+		from = (long)store->size;
 		for (unsigned i = 1; i < n; i++) {
 			states[i] = states[i - 1];
-			queue_any(&states[i], ++seq);
+			queue_random_record(&states[i], ++seq);
 		}
-		ck_assert_int_eq(store_sync(s, &got), STATUS_OK);
-		if (s->number == number)
-			tear(number, from);
+		ck_assert_int_eq(store_sync(store, &got), STATUS_OK);
+		if (store->number == segment)
+			tear_newest_write(segment, from);
 		else
 			states[0] = states[n - 1];
-		ck_assert_msg(open_again() == STATUS_OK, "%s", status_message());
+		ck_assert_msg(reopen() == STATUS_OK, "%s", status_message());
 		for (unsigned i = 0; i < n && !found; i++) {
-			found = matches(&states[i]);
+			found = contents_match(&states[i]);
 			if (found)
 				states[0] = states[i];
 		}
@@ -460,18 +482,18 @@
 
 	suite_add_tcase(suite, t);
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, entries_and_votes_last);
-	tcase_add_test(t, torn_last_record_is_cut);
-	tcase_add_test(t, flipped_byte_in_the_middle_is_an_error);
-	tcase_add_test(t, flipped_byte_in_the_newest_record_is_an_error);
-	tcase_add_test(t, flipped_header_is_an_error);
-	tcase_add_test(t, flipped_byte_in_an_older_segment_is_an_error);
-	tcase_add_test(t, broken_snapshot_gives_way_to_the_one_before);
-	tcase_add_test(t, segments_go_when_two_snapshots_hold_them);
-	tcase_add_test(t, received_snapshot_starts_the_log_anew);
-	tcase_add_test(t, full_disk_acknowledges_nothing);
-	tcase_add_test(t, failing_sync_stays_failed);
-	tcase_add_loop_test(t, torn_writes_leave_a_prefix, 1, 9);
+	tcase_add_test(t, entries_and_votes_survive_a_restart);
+	tcase_add_test(t, a_torn_last_record_is_truncated);
+	tcase_add_test(t, a_damaged_record_before_the_last_is_an_error);
+	tcase_add_test(t, a_damaged_newest_record_is_an_error_once_it_is_marked_as_synced);
+	tcase_add_test(t, a_damaged_segment_header_is_an_error);
+	tcase_add_test(t, damage_at_the_end_of_an_older_segment_is_an_error);
+	tcase_add_test(t, a_damaged_snapshot_is_skipped_for_the_one_before);
+	tcase_add_test(t, segments_are_removed_once_two_snapshots_cover_them);
+	tcase_add_test(t, a_received_snapshot_resets_the_log);
+	tcase_add_test(t, a_full_disk_acknowledges_nothing);
+	tcase_add_test(t, a_store_whose_sync_failed_stays_failed);
+	tcase_add_loop_test(t, a_torn_write_leaves_a_prefix_of_the_records, 1, 9);
 	tcase_set_timeout(t, 60);
 	return suite_run(suite);
 }
