--- a/tests/unit/ledger_kit.h
+++ b/tests/unit/ledger_kit.h
@@ -1,4 +1,5 @@
-/* Short calls on a ledger for its tests; answers are freed by the caller with wire_free. */
+/* Helpers for the ledger's tests: each function applies one command and returns its answer, which
+ * the caller frees with wire_free (AUTO_RES does). */
 #ifndef AUBURN_LEDGER_KIT_H
 #define AUBURN_LEDGER_KIT_H
 
@@ -8,102 +9,106 @@
 #include <string.h>
 #include "state/ledger.h"
 
-#define KIT_NOW_MS 1000000
-#define AUTO_RES   __attribute__((cleanup(kit_res_free))) wire_ledger_res_t
-#define AUTO_QRES  __attribute__((cleanup(kit_qres_free))) wire_query_res_t
+#define WALL_START_MS 1000000
+#define AUTO_RES      __attribute__((cleanup(free_res))) wire_ledger_res_t
+#define AUTO_QRES     __attribute__((cleanup(free_query_res))) wire_query_res_t
 
-/* Wall clock of the commands. */
-static int64_t kit_now_ms = KIT_NOW_MS;
-/* Share of the callers whose jobs are opened. */
-static unsigned kit_share;
+/* Time that the commands carry. */
+static int64_t wall_now_ms = WALL_START_MS;
+/* Share of the caller in the jobs that open_job opens. */
+static unsigned caller_share;
 
-static inline void kit_res_free(wire_ledger_res_t *res)
+static inline void free_res(wire_ledger_res_t *res)
 {
 	wire_free(XDR_PROC(wire_ledger_res_t), res);
 }
 
-static inline void kit_qres_free(wire_query_res_t *res)
+static inline void free_query_res(wire_query_res_t *res)
 {
 	wire_free(XDR_PROC(wire_query_res_t), res);
 }
 
-static inline wire_bytes_t kit_b(const char *c)
+static inline wire_bytes_t to_bytes(const char *c)
 {
 	return wire_bytes(str_c(c));
 }
 
-static inline bool kit_is(wire_bytes_t b, const char *c)
+static inline bool bytes_are(wire_bytes_t b, const char *c)
 {
 	return str_eq(wire_str(b), str_c(c));
 }
 
-/* Deadline of a request that is accepted now: not in the order of acceptance. */
-static inline int64_t kit_deadline_ms(const char *key)
+/* Deadline of a request, by the last character of its key, so that the order of the deadlines
+ * differs from the order of acceptance. */
+static inline int64_t request_deadline_ms(const char *key)
 {
-	return kit_now_ms + 5000 + 10000 * (int64_t)(key[strlen(key) - 1] % 4);
+	return wall_now_ms + 5000 + 10000 * (int64_t)(key[strlen(key) - 1] % 4);
 }
 
-static inline wire_ledger_res_t kit_accept(ledger_t *l, const char *key, uint64_t digest,
-					   bool repeatable, uint64_t session)
+static inline wire_ledger_res_t accept_request(ledger_t *l, const char *key, uint64_t digest,
+					       bool repeatable, uint64_t session)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_ACCEPT};
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.accept = (wire_accept_t){
-		.caller = kit_b("desk"),
-		.key = kit_b(key),
+		.caller = to_bytes("desk"),
+		.key = to_bytes(key),
 		.digest = digest,
-		.service = kit_b("llm"),
+		.service = to_bytes("llm"),
 		.repeatable = repeatable,
-		.deadline_wall_ms = kit_deadline_ms(key),
+		.deadline_wall_ms = request_deadline_ms(key),
 		.session = session,
-		.path = kit_b("/v1/x"),
-		.body = kit_b("body"),
-		.trace = kit_b("trace"),
+		.path = to_bytes("/v1/x"),
+		.body = to_bytes("body"),
+		.trace = to_bytes("trace"),
 	};
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
 
-static inline wire_ledger_res_t kit_attempt(ledger_t *l, const char *key, uint64_t token,
-					    uint64_t session)
+static inline wire_ledger_res_t attempt_request(ledger_t *l, const char *key, uint64_t token,
+						uint64_t session)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_ATTEMPT};
 	wire_ledger_res_t res;
 
-	cmd.wire_ledger_cmd_t_u.attempt = (wire_attempt_t){
-		.caller = kit_b("desk"), .key = kit_b(key), .token = token, .session = session};
+	cmd.wire_ledger_cmd_t_u.attempt = (wire_attempt_t){.caller = to_bytes("desk"),
+							   .key = to_bytes(key),
+							   .token = token,
+							   .session = session};
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
 
-static inline wire_ledger_res_t kit_finish_by(ledger_t *l, const char *key, wire_state_t state,
-					      const char *result, uint64_t session)
+static inline wire_ledger_res_t finish_request_by(ledger_t *l, const char *key, wire_state_t state,
+						  const char *result, uint64_t session)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_FINISH};
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.finish = (wire_finish_t){
-		.caller = kit_b("desk"),
-		.key = kit_b(key),
+		.caller = to_bytes("desk"),
+		.key = to_bytes(key),
 		.state = state,
 		.verdict = state == WIRE_DONE ? VERDICT_RAN : VERDICT_NOT_RUN,
 		.http_status = 200,
-		.result = kit_b(result),
-		.now_wall_ms = kit_now_ms,
+		.result = to_bytes(result),
+		.now_wall_ms = wall_now_ms,
 		.session = session,
 	};
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
 
-static inline wire_ledger_res_t kit_finish(ledger_t *l, const char *key, wire_state_t state,
-					   const char *result)
+static inline wire_ledger_res_t finish_request(ledger_t *l, const char *key, wire_state_t state,
+					       const char *result)
 {
-	return kit_finish_by(l, key, state, result, 0);
+	return finish_request_by(l, key, state, result, 0);
 }
 
-static inline wire_ledger_res_t kit_lost(ledger_t *l, uint64_t session)
+/* Reports a session as lost. */
+static inline wire_ledger_res_t lose_session(ledger_t *l, uint64_t session)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_SESSIONS_LOST};
 	wire_ledger_res_t res;
@@ -111,28 +116,29 @@
 
 	cmd.wire_ledger_cmd_t_u.lost.sessions.sessions_len = 1;
 	cmd.wire_ledger_cmd_t_u.lost.sessions.sessions_val = &one;
-	cmd.wire_ledger_cmd_t_u.lost.now_wall_ms = kit_now_ms;
+	cmd.wire_ledger_cmd_t_u.lost.now_wall_ms = wall_now_ms;
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
 
-static inline wire_ledger_res_t kit_lease(ledger_t *l, uint64_t session, uint64_t seq, unsigned max)
+static inline wire_ledger_res_t lease_items(ledger_t *l, uint64_t session, uint64_t seq,
+					    unsigned max)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_LEASE};
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.lease = (wire_lease_t){.session = session,
 						       .seq = seq,
-						       .service = kit_b("llm"),
+						       .service = to_bytes("llm"),
 						       .max = max,
-						       .now_wall_ms = kit_now_ms};
+						       .now_wall_ms = wall_now_ms};
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
 
-/* A result for an item that LEASE gave out. */
-static inline wire_item_result_t kit_result(const wire_item_t *it, bool done, wire_blame_t blame,
-					    const char *body)
+/* Makes a result of a leased item. */
+static inline wire_item_result_t make_result(const wire_item_t *it, bool done, wire_blame_t blame,
+					     const char *body)
 {
 	return (wire_item_result_t){
 		.caller = it->caller,
@@ -142,35 +148,36 @@
 		.attempt = it->attempt,
 		.done = done,
 		.blame = blame,
-		.body = kit_b(body),
+		.body = to_bytes(body),
 	};
 }
 
-static inline wire_ledger_res_t kit_done(ledger_t *l, uint64_t session, wire_item_result_t *v,
-					 unsigned n)
+static inline wire_ledger_res_t commit_results(ledger_t *l, uint64_t session, wire_item_result_t *v,
+					       unsigned n)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_DONE};
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.done.session = session;
-	cmd.wire_ledger_cmd_t_u.done.now_wall_ms = kit_now_ms;
+	cmd.wire_ledger_cmd_t_u.done.now_wall_ms = wall_now_ms;
 	cmd.wire_ledger_cmd_t_u.done.results.results_len = n;
 	cmd.wire_ledger_cmd_t_u.done.results.results_val = v;
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
 
-/* One result for the first item of a lease answer; returns how many were taken. */
-static inline unsigned kit_done_one(ledger_t *l, uint64_t session, const wire_item_t *it, bool done,
-				    wire_blame_t blame, const char *body)
+/* Commits one result; returns the number of results that the ledger stored, 0 or 1. */
+static inline unsigned commit_one(ledger_t *l, uint64_t session, const wire_item_t *it, bool done,
+				  wire_blame_t blame, const char *body)
 {
-	wire_item_result_t r = kit_result(it, done, blame, body);
-	AUTO_RES res = kit_done(l, session, &r, 1);
+	wire_item_result_t r = make_result(it, done, blame, body);
+	AUTO_RES res = commit_results(l, session, &r, 1);
 
 	return res.count;
 }
 
-static inline uint64_t kit_digest(unsigned count)
+/* Digest of a job with the items that upload_items sends. */
+static inline uint64_t items_digest(unsigned count)
 {
 	uint64_t digest = 0;
 	char body[32];
@@ -182,35 +189,36 @@
 	return digest;
 }
 
-static inline wire_ledger_res_t kit_open(ledger_t *l, const char *caller, const char *job,
+static inline wire_ledger_res_t open_job(ledger_t *l, const char *caller, const char *job,
 					 unsigned count, uint64_t digest, int64_t deadline_ms)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_JOB_OPEN};
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.open = (wire_job_open_t){
-		.caller = kit_b(caller),
-		.job = kit_b(job),
+		.caller = to_bytes(caller),
+		.job = to_bytes(job),
 		.digest = digest,
-		.service = kit_b("llm"),
+		.service = to_bytes("llm"),
 		.deadline_wall_ms = deadline_ms,
 		.count = count,
-		.now_wall_ms = kit_now_ms,
-		.share = kit_share,
+		.now_wall_ms = wall_now_ms,
+		.share = caller_share,
 	};
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
 
-static inline wire_ledger_res_t kit_items(ledger_t *l, const char *caller, const char *job,
-					  unsigned first, unsigned n)
+/* Uploads items `first` to first + n - 1. */
+static inline wire_ledger_res_t upload_items(ledger_t *l, const char *caller, const char *job,
+					     unsigned first, unsigned n)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_JOB_ITEMS};
 	wire_job_items_t *c = &cmd.wire_ledger_cmd_t_u.items;
 	wire_ledger_res_t res;
 	char body[32];
 
-	*c = (wire_job_items_t){.caller = kit_b(caller), .job = kit_b(job), .first = first};
+	*c = (wire_job_items_t){.caller = to_bytes(caller), .job = to_bytes(job), .first = first};
 	c->bodies.bodies_len = n;
 	c->bodies.bodies_val = mem_new(n * sizeof(wire_bytes_t));
 	for (unsigned i = 0; i < n; i++) {
@@ -224,31 +232,33 @@
 	return res;
 }
 
-static inline wire_ledger_res_t kit_ref(ledger_t *l, wire_ledger_kind_t kind, const char *caller,
-					const char *job)
+/* Applies a command that only names a job: JOB_SEAL or JOB_CANCEL. */
+static inline wire_ledger_res_t apply_job_cmd(ledger_t *l, wire_ledger_kind_t kind,
+					      const char *caller, const char *job)
 {
 	wire_ledger_cmd_t cmd = {.kind = kind};
 	wire_ledger_res_t res;
 
-	cmd.wire_ledger_cmd_t_u.seal = (wire_job_ref_t){kit_b(caller), kit_b(job), kit_now_ms};
+	cmd.wire_ledger_cmd_t_u.seal =
+		(wire_job_ref_t){to_bytes(caller), to_bytes(job), wall_now_ms};
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
 
-/* Opens, fills and seals a job. */
-static inline void kit_job(ledger_t *l, const char *caller, const char *job, unsigned count,
-			   int64_t deadline_ms)
+/* Opens a job, uploads its items and seals it. */
+static inline void submit_job(ledger_t *l, const char *caller, const char *job, unsigned count,
+			      int64_t deadline_ms)
 {
-	AUTO_RES open = kit_open(l, caller, job, count, kit_digest(count), deadline_ms);
-	AUTO_RES items = kit_items(l, caller, job, 0, count);
-	AUTO_RES seal = kit_ref(l, WIRE_LEDGER_JOB_SEAL, caller, job);
+	AUTO_RES open = open_job(l, caller, job, count, items_digest(count), deadline_ms);
+	AUTO_RES items = upload_items(l, caller, job, 0, count);
+	AUTO_RES seal = apply_job_cmd(l, WIRE_LEDGER_JOB_SEAL, caller, job);
 
 	ck_assert_int_eq(open.status, STATUS_OK);
 	ck_assert_int_eq(items.status, STATUS_OK);
 	ck_assert_int_eq(seal.status, STATUS_OK);
 }
 
-static inline unsigned kit_expire(ledger_t *l, int64_t now_ms, int64_t retention_ms)
+static inline unsigned expire_records(ledger_t *l, int64_t now_ms, int64_t retention_ms)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_EXPIRE};
 	AUTO_RES res;
@@ -258,29 +268,30 @@
 	return res.count;
 }
 
-static inline wire_query_res_t kit_query_job(const ledger_t *l, const char *caller, const char *job)
+static inline wire_query_res_t query_job(const ledger_t *l, const char *caller, const char *job)
 {
 	wire_query_t q = {.kind = WIRE_QUERY_JOB};
 	wire_query_res_t res;
 
-	q.wire_query_t_u.job = (wire_job_ref_t){kit_b(caller), kit_b(job), kit_now_ms};
+	q.wire_query_t_u.job = (wire_job_ref_t){to_bytes(caller), to_bytes(job), wall_now_ms};
 	ledger_query(l, &q, &res);
 	return res;
 }
 
-static inline wire_query_res_t kit_query_results(const ledger_t *l, const char *caller,
-						 const char *job, unsigned first, unsigned max)
+static inline wire_query_res_t query_results(const ledger_t *l, const char *caller, const char *job,
+					     unsigned first, unsigned max)
 {
 	wire_query_t q = {.kind = WIRE_QUERY_RESULTS};
 	wire_query_res_t res;
 
-	q.wire_query_t_u.results = (wire_results_ref_t){kit_b(caller), kit_b(job), first, max};
+	q.wire_query_t_u.results =
+		(wire_results_ref_t){to_bytes(caller), to_bytes(job), first, max};
 	ledger_query(l, &q, &res);
 	return res;
 }
 
-/* Replaces a ledger by one restored from its snapshot, which must give the same bytes again. */
-static inline void kit_reload(ledger_t **l)
+/* Replaces a ledger by one restored from its snapshot. The new one must give the same snapshot. */
+static inline void restore_from_snapshot(ledger_t **l)
 {
 	AUTO_BUF a = {0};
 	AUTO_BUF b = {0};
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -1,35 +1,40 @@
-/* Unit tests of the fleet group: numbered texts, sessions, upstreams and who may own them. */
+/* Tests of the fleet state (state/fleet.h): numbered configs, sessions, upstreams and their
+ * owners. Guard against two configs under one number, two live sessions of one entry, and two
+ * owners of one upstream. */
 #include "fleet_kit.h"
 #include "state/config.h"
 #include "suite_kit.h"
 
-static wire_fleet_res_t submit(uint64_t number, const char *text)
+static wire_fleet_res_t submit_config(uint64_t number, const char *text)
 {
 	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_CONFIG_SUBMIT};
 
-	cmd.wire_fleet_cmd_t_u.submit = (wire_config_submit_t){number, b(text), b("op")};
-	return apply(&cmd);
+	cmd.wire_fleet_cmd_t_u.submit =
+		(wire_config_submit_t){number, bytes_of(text), bytes_of("op")};
+	return apply_cmd(&cmd);
 }
 
-static wire_query_res_t conf(uint64_t number)
+static wire_query_res_t query_config(uint64_t number)
 {
 	wire_query_t q = {.kind = WIRE_QUERY_CONFIG};
 	wire_query_res_t res;
 
 	q.wire_query_t_u.number = number;
-	fleet_query(f, &q, &res);
+	fleet_query(fleet, &q, &res);
 	return res;
 }
 
-START_TEST(one_text_wins_a_number)
+/* Two operators may submit at the same time, and a submission may be resent: one config wins, and
+ * the other operator gets its digest. */
+START_TEST(a_number_is_given_to_one_config)
 {
-	AUTO_RES gap = submit(2, "b");
-	AUTO_RES zero = submit(0, "b");
-	AUTO_RES win = submit(1, "a");
-	AUTO_RES lose = submit(1, "b");
-	AUTO_RES again = submit(1, "a");
+	AUTO_RES too_high = submit_config(2, "b");
+	AUTO_RES zero = submit_config(0, "b");
+	AUTO_RES win = submit_config(1, "a");
+	AUTO_RES lose = submit_config(1, "b");
+	AUTO_RES again = submit_config(1, "a");
 
-	ck_assert_int_eq(gap.status, STATUS_INVALID);
+	ck_assert_int_eq(too_high.status, STATUS_INVALID);
 	ck_assert_int_eq(zero.status, STATUS_INVALID);
 	ck_assert(win.status == STATUS_OK && win.number == 1);
 	ck_assert_int_eq(lose.status, STATUS_CONFLICT);
@@ -39,38 +44,41 @@
 }
 END_TEST
 
-START_TEST(resend_is_answered_after_500_changes)
+/* The digest of a config outlasts its text, of which only the newest 50 are stored. */
+START_TEST(a_resent_config_is_answered_after_500_newer_ones)
 {
 	char text[32];
 
 	for (unsigned n = 1; n <= 507; n++) {
 		snprintf(text, sizeof(text), "retention_s = %u", n);
-		AUTO_RES res = submit(n, text);
+		AUTO_RES res = submit_config(n, text);
 
 		ck_assert_int_eq(res.status, STATUS_OK);
 		if (n % 100 == 0)
-			reload();
+			restore_from_snapshot();
 	}
-	reload();
-	AUTO_RES mine = submit(7, "retention_s = 7");
-	AUTO_RES other = submit(7, "retention_s = 8");
-	AUTO_QRES now = conf(0);
-	AUTO_QRES kept = conf(458);
-	AUTO_QRES gone = conf(457);
+	restore_from_snapshot();
+	AUTO_RES mine = submit_config(7, "retention_s = 7");
+	AUTO_RES other = submit_config(7, "retention_s = 8");
+	AUTO_QRES now = query_config(0);
+	AUTO_QRES oldest_kept = query_config(458);
+	AUTO_QRES removed = query_config(457);
 
 	ck_assert(mine.status == STATUS_OK && mine.number == 7);
 	ck_assert(other.status == STATUS_CONFLICT && other.number == 507);
 	ck_assert(other.winner_digest == config_digest(STR("retention_s = 7")));
 	ck_assert_int_eq(now.conf.number, 507);
 	ck_assert(str_eq(wire_str(now.conf.text), STR("retention_s = 507")));
-	ck_assert(str_eq(wire_str(kept.conf.text), STR("retention_s = 458")));
-	ck_assert_int_eq(gone.status, STATUS_NOT_FOUND);
-	ck_assert(gone.conf.digest == config_digest(STR("retention_s = 457")));
-	ck_assert_int_eq(fleet_config_number(f), 507);
+	ck_assert(str_eq(wire_str(oldest_kept.conf.text), STR("retention_s = 458")));
+	ck_assert_int_eq(removed.status, STATUS_NOT_FOUND);
+	ck_assert(removed.conf.digest == config_digest(STR("retention_s = 457")));
+	ck_assert_int_eq(fleet_config_number(fleet), 507);
 }
 END_TEST
 
-START_TEST(session_is_one_for_name_and_boot)
+/* An entry that restarts has a new boot number: its old session is closed, so that its work is
+ * given to others. */
+START_TEST(a_name_and_boot_number_have_one_session)
 {
 	uint64_t a = open_session("e1", 11, "z1");
 	uint64_t same = open_session("e1", 11, "z1");
@@ -78,22 +86,24 @@
 	uint64_t out[4];
 
 	ck_assert(a == same && newer > a);
-	ck_assert(!fleet_session_is_open(f, a) && fleet_session_is_open(f, newer));
-	ck_assert(fleet_find_session(f, STR("e1"), 12) == newer);
-	ck_assert_int_eq(fleet_find_session(f, STR("e1"), 11), 0);
-	ck_assert_int_eq(fleet_open_sessions(f, out, 4), 1);
-	ck_assert_int_eq(fleet_closed_sessions(f, out, 4), 1);
+	ck_assert(!fleet_session_is_open(fleet, a) && fleet_session_is_open(fleet, newer));
+	ck_assert(fleet_find_session(fleet, STR("e1"), 12) == newer);
+	ck_assert_int_eq(fleet_find_session(fleet, STR("e1"), 11), 0);
+	ck_assert_int_eq(fleet_open_sessions(fleet, out, 4), 1);
+	ck_assert_int_eq(fleet_closed_sessions(fleet, out, 4), 1);
 	ck_assert(out[0] == a);
 	ck_assert_int_eq(close_session(newer), STATUS_OK);
 	ck_assert_int_eq(close_session(newer), STATUS_OK);
 	ck_assert_int_eq(close_session(newer + 1), STATUS_NOT_FOUND);
-	ck_assert_int_eq(drain(newer), STATUS_CANCELLED);
-	reload();
+	ck_assert_int_eq(drain_session(newer), STATUS_CANCELLED);
+	restore_from_snapshot();
 	ck_assert(open_session("e1", 12, "z1") > newer);
 }
 END_TEST
 
-START_TEST(closed_sessions_stay_until_forgotten)
+/* A closed session must be reported to all ledger groups. A leader that is lost in between leaves
+ * this to the next one. */
+START_TEST(closed_sessions_are_kept_until_they_are_forgotten)
 {
 	uint64_t a = open_session("e1", 1, "z1");
 	uint64_t c = open_session("e2", 1, "z1");
@@ -103,82 +113,87 @@
 
 	close_session(a);
 	close_session(c);
-	reload();
+	restore_from_snapshot();
 	cmd.wire_fleet_cmd_t_u.forget.forget_len = 1;
 	cmd.wire_fleet_cmd_t_u.forget.forget_val = done;
-	AUTO_RES res = apply(&cmd);
+	AUTO_RES res = apply_cmd(&cmd);
 
 	ck_assert_int_eq(res.status, STATUS_OK);
-	ck_assert_int_eq(fleet_closed_sessions(f, out, 4), 1);
+	ck_assert_int_eq(fleet_closed_sessions(fleet, out, 4), 1);
 	ck_assert(out[0] == c);
 }
 END_TEST
 
-START_TEST(ownership_is_compared_and_fenced)
+/* A change planned on an old view must fail. A closed or draining session gets nothing. */
+START_TEST(an_owner_change_needs_the_current_fence_and_raises_it)
 {
 	uint64_t a = open_session("e1", 1, "z1");
 	uint64_t c = open_session("e2", 1, "z1");
 	uint64_t d = open_session("e3", 1, "z1");
-	wire_upstream_t one = up("u1", "z1", "llm");
+	wire_upstream_t one = make_upstream("u1", "z1", "llm");
 	uint64_t fence;
 
-	list(&one, 1);
-	ck_assert_int_eq(own("u1", 0, a), 1);
-	ck_assert_int_eq(own("u1", 0, c), 0);
-	AUTO_QRES v = view();
+	set_upstreams(&one, 1);
+	ck_assert_int_eq(change_owner("u1", 0, a), 1);
+	ck_assert_int_eq(change_owner("u1", 0, c), 0);
+	AUTO_QRES v = query_view();
 
-	fence = find(&v, "u1")->fence;
-	ck_assert(fence > 0 && find(&v, "u1")->owner == a);
-	drain(d);
-	ck_assert_int_eq(own("u1", fence, d), 0);
+	fence = find_upstream(&v, "u1")->fence;
+	ck_assert(fence > 0 && find_upstream(&v, "u1")->owner == a);
+	drain_session(d);
+	ck_assert_int_eq(change_owner("u1", fence, d), 0);
 	close_session(c);
-	ck_assert_int_eq(own("u1", fence, c), 0);
-	ck_assert_int_eq(own("u1", fence, 0), 1);
-	reload();
-	AUTO_QRES w = view();
+	ck_assert_int_eq(change_owner("u1", fence, c), 0);
+	ck_assert_int_eq(change_owner("u1", fence, 0), 1);
+	restore_from_snapshot();
+	AUTO_QRES w = query_view();
 
-	ck_assert(find(&w, "u1")->fence > fence && find(&w, "u1")->owner == 0);
-	ck_assert_int_eq(own("none", 0, a), 0);
+	ck_assert(find_upstream(&w, "u1")->fence > fence && find_upstream(&w, "u1")->owner == 0);
+	ck_assert_int_eq(change_owner("none", 0, a), 0);
 }
 END_TEST
 
-START_TEST(vanished_upstream_stays_until_released)
+/* The owner may still have streams there. Removed at once, an upstream that is listed again could
+ * get a second owner. */
+START_TEST(an_upstream_off_the_list_is_kept_until_it_is_released)
 {
 	uint64_t a = open_session("e1", 1, "z1");
-	wire_upstream_t both[] = {up("u1", "z1", "llm"), up("u2", "z1", "llm")};
+	wire_upstream_t both[] = {make_upstream("u1", "z1", "llm"),
+				  make_upstream("u2", "z1", "llm")};
 	uint64_t version;
 
-	list(both, 2);
-	own("u1", 0, a);
-	version = fleet_view_version(f);
-	list(both, 2);
-	ck_assert(fleet_view_version(f) == version);
-	list(NULL, 0);
-	AUTO_QRES v = view();
-
-	ck_assert(fleet_view_version(f) > version);
-	ck_assert_ptr_null(find(&v, "u2"));
-	ck_assert_int_eq(find(&v, "u1")->state, WIRE_UPSTREAM_GONE);
-	ck_assert(find(&v, "u1")->owner == a);
-	ck_assert_int_eq(own("u1", find(&v, "u1")->fence, 0), 1);
-	AUTO_QRES w = view();
-
-	ck_assert_ptr_null(find(&w, "u1"));
+	set_upstreams(both, 2);
+	change_owner("u1", 0, a);
+	version = fleet_view_version(fleet);
+	set_upstreams(both, 2);
+	ck_assert(fleet_view_version(fleet) == version);
+	set_upstreams(NULL, 0);
+	AUTO_QRES v = query_view();
+
+	ck_assert(fleet_view_version(fleet) > version);
+	ck_assert_ptr_null(find_upstream(&v, "u2"));
+	ck_assert_int_eq(find_upstream(&v, "u1")->state, WIRE_UPSTREAM_GONE);
+	ck_assert(find_upstream(&v, "u1")->owner == a);
+	ck_assert_int_eq(change_owner("u1", find_upstream(&v, "u1")->fence, 0), 1);
+	AUTO_QRES w = query_view();
+
+	ck_assert_ptr_null(find_upstream(&w, "u1"));
 }
 END_TEST
 
-START_TEST(listed_again_keeps_its_owner)
+START_TEST(an_upstream_listed_again_keeps_its_owner)
 {
 	uint64_t a = open_session("e1", 1, "z1");
-	wire_upstream_t one = up("u1", "z1", "llm");
+	wire_upstream_t one = make_upstream("u1", "z1", "llm");
 
-	list(&one, 1);
-	own("u1", 0, a);
+	set_upstreams(&one, 1);
+	change_owner("u1", 0, a);
 	one.state = WIRE_UPSTREAM_LEAVING;
-	list(&one, 1);
-	AUTO_QRES v = view();
+	set_upstreams(&one, 1);
+	AUTO_QRES v = query_view();
 
-	ck_assert(find(&v, "u1")->owner == a && find(&v, "u1")->state == WIRE_UPSTREAM_LEAVING);
+	ck_assert(find_upstream(&v, "u1")->owner == a &&
+		  find_upstream(&v, "u1")->state == WIRE_UPSTREAM_LEAVING);
 }
 END_TEST
 
@@ -189,12 +204,12 @@
 
 	suite_add_tcase(s, t);
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, one_text_wins_a_number);
-	tcase_add_test(t, resend_is_answered_after_500_changes);
-	tcase_add_test(t, session_is_one_for_name_and_boot);
-	tcase_add_test(t, closed_sessions_stay_until_forgotten);
-	tcase_add_test(t, ownership_is_compared_and_fenced);
-	tcase_add_test(t, vanished_upstream_stays_until_released);
-	tcase_add_test(t, listed_again_keeps_its_owner);
+	tcase_add_test(t, a_number_is_given_to_one_config);
+	tcase_add_test(t, a_resent_config_is_answered_after_500_newer_ones);
+	tcase_add_test(t, a_name_and_boot_number_have_one_session);
+	tcase_add_test(t, closed_sessions_are_kept_until_they_are_forgotten);
+	tcase_add_test(t, an_owner_change_needs_the_current_fence_and_raises_it);
+	tcase_add_test(t, an_upstream_off_the_list_is_kept_until_it_is_released);
+	tcase_add_test(t, an_upstream_listed_again_keeps_its_owner);
 	return suite_run(s);
 }
--- a/tests/unit/test_fleet_plan.c
+++ b/tests/unit/test_fleet_plan.c
@@ -1,94 +1,99 @@
-/* Unit tests of the plan of owners. AUBURN_SEED sets the first seed of the random one. */
+/* Tests of the plan of owners (fleet_plan_owners in state/fleet.h). Guard against an upstream with
+ * two owners during a move, owners with unequal shares, and plans that never settle. AUBURN_SEED
+ * sets the first seed of the random test. */
 #include "fleet_kit.h"
 #include "suite_kit.h"
 
-static bool seen_from(void *ctx, uint64_t session, uint64_t view_version)
+static bool session_saw(void *ctx, uint64_t session, uint64_t view_version)
 {
 	return *(uint64_t *)ctx >= view_version;
 }
 
-START_TEST(released_upstream_waits_for_its_old_owner)
+/* Until the former owner has seen the view with the release, it may still start streams on the
+ * upstream. */
+START_TEST(a_released_upstream_waits_until_its_former_owner_has_seen_the_release)
 {
 	uint64_t a = open_session("e1", 1, "z1");
-	wire_upstream_t one = up("u1", "z1", "llm");
-	uint64_t known;
-	fleet_plan_options_t plan = {10, seen_from, &known};
+	wire_upstream_t upstream = make_upstream("u1", "z1", "llm");
+	uint64_t seen_version;
+	fleet_plan_options_t plan = {10, session_saw, &seen_version};
 	wire_fleet_cmd_t cmd;
 
-	list(&one, 1);
-	own("u1", 0, a);
+	set_upstreams(&upstream, 1);
+	change_owner("u1", 0, a);
 	open_session("e2", 1, "z1");
-	known = fleet_view_version(f);
-	drain(a);
-	ck_assert_int_eq(fleet_plan_owners_with(f, &plan, &cmd), 1);
+	seen_version = fleet_view_version(fleet);
+	drain_session(a);
+	ck_assert_int_eq(fleet_plan_owners_with(fleet, &plan, &cmd), 1);
 	ck_assert_int_eq(cmd.wire_fleet_cmd_t_u.own.own_val[0].session, 0);
-	AUTO_RES release = apply(&cmd);
+	AUTO_RES release = apply_cmd(&cmd);
 
 	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
 	ck_assert_int_eq(release.number, 1);
-	reload();
-	ck_assert_int_eq(fleet_plan_owners_with(f, &plan, &cmd), 0);
+	restore_from_snapshot();
+	ck_assert_int_eq(fleet_plan_owners_with(fleet, &plan, &cmd), 0);
 	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
-	known = fleet_view_version(f);
-	ck_assert_int_eq(fleet_plan_owners_with(f, &plan, &cmd), 1);
+	seen_version = fleet_view_version(fleet);
+	ck_assert_int_eq(fleet_plan_owners_with(fleet, &plan, &cmd), 1);
 	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
 }
 END_TEST
 
 /* ---- randomised plan ---- */
 
-#define RANDOM_STEPS   400
-#define RANDOM_ENTRIES 9
-#define RANDOM_UPS     40
+#define RANDOM_STEPS	 400
+#define RANDOM_ENTRIES	 9
+#define RANDOM_UPSTREAMS 40
 
-static unsigned long rnd_state;
+static unsigned long random_state;
 
-static unsigned rnd(unsigned below)
+static unsigned random_below(unsigned below)
 {
-	rnd_state = rnd_state * 6364136223846793005UL + 1442695040888963407UL;
-	return (unsigned)((rnd_state >> 33) % below);
+	random_state = random_state * 6364136223846793005UL + 1442695040888963407UL;
+	return (unsigned)((random_state >> 33) % below);
 }
 
-static void random_list(void)
+static void set_random_upstreams(void)
 {
 	static const char *const services[] = {"llm", "scribe"};
 	static const char *const zones[] = {"z0", "z1", "z2"};
-	wire_upstream_t v[RANDOM_UPS];
-	char ids[RANDOM_UPS][8];
+	wire_upstream_t v[RANDOM_UPSTREAMS];
+	char ids[RANDOM_UPSTREAMS][8];
 	unsigned n = 0;
 
-	for (unsigned i = 0; i < RANDOM_UPS; i++) {
-		if (rnd(5) == 0)
+	for (unsigned i = 0; i < RANDOM_UPSTREAMS; i++) {
+		if (random_below(5) == 0)
 			continue;
 		snprintf(ids[n], sizeof(ids[n]), "u%u", i);
-		v[n] = up(ids[n], zones[i % 3], services[i % 7 == 0]);
-		v[n].state = rnd(6) == 0 ? WIRE_UPSTREAM_LEAVING : WIRE_UPSTREAM_LIVE;
+		v[n] = make_upstream(ids[n], zones[i % 3], services[i % 7 == 0]);
+		v[n].state = random_below(6) == 0 ? WIRE_UPSTREAM_LEAVING : WIRE_UPSTREAM_LIVE;
 		n++;
 	}
-	list(v, n);
+	set_upstreams(v, n);
 }
 
-static void random_member(void)
+static void change_random_session(void)
 {
 	static const char *const zones[] = {"z0", "z1", "z2"};
 	char name[8];
-	unsigned i = rnd(RANDOM_ENTRIES);
+	unsigned i = random_below(RANDOM_ENTRIES);
 	uint64_t session;
 
 	snprintf(name, sizeof(name), "e%u", i);
-	session = open_session(name, 1 + rnd(3), zones[i % 3]);
-	if (rnd(3) == 0)
-		drain(session);
-	else if (rnd(4) == 0)
+	session = open_session(name, 1 + random_below(3), zones[i % 3]);
+	if (random_below(3) == 0)
+		drain_session(session);
+	else if (random_below(4) == 0)
 		close_session(session);
 }
 
-/* Plans and applies; no plan moves an upstream straight from one open session to another. */
-static size_t plan_step(void)
+/* Applies one plan and returns the number of its changes. No plan may move an upstream from one
+ * open session to another without releasing it first. */
+static size_t apply_plan(void)
 {
-	AUTO_QRES v = view();
+	AUTO_QRES v = query_view();
 	wire_fleet_cmd_t cmd;
-	size_t n = fleet_plan_owners(f, 1000, &cmd);
+	size_t n = fleet_plan_owners(fleet, 1000, &cmd);
 	AUTO_RES res;
 
 	for (size_t i = 0; i < n; i++) {
@@ -99,16 +104,17 @@
 
 			if (!str_eq(wire_str(u->id), wire_str(c->id)))
 				continue;
-			ck_assert(!c->session || !fleet_session_is_open(f, u->owner));
+			ck_assert(!c->session || !fleet_session_is_open(fleet, u->owner));
 		}
 	}
-	res = apply(&cmd);
+	res = apply_cmd(&cmd);
 	ck_assert_int_eq(res.number, n);
 	wire_free(XDR_PROC(wire_fleet_cmd_t), &cmd);
 	return n;
 }
 
-/* Checks that each service is spread within one over the members that may own. */
+/* Checks that the numbers of upstreams of the service that members own differ by at most one, and
+ * that draining members own none. */
 static void check_spread(const wire_query_res_t *v, const char *service)
 {
 	unsigned least = 1000;
@@ -132,7 +138,8 @@
 	ck_assert(most <= least + 1 || least == 1000);
 }
 
-static unsigned eligible(const wire_query_res_t *v)
+/* Counts the members that are not draining and so may own upstreams. */
+static unsigned count_eligible(const wire_query_res_t *v)
 {
 	unsigned n = 0;
 
@@ -141,11 +148,12 @@
 	return n;
 }
 
+/* Checks a fleet for which plans have no more changes: all upstreams have an owner. */
 static void check_settled(void)
 {
-	AUTO_QRES v = view();
+	AUTO_QRES v = query_view();
 
-	if (eligible(&v) == 0)
+	if (count_eligible(&v) == 0)
 		return;
 	check_spread(&v, "llm");
 	check_spread(&v, "scribe");
@@ -155,51 +163,55 @@
 	}
 }
 
-/* Fences only grow, and change whenever the owner does. */
+/* A fence must grow with each change of the owner, and only then. */
 static void check_fences(const wire_query_res_t *before)
 {
-	AUTO_QRES v = view();
+	AUTO_QRES v = query_view();
 
 	for (unsigned i = 0; i < v.view.upstreams.upstreams_len; i++) {
 		const wire_upstream_t *u = &v.view.upstreams.upstreams_val[i];
 		char id[16];
 
 		snprintf(id, sizeof(id), "%.*s", STR_ARG(wire_str(u->id)));
-		const wire_upstream_t *was = find(before, id);
+		const wire_upstream_t *old = find_upstream(before, id);
 
-		if (was)
-			ck_assert(u->fence >= was->fence &&
-				  (u->fence > was->fence) == (u->owner != was->owner));
+		if (old)
+			ck_assert(u->fence >= old->fence &&
+				  (u->fence > old->fence) == (u->owner != old->owner));
 	}
 }
 
-START_TEST(random_plans_spread_and_settle)
+/* Sessions and the list change at random. From any state, at most four plans must lead to one in
+ * which every upstream has an owner. */
+START_TEST(random_plans_spread_the_upstreams_and_settle)
 {
 	const char *seed = getenv("AUBURN_SEED");
 
-	rnd_state = (seed ? strtoul(seed, NULL, 10) : 1) + (unsigned long)_i - 1;
+	random_state = (seed ? strtoul(seed, NULL, 10) : 1) + (unsigned long)_i - 1;
 	for (unsigned step = 0; step < RANDOM_STEPS; step++) {
-		AUTO_QRES before = view();
+		AUTO_QRES before = query_view();
 
-		if (rnd(3))
-			random_member();
+		if (random_below(3))
+			change_random_session();
 		else
-			random_list();
-		if (rnd(10) == 0)
-			reload();
-		if (rnd(2))
-			plan_step();
+			set_random_upstreams();
+		if (random_below(10) == 0)
+			restore_from_snapshot();
+		if (random_below(2))
+			apply_plan();
 		check_fences(&before);
-		if (rnd(4))
+		if (random_below(4))
 			continue;
-		for (unsigned i = 0; plan_step(); i++)
+		for (unsigned i = 0; apply_plan(); i++)
 			ck_assert_uint_lt(i, 4);
 		check_settled();
 	}
 }
 END_TEST
 
-START_TEST(lost_member_moves_only_its_own)
+/* Each move interrupts streams: the loss of one of four members must move only its 3 of 12
+ * upstreams. */
+START_TEST(a_lost_member_moves_only_its_own_upstreams)
 {
 	wire_upstream_t v[12];
 	char ids[12][8];
@@ -208,26 +220,27 @@
 
 	for (unsigned i = 0; i < 12; i++) {
 		snprintf(ids[i], sizeof(ids[i]), "u%u", i);
-		v[i] = up(ids[i], i < 6 ? "z0" : "z1", "llm");
+		v[i] = make_upstream(ids[i], i < 6 ? "z0" : "z1", "llm");
 	}
 	for (unsigned i = 0; i < 4; i++) {
 		snprintf(ids[0], sizeof(ids[0]), "e%u", i);
 		s[i] = open_session(ids[0], 1, i % 2 ? "z1" : "z0");
 	}
 	snprintf(ids[0], sizeof(ids[0]), "u0");
-	list(v, 12);
-	ck_assert_int_eq(plan_step(), 12);
-	AUTO_QRES before = view();
+	set_upstreams(v, 12);
+	ck_assert_int_eq(apply_plan(), 12);
+	AUTO_QRES before = query_view();
 
 	for (unsigned i = 0; i < 12; i++)
-		ck_assert(find(&before, ids[i])->owner % 2 == s[i < 6 ? 0 : 1] % 2);
+		ck_assert(find_upstream(&before, ids[i])->owner % 2 == s[i < 6 ? 0 : 1] % 2);
 	close_session(s[3]);
-	while (plan_step())
+	while (apply_plan())
 		;
-	AUTO_QRES after = view();
+	AUTO_QRES after = query_view();
 
 	for (unsigned i = 0; i < 12; i++)
-		moved += find(&before, ids[i])->owner != find(&after, ids[i])->owner;
+		moved += find_upstream(&before, ids[i])->owner !=
+			 find_upstream(&after, ids[i])->owner;
 	ck_assert_int_eq(moved, 3);
 	check_settled();
 }
@@ -240,8 +253,8 @@
 
 	suite_add_tcase(s, t);
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, released_upstream_waits_for_its_old_owner);
-	tcase_add_loop_test(t, random_plans_spread_and_settle, 1, 21);
-	tcase_add_test(t, lost_member_moves_only_its_own);
+	tcase_add_test(t, a_released_upstream_waits_until_its_former_owner_has_seen_the_release);
+	tcase_add_loop_test(t, random_plans_spread_the_upstreams_and_settle, 1, 21);
+	tcase_add_test(t, a_lost_member_moves_only_its_own_upstreams);
 	return suite_run(s);
 }
