--- a/tests/unit/fuzz_kit.h
+++ b/tests/unit/fuzz_kit.h
@@ -1,4 +1,4 @@
-/** Mutations for tests that feed damaged bytes to decoders; seeds are fixed. */
+/** Helpers for the fuzz tests: random mutations of bytes. The generator starts from fixed seeds. */
 #ifndef AUBURN_FUZZ_KIT_H
 #define AUBURN_FUZZ_KIT_H
 
@@ -6,16 +6,16 @@
 #include "base/prng.h"
 #include "base/str.h"
 
-#define MAX_MUTATIONS 6
+#define MUTATIONS_MAX 6
 
-static uint64_t rng_state;
+static uint64_t prng_state;
 
-static inline uint32_t rng(uint32_t below)
+static inline uint32_t random_below(uint32_t below)
 {
-	return (uint32_t)(prng_next(&rng_state) >> 16) % below;
+	return (uint32_t)(prng_next(&prng_state) >> 16) % below;
 }
 
-static inline void fuzz_insert(buf_t *b, size_t at, str_t s)
+static inline void insert_bytes(buf_t *b, size_t at, str_t s)
 {
 	AUTO_BUF tail = {0};
 
@@ -25,7 +25,7 @@
 	buf_add(b, str_buf(&tail));
 }
 
-static inline void fuzz_cut(buf_t *b, size_t at, size_t n)
+static inline void remove_bytes(buf_t *b, size_t at, size_t n)
 {
 	if (n > b->n - at)
 		n = b->n - at;
@@ -33,28 +33,30 @@
 	b->n -= n;
 }
 
-/* tokens: pieces of the format that are inserted whole. */
+/* Changes, removes, inserts or copies some bytes, or truncates them. tokens: pieces of the format,
+ * which are inserted whole. */
 static inline void mutate_once(buf_t *b, const char *const *tokens, size_t ntokens)
 {
-	size_t at = rng((uint32_t)b->n);
+	size_t at = random_below((uint32_t)b->n);
 
-	switch (rng(6)) {
+	switch (random_below(6)) {
 	case 0:
-		b->p[at] = (char)rng(256);
+		b->p[at] = (char)random_below(256);
 		break;
 	case 1:
-		b->p[at] ^= (char)(1 << rng(8));
+		b->p[at] ^= (char)(1 << random_below(8));
 		break;
 	case 2:
-		fuzz_cut(b, at, 1 + rng(20));
+		remove_bytes(b, at, 1 + random_below(20));
 		break;
 	case 3:
-		fuzz_insert(b, at, str_c(tokens[rng((uint32_t)ntokens)]));
+		insert_bytes(b, at, str_c(tokens[random_below((uint32_t)ntokens)]));
 		break;
 	case 4: {
 		AUTO_FREE char *copy = str_dup((str_t){b->p + at, b->n - at});
 
-		fuzz_insert(b, rng((uint32_t)b->n), (str_t){copy, rng((uint32_t)(b->n - at + 1))});
+		insert_bytes(b, random_below((uint32_t)b->n),
+			     (str_t){copy, random_below((uint32_t)(b->n - at + 1))});
 		break;
 	}
 	default:
@@ -62,9 +64,9 @@
 	}
 }
 
-static inline void mutate_with(buf_t *b, const char *const *tokens, size_t ntokens)
+static inline void mutate_bytes(buf_t *b, const char *const *tokens, size_t ntokens)
 {
-	for (uint32_t i = 1 + rng(MAX_MUTATIONS); i > 0 && b->n > 0; i--)
+	for (uint32_t i = 1 + random_below(MUTATIONS_MAX); i > 0 && b->n > 0; i--)
 		mutate_once(b, tokens, ntokens);
 }
 
--- a/tests/unit/http_kit.h
+++ b/tests/unit/http_kit.h
@@ -1,4 +1,4 @@
-/** A listener and a client on one loop, over loopback, for tests. */
+/** Helpers for the HTTP tests: a server and a client on one event loop, over loopback. */
 #ifndef AUBURN_HTTP_KIT_H
 #define AUBURN_HTTP_KIT_H
 
@@ -10,42 +10,43 @@
 #include "net/http_client.h"
 #include "suite_kit.h"
 
-/** Most bytes of an answer to a call. */
-#define ANSWER_BYTES (1U << 20)
+/** Limit on the bytes of a response. */
+#define RESPONSE_BYTES_MAX (1U << 20)
 
 typedef struct {
 	struct ev_loop *loop;
 	http_server_t *server;
 	http_client_t *client;
 	char addr[32];
-	int requests;
+	int requests; /* seen by the server */
 	int clients_gone;
-	http_conn_t *last_conn;
+	http_conn_t *last_conn; /* of the last request */
 	int calls_ended;
-	http_call_end_t call_end;
-	int status;
-	buf_t body;
+	http_call_end_t call_end; /* of the last call that ended */
+	int status; /* of the last response */
+	buf_t body; /* of all responses, unless the test resets it */
 	bool skip_first;
-	enum { WHOLE, STREAM, ABORT, HOLD } reply_mode;
-} pair_t;
+	/* How the server replies; REPLY_WHOLE echoes the request's body. */
+	enum { REPLY_WHOLE, REPLY_CHUNKS, REPLY_ABORTED, REPLY_NONE } reply_mode;
+} http_pair_t;
 
-static inline void serve(void *ctx, http_conn_t *c, const http_request_t *r)
+static inline void on_request(void *ctx, http_conn_t *c, const http_request_t *r)
 {
-	pair_t *p = ctx;
+	http_pair_t *p = ctx;
 
 	p->requests++;
 	p->last_conn = c;
 	switch (p->reply_mode) {
-	case WHOLE:
+	case REPLY_WHOLE:
 		http_reply(c, 200, STR("X: y\r\n"), r->body);
 		break;
-	case STREAM:
+	case REPLY_CHUNKS:
 		http_reply_begin(c, 200, STR(""));
 		http_reply_chunk(c, STR("one"));
 		http_reply_chunk(c, STR("two"));
 		http_reply_end(c);
 		break;
-	case ABORT:
+	case REPLY_ABORTED:
 		http_reply_begin(c, 200, STR(""));
 		http_reply_chunk(c, STR("one"));
 		http_reply_abort(c);
@@ -55,47 +56,48 @@
 	}
 }
 
-static inline void on_gone(void *ctx, http_conn_t *c)
+static inline void on_client_gone(void *ctx, http_conn_t *c)
 {
-	((pair_t *)ctx)->clients_gone++;
+	((http_pair_t *)ctx)->clients_gone++;
 }
 
-static inline bool call_head(void *ctx, const http_head_t *h)
+static inline bool on_head_received(void *ctx, const http_head_t *h)
 {
-	((pair_t *)ctx)->status = h->status;
+	((http_pair_t *)ctx)->status = h->status;
 	return true;
 }
 
-static inline void call_body(void *ctx, str_t piece)
+static inline void on_body_received(void *ctx, str_t piece)
 {
-	buf_add(&((pair_t *)ctx)->body, piece);
+	buf_add(&((http_pair_t *)ctx)->body, piece);
 }
 
-static inline void call_end(void *ctx, http_call_end_t how)
+static inline void on_call_end(void *ctx, http_call_end_t how)
 {
-	pair_t *p = ctx;
+	http_pair_t *p = ctx;
 
 	p->calls_ended++;
 	p->call_end = how;
 	ev_break(p->loop, EVBREAK_ALL);
 }
 
-static inline void on_timeout(struct ev_loop *loop, ev_timer *w, int events)
+static inline void stop_loop(struct ev_loop *loop, ev_timer *w, int events)
 {
 	ev_break(loop, EVBREAK_ALL);
 }
 
-static inline void turn(pair_t *p, double s)
+/* Runs the loop for s seconds, or until a call ends. */
+static inline void run_loop(http_pair_t *p, double s)
 {
 	ev_timer t;
 
-	ev_timer_init(&t, on_timeout, s, 0.0);
+	ev_timer_init(&t, stop_loop, s, 0.0);
 	ev_timer_start(p->loop, &t);
 	ev_run(p->loop, 0);
 	ev_timer_stop(p->loop, &t);
 }
 
-static inline unsigned free_port(void)
+static inline unsigned pick_port(void)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
 	socklen_t n = sizeof(sa);
@@ -107,42 +109,43 @@
 	return ntohs(sa.sin_port);
 }
 
-static inline void pair_open(pair_t *p)
+static inline void pair_open(http_pair_t *p)
 {
-	*p = (pair_t){.loop = ev_loop_new(EVFLAG_AUTO)};
-	snprintf(p->addr, sizeof(p->addr), "127.0.0.1:%u", free_port());
+	*p = (http_pair_t){.loop = ev_loop_new(EVFLAG_AUTO)};
+	snprintf(p->addr, sizeof(p->addr), "127.0.0.1:%u", pick_port());
 	p->server = http_server_new(&(http_server_options_t){.loop = p->loop,
 							     .addr = p->addr,
 							     .limits = {1024, 1024, 200, 400},
 							     .ctx = p,
-							     .request = serve,
-							     .client_gone = on_gone});
+							     .request = on_request,
+							     .client_gone = on_client_gone});
 	ck_assert_ptr_nonnull(p->server);
 	p->client = http_client_new(p->loop);
 }
 
-static inline void pair_close(pair_t *p)
+static inline void pair_close(http_pair_t *p)
 {
 	http_server_close(p->server);
 	http_client_close(p->client);
-	turn(p, 0.01);
+	run_loop(p, 0.01);
 	ev_loop_destroy(p->loop);
 	buf_free(&p->body);
 }
 
-static inline http_call_t *call(pair_t *p, str_t request)
+static inline http_call_t *start_call(http_pair_t *p, str_t request)
 {
 	return http_call_start(p->client,
 			       &(http_call_options_t){.request = request,
 						      .addr = p->addr,
 						      .connect_deadline = clock_now_ms() + 500,
-						      .max_bytes = ANSWER_BYTES,
+						      .max_bytes = RESPONSE_BYTES_MAX,
 						      .ctx = p,
-						      .head = call_head,
-						      .body = call_body,
-						      .end = call_end});
+						      .head = on_head_received,
+						      .body = on_body_received,
+						      .end = on_call_end});
 }
 
-static const str_t post = STR("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello");
+static const str_t post_request =
+	STR("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello");
 
 #endif
--- a/tests/unit/test_base.c
+++ b/tests/unit/test_base.c
@@ -1,10 +1,10 @@
-/* Unit tests of src/base. */
+/* Tests of strings, buffers and status codes (base/str.h, base/status.h). */
 #include <stdlib.h>
 #include "base/status.h"
 #include "base/str.h"
 #include "suite_kit.h"
 
-START_TEST(buffer_adds_and_drops)
+START_TEST(bytes_are_appended_to_a_buffer_and_dropped_from_its_front)
 {
 	AUTO_BUF b = {0};
 
@@ -16,7 +16,7 @@
 }
 END_TEST
 
-START_TEST(json_string_is_escaped)
+START_TEST(a_json_string_is_escaped)
 {
 	AUTO_BUF b = {0};
 
@@ -25,7 +25,7 @@
 }
 END_TEST
 
-START_TEST(status_keeps_last_message)
+START_TEST(a_status_keeps_its_last_message)
 {
 	ck_assert_int_eq(status_fail(STATUS_LIMIT, "over %d", 3), STATUS_LIMIT);
 	ck_assert_str_eq(status_message(), "over 3");
@@ -40,8 +40,8 @@
 	TCase *t = tcase_create("base");
 
 	suite_add_tcase(s, t);
-	tcase_add_test(t, buffer_adds_and_drops);
-	tcase_add_test(t, json_string_is_escaped);
-	tcase_add_test(t, status_keeps_last_message);
+	tcase_add_test(t, bytes_are_appended_to_a_buffer_and_dropped_from_its_front);
+	tcase_add_test(t, a_json_string_is_escaped);
+	tcase_add_test(t, a_status_keeps_its_last_message);
 	return suite_run(s);
 }
--- a/tests/unit/test_bench.c
+++ b/tests/unit/test_bench.c
@@ -1,4 +1,7 @@
-/* The load tool's own decisions; it isn't part of the library, so its files are taken in here. */
+/* Tests of the load generator's checks and arrival times (bench/bn_check.h, bench/bn_rate.h).
+ * Guard against a benchmark that takes a faulty stream for a good one or generates another load
+ * than it was asked for. The load generator is not part of the library, so its source files are
+ * included here. */
 #include <stdlib.h>
 // NOLINTBEGIN(bugprone-suspicious-include)
 #include "../../bench/bn_check.c"
@@ -6,126 +9,127 @@
 #include "suite_kit.h"
 // NOLINTEND(bugprone-suspicious-include)
 
-static bn_check_t check_of(int tokens)
+static bn_check_t make_check(int tokens)
 {
 	return (bn_check_t){.prompt = STR("a prompt"), .key = "k1", .tokens = tokens};
 }
 
-static void feed(bn_check_t *c, const char *id, int index, int text_of)
+/* Feeds one event with this id and index and with the text of token text_index. */
+static void feed_event(bn_check_t *check, const char *id, int index, int text_index)
 {
-	AUTO_BUF line = {0};
+	AUTO_BUF events = {0};
 	char text[TEXT_BYTES];
 
-	expected_text(c, text_of, text);
-	buf_addf(&line,
+	expected_text(check, text_index, text);
+	buf_addf(&events,
 		 "data: "
 		 "{\"id\":\"%s\",\"index\":%d,\"choices\":[{\"index\":0,\"text\":\"%s\"}]}\n\n",
 		 id, index, text);
-	/* In two pieces, as the network may cut anywhere. */
-	bn_check_feed(c, (str_t){line.p, line.n / 2});
-	bn_check_feed(c, (str_t){line.p + line.n / 2, line.n - line.n / 2});
+	/* Fed in two pieces, as the network may split the bytes anywhere. */
+	bn_check_feed(check, (str_t){events.p, events.n / 2});
+	bn_check_feed(check, (str_t){events.p + events.n / 2, events.n - events.n / 2});
 }
 
-START_TEST(a_whole_stream_is_good)
+START_TEST(a_complete_stream_is_good)
 {
-	bn_check_t c = check_of(3);
+	bn_check_t check = make_check(3);
 
 	for (int i = 0; i < 3; i++)
-		feed(&c, "k1", i, i);
+		feed_event(&check, "k1", i, i);
 	ck_assert(!bn_check_whole(&(bn_check_t){.tokens = 3, .next = 3}));
-	bn_check_feed(&c, STR("data: [DONE]\n\n"));
-	ck_assert(bn_check_whole(&c));
-	bn_check_reset(&c);
+	bn_check_feed(&check, STR("data: [DONE]\n\n"));
+	ck_assert(bn_check_whole(&check));
+	bn_check_reset(&check);
 }
 END_TEST
 
-START_TEST(a_stored_answer_is_one_event)
+START_TEST(a_stored_answer_in_one_event_is_good)
 {
-	bn_check_t c = check_of(3);
+	bn_check_t check = make_check(3);
 	AUTO_BUF text = {0};
-	AUTO_BUF line = {0};
-	char one[TEXT_BYTES];
+	AUTO_BUF events = {0};
+	char token_text[TEXT_BYTES];
 
 	for (int i = 0; i < 3; i++) {
-		expected_text(&c, i, one);
-		buf_add(&text, str_c(one));
+		expected_text(&check, i, token_text);
+		buf_add(&text, str_c(token_text));
 	}
-	buf_addf(&line,
+	buf_addf(&events,
 		 "data: {\"id\":\"k1\",\"index\":0,\"choices\":[{\"index\":0,\"text\":\"%s\"}]}\n\n"
 		 "data: [DONE]\n\n",
 		 text.p);
-	bn_check_feed(&c, str_buf(&line));
-	ck_assert(bn_check_whole(&c));
-	c.tokens = 4;
-	ck_assert(!bn_check_whole(&c));
-	bn_check_reset(&c);
+	bn_check_feed(&check, str_buf(&events));
+	ck_assert(bn_check_whole(&check));
+	check.tokens = 4;
+	ck_assert(!bn_check_whole(&check));
+	bn_check_reset(&check);
 }
 END_TEST
 
-START_TEST(each_fault_is_seen)
+START_TEST(each_fault_is_detected)
 {
 	static const struct {
 		const char *id;
-		int index, text_of;
+		int index, text_index;
 		bn_fault_t fault;
-	} second[] = {
+	} cases[] = {
 		{"k1", 0, 0, BN_REPEATED},
 		{"k1", 2, 2, BN_MISSING},
 		{"k2", 1, 1, BN_FOREIGN},
 		{"k1", 1, 2, BN_WRONG_TEXT},
 	};
 
-	for (size_t i = 0; i < sizeof(second) / sizeof(second[0]); i++) {
-		bn_check_t c = check_of(3);
+	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
+		bn_check_t check = make_check(3);
 
-		feed(&c, "k1", 0, 0);
-		feed(&c, second[i].id, second[i].index, second[i].text_of);
-		ck_assert_int_eq(c.fault, second[i].fault);
-		bn_check_reset(&c);
+		feed_event(&check, "k1", 0, 0);
+		feed_event(&check, cases[i].id, cases[i].index, cases[i].text_index);
+		ck_assert_int_eq(check.fault, cases[i].fault);
+		bn_check_reset(&check);
 	}
 }
 END_TEST
 
-START_TEST(an_early_end_and_an_error_event_are_not_whole)
+START_TEST(an_early_end_and_an_error_event_are_not_complete)
 {
-	bn_check_t c = check_of(2);
-
-	feed(&c, "k1", 0, 0);
-	bn_check_feed(&c, STR("data: [DONE]\n\n"));
-	ck_assert(!bn_check_whole(&c));
-	ck_assert_int_eq(c.fault, BN_MISSING);
-	bn_check_reset(&c);
-	feed(&c, "k1", 0, 0);
-	bn_check_feed(&c, STR("event: error\ndata: {\"error\":{}}\n\n"));
-	ck_assert(c.error && !bn_check_whole(&c));
-	bn_check_reset(&c);
-	bn_check_feed(&c, STR("data: nonsense\n\n"));
-	ck_assert_int_eq(c.fault, BN_MALFORMED);
-	bn_check_reset(&c);
+	bn_check_t check = make_check(2);
+
+	feed_event(&check, "k1", 0, 0);
+	bn_check_feed(&check, STR("data: [DONE]\n\n"));
+	ck_assert(!bn_check_whole(&check));
+	ck_assert_int_eq(check.fault, BN_MISSING);
+	bn_check_reset(&check);
+	feed_event(&check, "k1", 0, 0);
+	bn_check_feed(&check, STR("event: error\ndata: {\"error\":{}}\n\n"));
+	ck_assert(check.error && !bn_check_whole(&check));
+	bn_check_reset(&check);
+	bn_check_feed(&check, STR("data: nonsense\n\n"));
+	ck_assert_int_eq(check.fault, BN_MALFORMED);
+	bn_check_reset(&check);
 }
 END_TEST
 
-START_TEST(arrivals_follow_the_rate_its_bursts_and_pauses)
+START_TEST(arrivals_follow_the_rate_with_its_bursts_and_pauses)
 {
-	bn_rate_t r = {.per_s = 20};
+	bn_rate_t rate = {.per_s = 20};
 	unsigned count[BN_PHASES] = {0};
 	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
 	double at = 0;
 
-	ck_assert_int_eq(bn_window_parse("x5:every 10:for 1", true, &r.burst), STATUS_OK);
-	ck_assert_int_eq(bn_window_parse("every 5:for 2", false, &r.gap), STATUS_OK);
-	r.gap.every_s = 7; /* so that pauses and bursts don't always fall together */
+	ck_assert_int_eq(bn_window_parse("x5:every 10:for 1", true, &rate.burst), STATUS_OK);
+	ck_assert_int_eq(bn_window_parse("every 5:for 2", false, &rate.gap), STATUS_OK);
+	rate.gap.every_s = 7; /* so that pauses and bursts do not always coincide */
 	gsl_rng_set(rng, 3);
-	while ((at = bn_rate_next(&r, at, rng)) < 7000)
-		count[bn_rate_phase(&r, at)]++;
+	while ((at = bn_rate_next(&rate, at, rng)) < 7000)
+		count[bn_rate_phase(&rate, at)]++;
 	ck_assert_uint_eq(count[BN_GAP], 0);
-	/* 5/7 of the time isn't a pause; a tenth of that is burst. */
+	/* 5/7 of the time, 5000 s, is not a pause; a tenth of it is burst. */
 	ck_assert_uint_gt(count[BN_STEADY], 5000 * 0.9 * 20 * 0.95);
 	ck_assert_uint_lt(count[BN_STEADY], 5000 * 0.9 * 20 * 1.05);
 	ck_assert_uint_gt(count[BN_BURST], 5000 * 0.1 * 100 * 0.95);
 	ck_assert_uint_lt(count[BN_BURST], 5000 * 0.1 * 100 * 1.05);
-	ck_assert_int_eq(bn_window_parse("x5:every 1:for 2", true, &r.burst), STATUS_INVALID);
-	ck_assert_int_eq(bn_window_parse("x5", true, &r.burst), STATUS_INVALID);
+	ck_assert_int_eq(bn_window_parse("x5:every 1:for 2", true, &rate.burst), STATUS_INVALID);
+	ck_assert_int_eq(bn_window_parse("x5", true, &rate.burst), STATUS_INVALID);
 	gsl_rng_free(rng);
 }
 END_TEST
@@ -136,10 +140,10 @@
 	TCase *t = tcase_create("bench");
 
 	suite_add_tcase(s, t);
-	tcase_add_test(t, a_whole_stream_is_good);
-	tcase_add_test(t, a_stored_answer_is_one_event);
-	tcase_add_test(t, each_fault_is_seen);
-	tcase_add_test(t, an_early_end_and_an_error_event_are_not_whole);
-	tcase_add_test(t, arrivals_follow_the_rate_its_bursts_and_pauses);
+	tcase_add_test(t, a_complete_stream_is_good);
+	tcase_add_test(t, a_stored_answer_in_one_event_is_good);
+	tcase_add_test(t, each_fault_is_detected);
+	tcase_add_test(t, an_early_end_and_an_error_event_are_not_complete);
+	tcase_add_test(t, arrivals_follow_the_rate_with_its_bursts_and_pauses);
 	return suite_run(s);
 }
--- a/tests/unit/test_fuzz_network.c
+++ b/tests/unit/test_fuzz_network.c
@@ -1,6 +1,6 @@
-/* Damaged bytes into each decoder that reads what comes from outside: heads, bodies and events of
- * replicas, calls of callers and operators, lists, lots, texts, and links.
- *
+/* Fuzz tests of the decoders that read bytes from other processes: HTTP heads and bodies,
+ * server-sent events, the platform's lists, lots and configs, and link messages between entries and
+ * the leader. Guard against a crash, a memory error or an endless loop on damaged input.
  * AUBURN_FUZZ_MS: how long each decoder is fed, in ms. AUBURN_FUZZ_SEED: another seed. */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,12 +11,12 @@
 #include "platform/platform.h"
 #include "suite_kit.h"
 
-#define FEED_MS	   1500
-#define HEAD_BYTES 16384
-/** A decoder that needs longer for one input, in ms, isn't linear in it. */
-#define INPUT_MS 1000
+#define DECODER_MS     1500
+#define HEAD_BYTES_MAX 16384
+/** Time limit for one input: a slower decoder does not take time in proportion to the input. */
+#define INPUT_MS_MAX 1000
 
-/* ---- what decoders are fed; the corpus grows by inputs that once failed ---- */
+/* ---- corpus: valid inputs, and inputs that failed once ---- */
 
 static const char *const replies[] = {
 	"HTTP/1.1 200 OK\r\nRequest-Id: 9c41d07be2a35f68\r\nSignature: 3e1b.07\r\nContent-Type: "
@@ -60,7 +60,7 @@
 	"\"headers\":{},\"body\":\"\",\"tokens\":1}]}",
 };
 
-static const char *const texts[] = {
+static const char *const configs[] = {
 	"{\"version\":7,\"routes\":[{\"name\":\"r1\",\"host\":\"a.example\",\"pathPrefix\":\"/x/\","
 	"\"kind\":\"stream\",\"timeoutMs\":5000,\"sloMs\":300,\"priority\":0,\"split\":[{"
 	"\"service\":"
@@ -121,7 +121,7 @@
 
 /* ---- decoders ---- */
 
-static void nothing(void *ctx, str_t piece)
+static void ignore_body(void *ctx, str_t piece)
 {
 }
 
@@ -143,11 +143,11 @@
 	platform_op_decode(h, &op);
 }
 
-static void on_end(void *ctx)
+static void ignore_end(void *ctx)
 {
 }
 
-/* In pieces of any size, as bytes come from a socket. */
+/* Feeds the parser in pieces of random sizes, as a socket would. */
 static void feed_http(str_t in, bool responses)
 {
 	http_reader_t p;
@@ -157,11 +157,11 @@
 	http_reader_init(&p, &(http_reader_options_t){
 				     .responses = responses,
 				     .pause_after_message = true,
-				     .max_header_bytes = HEAD_BYTES,
+				     .max_header_bytes = HEAD_BYTES_MAX,
 				     .cb = {NULL, responses ? on_reply_head : on_request_head,
-					    nothing, on_end}});
+					    ignore_body, ignore_end}});
 	while (in.n > 0 && st == STATUS_OK) {
-		size_t n = 1 + rng((uint32_t)in.n);
+		size_t n = 1 + random_below((uint32_t)in.n);
 
 		st = http_reader_feed(&p, (str_t){in.p, n}, &used);
 		ck_assert_uint_le(used, n);
@@ -195,16 +195,16 @@
 static void feed_events(str_t in)
 {
 	sse_parser_t s = {0};
-	size_t given = 0;
-	size_t whole = in.n;
+	size_t consumed = 0;
+	size_t total = in.n;
 
 	while (in.n > 0) {
-		size_t n = 1 + rng((uint32_t)in.n);
+		size_t n = 1 + random_below((uint32_t)in.n);
 
-		ck_assert(sse_feed(&s, (str_t){in.p, n}, on_event, &given));
+		ck_assert(sse_feed(&s, (str_t){in.p, n}, on_event, &consumed));
 		in = (str_t){in.p + n, in.n - n};
 	}
-	ck_assert_uint_eq(given + s.pending.n, whole);
+	ck_assert_uint_eq(consumed + s.pending.n, total);
 	sse_free(&s);
 }
 
@@ -225,7 +225,7 @@
 	wire_free(XDR_PROC(wire_lot_open_t), &o);
 }
 
-static void feed_text(str_t in)
+static void feed_config(str_t in)
 {
 	route_table_t *r = NULL;
 
@@ -242,9 +242,9 @@
 	wire_free(XDR_PROC(link_msg_t), &m);
 }
 
-/* ---- link messages are made, not written ---- */
+/* ---- link messages are binary, so their corpus is encoded here ---- */
 
-static const char *make_link(void)
+static const char *make_link_hello(void)
 {
 	static buf_t b;
 	link_msg_t m = {.kind = LINK_HELLO};
@@ -277,48 +277,48 @@
 	{"events", feed_events, CORPUS(events), CORPUS(http_tokens)},
 	{"list", feed_list, CORPUS(lists), CORPUS(json_tokens)},
 	{"lot", feed_lot, CORPUS(lots), CORPUS(json_tokens)},
-	{"text", feed_text, CORPUS(texts), CORPUS(json_tokens)},
+	{"text", feed_config, CORPUS(configs), CORPUS(json_tokens)},
 	{"link", feed_link, NULL, 0, CORPUS(json_tokens)},
 };
 
-static int64_t setting(const char *name, int64_t otherwise)
+static int64_t env_number(const char *name, int64_t fallback)
 {
 	const char *s = getenv(name);
 
-	return s ? atoll(s) : otherwise;
+	return s ? atoll(s) : fallback;
 }
 
-START_TEST(decoders_take_damaged_bytes)
+START_TEST(decoders_survive_damaged_bytes)
 {
-	deadline_t end = clock_now_ms() + setting("AUBURN_FUZZ_MS", FEED_MS);
-	unsigned long rounds = 0;
+	deadline_t end = clock_now_ms() + env_number("AUBURN_FUZZ_MS", DECODER_MS);
+	unsigned long inputs = 0;
 
-	rng_state = (uint64_t)setting("AUBURN_FUZZ_SEED", 20261204) + (uint64_t)_i;
+	prng_state = (uint64_t)env_number("AUBURN_FUZZ_SEED", 20261204) + (uint64_t)_i;
 	while (clock_now_ms() < end) {
 		AUTO_BUF b = {0};
-		deadline_t begun = clock_now_ms();
+		deadline_t started_at = clock_now_ms();
 
 		if (decoders[_i].ncorpus)
-			buf_add(&b,
-				str_c(decoders[_i].corpus[rng((uint32_t)decoders[_i].ncorpus)]));
+			buf_add(&b, str_c(decoders[_i].corpus[random_below(
+					    (uint32_t)decoders[_i].ncorpus)]));
 		else
-			buf_add(&b, (str_t){make_link(), 96});
-		mutate_with(&b, decoders[_i].tokens, decoders[_i].ntokens);
+			buf_add(&b, (str_t){make_link_hello(), 96});
+		mutate_bytes(&b, decoders[_i].tokens, decoders[_i].ntokens);
 		decoders[_i].feed(str_buf(&b));
-		ck_assert_int_le(clock_now_ms() - begun, INPUT_MS);
-		rounds++;
+		ck_assert_int_le(clock_now_ms() - started_at, INPUT_MS_MAX);
+		inputs++;
 	}
-	printf("%s: %lu inputs\n", decoders[_i].name, rounds);
+	printf("%s: %lu inputs\n", decoders[_i].name, inputs);
 }
 END_TEST
 
 int main(void)
 {
-	Suite *s = suite_create("fuzz_outside");
+	Suite *s = suite_create("fuzz_network");
 	TCase *t = tcase_create("all");
 
 	tcase_set_timeout(t, 3600);
-	tcase_add_loop_test(t, decoders_take_damaged_bytes, 0,
+	tcase_add_loop_test(t, decoders_survive_damaged_bytes, 0,
 			    sizeof(decoders) / sizeof(decoders[0]));
 	suite_add_tcase(s, t);
 	return suite_run(s);
--- a/tests/unit/test_fuzz_state.c
+++ b/tests/unit/test_fuzz_state.c
@@ -1,4 +1,6 @@
-/* Random and mutated bytes into the parsers that meet outside bytes; seeds are fixed. */
+/* Fuzz tests of the operators' config, of RPC messages, and of the commands and snapshots of the
+ * replicated state. Guard against a crash, an assertion or a memory error on malformed input: a
+ * replicated command that crashes one control process crashes all. Seeds are fixed. */
 #include <arpa/inet.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,13 +14,13 @@
 #include "fuzz_kit.h"
 #include "suite_kit.h"
 
-#define TEXT_ROUNDS	20000
+#define CONFIG_ROUNDS	20000
 #define MESSAGE_ROUNDS	20000
 #define COMMAND_ROUNDS	60000
 #define SNAPSHOT_ROUNDS 3000
-#define MAX_WORDS	60
+#define WORDS_MAX	60
 
-static const char text[] =
+static const char config_text[] =
 	"retention_s = 3600\naddress_ttl_s = 2\n\n[[service]]\nname = \"llm\"\nkind = \"engine\"\n"
 	"latency_weight = 0.5\nslots = 8\nstall_ms = 2000\nchecks_fencing = true\n\n"
 	"[[service]]\nname = \"quotes\"\nkind = \"plain\"\nrepeatable = false\n"
@@ -65,26 +67,30 @@
 	"depends=[\"quotes\"]\n",
 };
 
+/* Mutates a config, a message or a snapshot, always with the tokens of a config. */
 static void mutate(buf_t *b)
 {
-	mutate_with(b, tokens, sizeof(tokens) / sizeof(tokens[0]));
+	mutate_bytes(b, tokens, sizeof(tokens) / sizeof(tokens[0]));
 }
 
-/* A message of words that are mostly small, as kinds, lengths and counts are. */
+/* Appends random 32-bit words, most of them small, like kinds, lengths and counts in a message. */
 static void random_words(buf_t *b)
 {
-	static const uint32_t often[] = {0, 0, 0, 0, 1, 1, 1, 2, 3, 4, 5, 8, 9, 64, 0x7fffffff};
-	uint32_t n = rng(MAX_WORDS);
+	static const uint32_t common[] = {0, 0, 0, 0, 1, 1, 1, 2, 3, 4, 5, 8, 9, 64, 0x7fffffff};
+	uint32_t n = random_below(WORDS_MAX);
 
 	for (uint32_t i = 0; i < n; i++) {
-		uint32_t w = rng(8) ? often[rng(sizeof(often) / sizeof(often[0]))] : rng(1u << 20);
+		uint32_t w = random_below(8)
+				     ? common[random_below(sizeof(common) / sizeof(common[0]))]
+				     : random_below(1u << 20);
 
 		w = htonl(w);
 		buf_add(b, (str_t){(const char *)&w, sizeof(w)});
 	}
 }
 
-static void use_document(const toml_doc_t *c)
+/* Calls the functions that read a parsed document. */
+static void read_document(const toml_doc_t *c)
 {
 	static const char *const names[] = {"service", "limit", "a", ""};
 	const toml_key_t keys[] = {{0}};
@@ -100,24 +106,24 @@
 		!toml_table_at(toml_root(c), "service", toml_table_count(toml_root(c), "service")));
 }
 
-START_TEST(texts)
+START_TEST(configs_are_parsed_or_refused)
 {
 	unsigned good = 0;
 
-	rng_state = 0x9e3779b97f4a7c15;
-	for (int i = 0; i < TEXT_ROUNDS; i++) {
+	prng_state = 0x9e3779b97f4a7c15;
+	for (int i = 0; i < CONFIG_ROUNDS; i++) {
 		AUTO_BUF b = {0};
 		AUTO_TOML *c = NULL;
 		config_t *t = NULL;
 		status_t st;
 
-		buf_add(&b, STR(text));
+		buf_add(&b, STR(config_text));
 		mutate(&b);
 		st = toml_parse(str_buf(&b), "text", &c);
 		ck_assert(st == STATUS_OK ? c != NULL
 					  : (st == STATUS_INVALID && *status_message()));
 		if (c)
-			use_document(c);
+			read_document(c);
 		st = config_parse(str_buf(&b), &t);
 		ck_assert(st == STATUS_OK ? t != NULL
 					  : (st == STATUS_INVALID && *status_message()));
@@ -125,7 +131,7 @@
 		config_free(t);
 	}
 	ck_assert_uint_gt(good, 0);
-	ck_assert_uint_lt(good, TEXT_ROUNDS);
+	ck_assert_uint_lt(good, CONFIG_ROUNDS);
 }
 END_TEST
 
@@ -133,24 +139,24 @@
 	const char *name;
 	xdrproc_t proc;
 	size_t size;
-} type_t;
+} xdr_type_t;
 
-#define TYPE(t)                                                                                    \
+#define XDR_TYPE(t)                                                                                \
 	{                                                                                          \
 #t, XDR_PROC(t), sizeof(t)                                                         \
 	}
 
-static const type_t types[] = {
-	TYPE(wire_fleet_cmd_t), TYPE(wire_fleet_res_t),	    TYPE(wire_view_t),
-	TYPE(wire_config_t),	TYPE(wire_ledger_cmd_t),    TYPE(wire_ledger_res_t),
-	TYPE(wire_query_t),	TYPE(wire_query_res_t),	    TYPE(wire_exec_arg_t),
-	TYPE(wire_exec_res_t),	TYPE(wire_heartbeat_arg_t), TYPE(wire_heartbeat_res_t),
-	TYPE(wire_raft_arg_t),	TYPE(wire_text_t),	    TYPE(wire_events_arg_t),
-	TYPE(wire_load_arg_t),	TYPE(raft_msg_t),	    TYPE(raft_wire_members_t),
+static const xdr_type_t xdr_types[] = {
+	XDR_TYPE(wire_fleet_cmd_t), XDR_TYPE(wire_fleet_res_t),	    XDR_TYPE(wire_view_t),
+	XDR_TYPE(wire_config_t),    XDR_TYPE(wire_ledger_cmd_t),    XDR_TYPE(wire_ledger_res_t),
+	XDR_TYPE(wire_query_t),	    XDR_TYPE(wire_query_res_t),	    XDR_TYPE(wire_exec_arg_t),
+	XDR_TYPE(wire_exec_res_t),  XDR_TYPE(wire_heartbeat_arg_t), XDR_TYPE(wire_heartbeat_res_t),
+	XDR_TYPE(wire_raft_arg_t),  XDR_TYPE(wire_text_t),	    XDR_TYPE(wire_events_arg_t),
+	XDR_TYPE(wire_load_arg_t),  XDR_TYPE(raft_msg_t),	    XDR_TYPE(raft_wire_members_t),
 };
 
-/* Decodes b and puts the message's own encoding in its place. */
-static bool recode(const type_t *t, buf_t *b)
+/* Decodes b and replaces it by the message's encoding; false if b is malformed. */
+static bool reencode(const xdr_type_t *t, buf_t *b)
 {
 	AUTO_FREE void *msg = mem_new(t->size);
 	buf_t again = {0};
@@ -165,39 +171,40 @@
 	return ok;
 }
 
-/* What decodes encodes again, and that encoding is stable. The first may differ from what came:
- * padding, other true values, and zero bytes in strings aren't kept. */
-static bool decode(const type_t *t, buf_t *b)
+/* A message that can be decoded must have an encoding that decodes to the same encoding again. The
+ * encoding may differ from the input, whose padding, other values of true and zero bytes in strings
+ * are lost. False if b is malformed. */
+static bool check_reencoding(const xdr_type_t *t, buf_t *b)
 {
 	AUTO_BUF first = {0};
 
-	if (!recode(t, b))
+	if (!reencode(t, b))
 		return false;
 	buf_add(&first, str_buf(b));
-	ck_assert_msg(recode(t, b) && str_eq(str_buf(b), str_buf(&first)), "%s", t->name);
+	ck_assert_msg(reencode(t, b) && str_eq(str_buf(b), str_buf(&first)), "%s", t->name);
 	return true;
 }
 
-START_TEST(messages)
+START_TEST(decoded_messages_encode_stably)
 {
-	const type_t *t = &types[_i];
+	const xdr_type_t *t = &xdr_types[_i];
 	AUTO_BUF seed = {0};
 	unsigned good = 0;
 
-	rng_state = 0x2545f4914f6cdd1d + (uint64_t)_i;
+	prng_state = 0x2545f4914f6cdd1d + (uint64_t)_i;
 	for (int i = 0; i < MESSAGE_ROUNDS; i++) {
 		AUTO_BUF b = {0};
 
-		if (seed.n && rng(2)) {
+		if (seed.n && random_below(2)) {
 			buf_add(&b, str_buf(&seed));
 			mutate(&b);
 		} else {
 			random_words(&b);
 		}
-		if (!decode(t, &b))
+		if (!check_reencoding(t, &b))
 			continue;
 		good++;
-		if (b.n > seed.n || !rng(4)) {
+		if (b.n > seed.n || !random_below(4)) {
 			buf_free(&seed);
 			seed = b;
 			b = (buf_t){0};
@@ -207,12 +214,13 @@
 }
 END_TEST
 
-/* Makes a command: random words, or a mutation of the last that decoded. */
-static bool next_command(const type_t *t, buf_t *seed, void *cmd)
+/* Makes a command from random words, or from a mutation of *seed, the last input that could be
+ * decoded. False if it can't be decoded. */
+static bool next_command(const xdr_type_t *t, buf_t *seed, void *cmd)
 {
 	AUTO_BUF b = {0};
 
-	if (seed->n && rng(3)) {
+	if (seed->n && random_below(3)) {
 		buf_add(&b, str_buf(seed));
 		mutate(&b);
 	} else {
@@ -228,9 +236,10 @@
 	return true;
 }
 
-START_TEST(ledger_takes_any_command)
+/* Whatever the commands were, a snapshot of the state must restore to the same state. */
+START_TEST(the_ledger_survives_any_command)
 {
-	const type_t t = TYPE(wire_ledger_cmd_t);
+	const xdr_type_t t = XDR_TYPE(wire_ledger_cmd_t);
 	AUTO_BUF seed = {0};
 	AUTO_BUF snap = {0};
 	AUTO_BUF again = {0};
@@ -239,7 +248,7 @@
 	wire_ledger_cmd_t cmd;
 	unsigned taken = 0;
 
-	rng_state = 0x853c49e6748fea9b;
+	prng_state = 0x853c49e6748fea9b;
 	for (int i = 0; i < COMMAND_ROUNDS; i++) {
 		wire_ledger_res_t res = {0};
 
@@ -260,9 +269,10 @@
 }
 END_TEST
 
-START_TEST(fleet_takes_any_command)
+/* Whatever the commands were, a snapshot of the state must restore to the same state. */
+START_TEST(the_fleet_survives_any_command)
 {
-	const type_t t = TYPE(wire_fleet_cmd_t);
+	const xdr_type_t t = XDR_TYPE(wire_fleet_cmd_t);
 	AUTO_BUF seed = {0};
 	AUTO_BUF snap = {0};
 	AUTO_BUF again = {0};
@@ -271,7 +281,7 @@
 	wire_fleet_cmd_t cmd;
 	unsigned taken = 0;
 
-	rng_state = 0xda3e39cb94b95bdb;
+	prng_state = 0xda3e39cb94b95bdb;
 	for (int i = 0; i < COMMAND_ROUNDS; i++) {
 		wire_fleet_res_t res = {0};
 
@@ -292,11 +302,11 @@
 }
 END_TEST
 
-/* A ledger and a fleet with something of each kind, as snapshots. */
-static void fill_snapshots(buf_t *ledger, buf_t *fleet)
+/* Makes snapshots of a ledger and a fleet that random commands have filled. */
+static void make_snapshots(buf_t *ledger, buf_t *fleet)
 {
-	const type_t lt = TYPE(wire_ledger_cmd_t);
-	const type_t ft = TYPE(wire_fleet_cmd_t);
+	const xdr_type_t lt = XDR_TYPE(wire_ledger_cmd_t);
+	const xdr_type_t ft = XDR_TYPE(wire_fleet_cmd_t);
 	buf_t seeds[2] = {{0}, {0}};
 	ledger_t *l = ledger_new();
 	fleet_state_t *f = fleet_new(2);
@@ -326,14 +336,14 @@
 	buf_free(&seeds[1]);
 }
 
-START_TEST(snapshots)
+START_TEST(damaged_snapshots_are_restored_or_refused)
 {
 	AUTO_BUF ledger = {0};
 	AUTO_BUF fleet = {0};
 	unsigned refused = 0;
 
-	rng_state = 0x14057b7ef767814f;
-	fill_snapshots(&ledger, &fleet);
+	prng_state = 0x14057b7ef767814f;
+	make_snapshots(&ledger, &fleet);
 	for (int i = 0; i < SNAPSHOT_ROUNDS; i++) {
 		AUTO_BUF a = {0};
 		AUTO_BUF b = {0};
@@ -355,15 +365,16 @@
 
 int main(void)
 {
-	Suite *s = suite_create("fuzz");
-	TCase *t = tcase_create("fuzz");
+	Suite *s = suite_create("fuzz_state");
+	TCase *t = tcase_create("fuzz_state");
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 120);
-	tcase_add_test(t, texts);
-	tcase_add_loop_test(t, messages, 0, sizeof(types) / sizeof(types[0]));
-	tcase_add_test(t, ledger_takes_any_command);
-	tcase_add_test(t, fleet_takes_any_command);
-	tcase_add_test(t, snapshots);
+	tcase_add_test(t, configs_are_parsed_or_refused);
+	tcase_add_loop_test(t, decoded_messages_encode_stably, 0,
+			    sizeof(xdr_types) / sizeof(xdr_types[0]));
+	tcase_add_test(t, the_ledger_survives_any_command);
+	tcase_add_test(t, the_fleet_survives_any_command);
+	tcase_add_test(t, damaged_snapshots_are_restored_or_refused);
 	return suite_run(s);
 }
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -1,5 +1,6 @@
-/* Unit tests of the HTTP reader, of server-sent events, and of listener and client over loopback.
- */
+/* Tests of HTTP (net/http.h, net/http_server.h, net/http_client.h) and of server-sent events
+ * (net/sse.h). Guard against messages that are misread when the network splits them, and against a
+ * broken or cancelled call that is taken for a complete one. */
 #include <arpa/inet.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,7 +13,7 @@
 #include "http_kit.h"
 #include "suite_kit.h"
 
-/* ---- reader ---- */
+/* ---- parser ---- */
 
 typedef struct {
 	int heads;
@@ -20,46 +21,47 @@
 	buf_t body;
 	char path[64];
 	int status;
-} seen_t;
+} parsed_t;
 
-static void on_head(void *ctx, const http_head_t *h)
+static void on_parsed_head(void *ctx, const http_head_t *h)
 {
-	seen_t *s = ctx;
+	parsed_t *s = ctx;
 
 	s->heads++;
 	s->status = h->status;
 	snprintf(s->path, sizeof(s->path), "%.*s", STR_ARG(http_path(h->target)));
 }
 
-static void on_body(void *ctx, str_t piece)
+static void on_parsed_body(void *ctx, str_t piece)
 {
-	buf_add(&((seen_t *)ctx)->body, piece);
+	buf_add(&((parsed_t *)ctx)->body, piece);
 }
 
-static void on_end(void *ctx)
+static void on_parsed_end(void *ctx)
 {
-	((seen_t *)ctx)->ends++;
+	((parsed_t *)ctx)->ends++;
 }
 
-static void reader(http_reader_t *p, seen_t *s, bool responses)
+static void init_reader(http_reader_t *p, parsed_t *s, bool responses)
 {
-	*s = (seen_t){0};
-	http_reader_init(p, &(http_reader_options_t){.responses = responses,
-						     .pause_after_message = true,
-						     .max_header_bytes = 256,
-						     .cb = {s, on_head, on_body, on_end}});
+	*s = (parsed_t){0};
+	http_reader_init(p, &(http_reader_options_t){
+				    .responses = responses,
+				    .pause_after_message = true,
+				    .max_header_bytes = 256,
+				    .cb = {s, on_parsed_head, on_parsed_body, on_parsed_end}});
 }
 
-START_TEST(a_request_is_read_byte_by_byte)
+START_TEST(a_request_is_parsed_byte_by_byte)
 {
 	static const char in[] = "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz"
 				 "GET /next HTTP/1.1\r\n\r\n";
 	http_reader_t p;
-	seen_t s;
+	parsed_t s;
 	size_t used;
 	size_t at = 0;
 
-	reader(&p, &s, false);
+	init_reader(&p, &s, false);
 	while (s.ends == 0) {
 		ck_assert_int_eq(http_reader_feed(&p, (str_t){in + at, 1}, &used), STATUS_OK);
 		at += used;
@@ -76,14 +78,14 @@
 }
 END_TEST
 
-START_TEST(a_pipelined_request_is_left_for_later)
+START_TEST(a_pipelined_request_is_not_consumed)
 {
 	static const char in[] = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
 	http_reader_t p;
-	seen_t s;
+	parsed_t s;
 	size_t used;
 
-	reader(&p, &s, false);
+	init_reader(&p, &s, false);
 	ck_assert_int_eq(http_reader_feed(&p, str_c(in), &used), STATUS_OK);
 	ck_assert_int_eq(s.ends, 1);
 	ck_assert_str_eq(in + used, "GET /2 HTTP/1.1\r\n\r\n");
@@ -91,20 +93,20 @@
 }
 END_TEST
 
-START_TEST(what_is_not_http_or_too_large_is_said)
+START_TEST(malformed_and_oversized_heads_are_distinct_errors)
 {
 	AUTO_BUF big = {0};
 	http_reader_t p;
-	seen_t s;
+	parsed_t s;
 	size_t used;
 
-	reader(&p, &s, false);
+	init_reader(&p, &s, false);
 	ck_assert_int_eq(http_reader_feed(&p, STR("nonsense\r\n\r\n"), &used), STATUS_INVALID);
 	http_reader_free(&p);
 	buf_add(&big, STR("GET / HTTP/1.1\r\nA: "));
 	for (int i = 0; i < 300; i++)
 		buf_addc(&big, 'x');
-	reader(&p, &s, false);
+	init_reader(&p, &s, false);
 	ck_assert_int_eq(http_reader_feed(&p, str_buf(&big), &used), STATUS_LIMIT);
 	http_reader_free(&p);
 }
@@ -113,10 +115,10 @@
 START_TEST(a_response_without_length_ends_with_its_connection)
 {
 	http_reader_t p;
-	seen_t s;
+	parsed_t s;
 	size_t used;
 
-	reader(&p, &s, true);
+	init_reader(&p, &s, true);
 	ck_assert_int_eq(http_reader_feed(&p, STR("HTTP/1.1 200 OK\r\n\r\nabc"), &used), STATUS_OK);
 	ck_assert_int_eq(s.ends, 0);
 	ck_assert_int_eq(http_reader_feed(&p, (str_t){"", 0}, &used), STATUS_OK);
@@ -126,13 +128,14 @@
 }
 END_TEST
 
-START_TEST(a_response_cut_short_does_not_end)
+/* A response whose connection ended early must not look complete. */
+START_TEST(a_truncated_response_does_not_end)
 {
 	http_reader_t p;
-	seen_t s;
+	parsed_t s;
 	size_t used;
 
-	reader(&p, &s, true);
+	init_reader(&p, &s, true);
 	http_reader_feed(&p, STR("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab"),
 			 &used);
 	ck_assert_int_eq(http_reader_feed(&p, (str_t){"", 0}, &used), STATUS_INVALID);
@@ -142,15 +145,15 @@
 }
 END_TEST
 
-/* The head is used once the whole message is there, so what follows the body must not move it. */
-START_TEST(trailers_leave_the_head_as_it_was)
+/* The head is used when the whole message has arrived, so trailers must not move it in memory. */
+START_TEST(trailers_do_not_change_the_head)
 {
 	AUTO_BUF in = {0};
 	http_reader_t p;
-	seen_t s;
+	parsed_t s;
 	size_t used;
 
-	reader(&p, &s, false);
+	init_reader(&p, &s, false);
 	p.o.max_header_bytes = 65536;
 	buf_add(&in, STR("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
 			 "3\r\nxyz\r\n0\r\n"));
@@ -168,7 +171,7 @@
 }
 END_TEST
 
-START_TEST(query_and_numbers_are_read)
+START_TEST(query_parameters_and_numbers_are_parsed)
 {
 	ck_assert(str_eq(http_query(STR("/a?x=1&after=12"), "after"), STR("12")));
 	ck_assert_ptr_null(http_query(STR("/a?x=1&after2=12"), "after").p);
@@ -187,11 +190,11 @@
 	long long last_id;
 	buf_t raw;
 	buf_t data;
-} events_t;
+} parsed_events_t;
 
 static bool on_event(void *ctx, const sse_event_t *e)
 {
-	events_t *v = ctx;
+	parsed_events_t *v = ctx;
 
 	v->count++;
 	v->last_id = e->id;
@@ -200,14 +203,14 @@
 	return true;
 }
 
-START_TEST(events_are_found_wherever_the_bytes_are_cut)
+START_TEST(events_are_found_wherever_the_bytes_are_split)
 {
 	static const char in[] = "id: 1\ndata: one\n\nweight-versions: 2\nid: 2\ndata: two\n\n"
 				 "id: 3\r\ndata: three\r\n\r\nid: 4\ndata: fo";
 
 	for (size_t step = 1; step < sizeof(in); step++) {
 		sse_parser_t s = {0};
-		events_t v = {0};
+		parsed_events_t v = {0};
 
 		for (size_t at = 0; at < sizeof(in) - 1; at += step) {
 			size_t n = sizeof(in) - 1 - at;
@@ -226,17 +229,17 @@
 }
 END_TEST
 
-/* ---- listener and client ---- */
+/* ---- server and client ---- */
 
-START_TEST(a_call_is_answered_and_its_connection_kept)
+START_TEST(a_call_is_answered_and_its_connection_reused)
 {
-	pair_t p;
+	http_pair_t p;
 
 	pair_open(&p);
 	for (int i = 0; i < 3; i++) {
 		p.body.n = 0;
-		call(&p, post);
-		turn(&p, 1.0);
+		start_call(&p, post_request);
+		run_loop(&p, 1.0);
 		ck_assert_int_eq(p.call_end, HTTP_CALL_DONE);
 		ck_assert_int_eq(p.status, 200);
 		ck_assert(str_eq(str_buf(&p.body), STR("hello")));
@@ -247,36 +250,37 @@
 }
 END_TEST
 
-START_TEST(pieces_arrive_and_an_aborted_answer_is_broken)
+START_TEST(chunks_arrive_and_an_aborted_reply_is_broken)
 {
-	pair_t p;
+	http_pair_t p;
 
 	pair_open(&p);
-	p.reply_mode = STREAM;
-	call(&p, post);
-	turn(&p, 1.0);
+	p.reply_mode = REPLY_CHUNKS;
+	start_call(&p, post_request);
+	run_loop(&p, 1.0);
 	ck_assert_int_eq(p.call_end, HTTP_CALL_DONE);
 	ck_assert(str_eq(str_buf(&p.body), STR("onetwo")));
-	p.reply_mode = ABORT;
-	call(&p, post);
-	turn(&p, 1.0);
+	p.reply_mode = REPLY_ABORTED;
+	start_call(&p, post_request);
+	run_loop(&p, 1.0);
 	ck_assert_int_eq(p.call_end, HTTP_CALL_BROKEN);
 	pair_close(&p);
 }
 END_TEST
 
-START_TEST(a_cancelled_call_is_seen_by_the_server)
+/* Work for a caller that has left must stop. */
+START_TEST(the_server_notices_a_cancelled_call)
 {
-	pair_t p;
+	http_pair_t p;
 	http_call_t *c;
 
 	pair_open(&p);
-	p.reply_mode = HOLD;
-	c = call(&p, post);
-	turn(&p, 0.1);
+	p.reply_mode = REPLY_NONE;
+	c = start_call(&p, post_request);
+	run_loop(&p, 0.1);
 	ck_assert_int_eq(p.requests, 1);
 	http_call_cancel(c);
-	turn(&p, 0.1);
+	run_loop(&p, 0.1);
 	ck_assert_int_eq(p.clients_gone, 1);
 	ck_assert_int_eq(p.calls_ended, 0);
 	ck_assert_uint_eq(http_server_open_requests(p.server), 0);
@@ -284,29 +288,30 @@
 }
 END_TEST
 
-START_TEST(a_port_nobody_listens_on_is_surely_unsent)
+/* A call that was surely not received may be retried in any case. */
+START_TEST(a_call_to_a_closed_port_is_unsent)
 {
-	pair_t p;
+	http_pair_t p;
 
 	pair_open(&p);
-	snprintf(p.addr, sizeof(p.addr), "127.0.0.1:%u", free_port());
-	call(&p, post);
-	turn(&p, 1.0);
+	snprintf(p.addr, sizeof(p.addr), "127.0.0.1:%u", pick_port());
+	start_call(&p, post_request);
+	run_loop(&p, 1.0);
 	ck_assert_int_eq(p.calls_ended, 1);
 	ck_assert_int_eq(p.call_end, HTTP_CALL_UNSENT);
 	pair_close(&p);
 }
 END_TEST
 
-START_TEST(a_draining_listener_closes_behind_each_answer)
+START_TEST(a_draining_server_closes_the_connection_after_each_reply)
 {
-	pair_t p;
+	http_pair_t p;
 
 	pair_open(&p);
 	http_server_drain(p.server);
 	for (int i = 0; i < 2; i++) {
-		call(&p, post);
-		turn(&p, 1.0);
+		start_call(&p, post_request);
+		run_loop(&p, 1.0);
 		ck_assert_int_eq(p.call_end, HTTP_CALL_DONE);
 	}
 	ck_assert_uint_eq(http_client_connects(p.client), 2);
@@ -314,8 +319,8 @@
 }
 END_TEST
 
-/* A client by hand, for what http_client doesn't send. */
-static int dial(pair_t *p)
+/* Connects a plain socket, for input that http_client does not send. */
+static int connect_to_server(http_pair_t *p)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -325,7 +330,7 @@
 	return fd;
 }
 
-static void expect(int fd, const char *begin)
+static void expect_reply(int fd, const char *begin)
 {
 	char got[256] = {0};
 
@@ -333,7 +338,7 @@
 	ck_assert_msg(strncmp(got, begin, strlen(begin)) == 0, "%s", got);
 }
 
-START_TEST(bad_input_gets_one_clear_answer)
+START_TEST(bad_input_gets_one_error_reply)
 {
 	static const struct {
 		const char *in;
@@ -344,37 +349,37 @@
 		{"POST / HTTP/1.1\r\nContent-Length: 50\r\n\r\nx", "HTTP/1.1 408 "},
 		{"GET / HTTP/1.1\r\nHo", "HTTP/1.1 408 "},
 	};
-	pair_t p;
+	http_pair_t p;
 
 	pair_open(&p);
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		int fd = dial(&p);
+		int fd = connect_to_server(&p);
 
 		ck_assert_int_gt(write(fd, cases[i].in, strlen(cases[i].in)), 0);
-		turn(&p, 0.5);
-		expect(fd, cases[i].out);
+		run_loop(&p, 0.5);
+		expect_reply(fd, cases[i].out);
 		close(fd);
-		turn(&p, 0.05);
+		run_loop(&p, 0.05);
 	}
 	ck_assert_int_eq(p.requests, 0);
 	pair_close(&p);
 }
 END_TEST
 
-START_TEST(a_body_over_the_limit_is_413)
+START_TEST(a_body_over_the_limit_gets_413)
 {
 	AUTO_BUF big = {0};
-	pair_t p;
+	http_pair_t p;
 	int fd;
 
 	pair_open(&p);
 	buf_add(&big, STR("POST / HTTP/1.1\r\nContent-Length: 2000\r\n\r\n"));
 	for (int i = 0; i < 2000; i++)
 		buf_addc(&big, 'x');
-	fd = dial(&p);
+	fd = connect_to_server(&p);
 	ck_assert_int_gt(write(fd, big.p, big.n), 0);
-	turn(&p, 0.2);
-	expect(fd, "HTTP/1.1 413 ");
+	run_loop(&p, 0.2);
+	expect_reply(fd, "HTTP/1.1 413 ");
 	close(fd);
 	ck_assert_int_eq(p.requests, 0);
 	pair_close(&p);
@@ -386,13 +391,13 @@
 	static const char two[] = "POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\na"
 				  "POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nb";
 	char got[512] = {0};
-	pair_t p;
+	http_pair_t p;
 	int fd;
 
 	pair_open(&p);
-	fd = dial(&p);
+	fd = connect_to_server(&p);
 	ck_assert_int_gt(write(fd, two, sizeof(two) - 1), 0);
-	turn(&p, 0.2);
+	run_loop(&p, 0.2);
 	ck_assert_int_gt(recv(fd, got, sizeof(got) - 1, MSG_DONTWAIT), 0);
 	ck_assert_int_eq(p.requests, 2);
 	ck_assert_ptr_nonnull(strstr(got, "\r\n\r\na"));
@@ -402,19 +407,20 @@
 }
 END_TEST
 
-START_TEST(a_call_is_told_whether_its_connection_was_used_before)
+/* On a reused connection bytes of the earlier response may still arrive. */
+START_TEST(a_call_reports_whether_its_connection_was_reused)
 {
-	pair_t p;
+	http_pair_t p;
 	http_call_t *c;
 
 	pair_open(&p);
-	c = call(&p, post);
+	c = start_call(&p, post_request);
 	ck_assert(!http_call_reused_conn(c));
-	turn(&p, 1.0);
+	run_loop(&p, 1.0);
 	ck_assert_int_eq(p.call_end, HTTP_CALL_DONE);
-	c = call(&p, post);
+	c = start_call(&p, post_request);
 	ck_assert(http_call_reused_conn(c));
-	turn(&p, 1.0);
+	run_loop(&p, 1.0);
 	ck_assert_int_eq(p.calls_ended, 2);
 	pair_close(&p);
 }
@@ -425,23 +431,23 @@
 	Suite *s = suite_create("net");
 	TCase *t = tcase_create("all");
 
-	tcase_add_test(t, a_request_is_read_byte_by_byte);
-	tcase_add_test(t, a_pipelined_request_is_left_for_later);
-	tcase_add_test(t, what_is_not_http_or_too_large_is_said);
+	tcase_add_test(t, a_request_is_parsed_byte_by_byte);
+	tcase_add_test(t, a_pipelined_request_is_not_consumed);
+	tcase_add_test(t, malformed_and_oversized_heads_are_distinct_errors);
 	tcase_add_test(t, a_response_without_length_ends_with_its_connection);
-	tcase_add_test(t, a_response_cut_short_does_not_end);
-	tcase_add_test(t, trailers_leave_the_head_as_it_was);
-	tcase_add_test(t, query_and_numbers_are_read);
-	tcase_add_test(t, events_are_found_wherever_the_bytes_are_cut);
-	tcase_add_test(t, a_call_is_answered_and_its_connection_kept);
-	tcase_add_test(t, pieces_arrive_and_an_aborted_answer_is_broken);
-	tcase_add_test(t, a_cancelled_call_is_seen_by_the_server);
-	tcase_add_test(t, a_port_nobody_listens_on_is_surely_unsent);
-	tcase_add_test(t, a_draining_listener_closes_behind_each_answer);
-	tcase_add_test(t, bad_input_gets_one_clear_answer);
-	tcase_add_test(t, a_body_over_the_limit_is_413);
+	tcase_add_test(t, a_truncated_response_does_not_end);
+	tcase_add_test(t, trailers_do_not_change_the_head);
+	tcase_add_test(t, query_parameters_and_numbers_are_parsed);
+	tcase_add_test(t, events_are_found_wherever_the_bytes_are_split);
+	tcase_add_test(t, a_call_is_answered_and_its_connection_reused);
+	tcase_add_test(t, chunks_arrive_and_an_aborted_reply_is_broken);
+	tcase_add_test(t, the_server_notices_a_cancelled_call);
+	tcase_add_test(t, a_call_to_a_closed_port_is_unsent);
+	tcase_add_test(t, a_draining_server_closes_the_connection_after_each_reply);
+	tcase_add_test(t, bad_input_gets_one_error_reply);
+	tcase_add_test(t, a_body_over_the_limit_gets_413);
 	tcase_add_test(t, pipelined_requests_are_answered_in_order);
-	tcase_add_test(t, a_call_is_told_whether_its_connection_was_used_before);
+	tcase_add_test(t, a_call_reports_whether_its_connection_was_reused);
 	suite_add_tcase(s, t);
 	return suite_run(s);
 }
--- a/tests/unit/test_http_limits.c
+++ b/tests/unit/test_http_limits.c
@@ -1,5 +1,6 @@
-/* What comes without end, of a server's answer, of its events, or of a caller's request, is given
- * up within bounds of bytes and time. */
+/* Tests of the limits on HTTP input (net/http_server.h, net/http_client.h, net/sse.h). Guard
+ * against a peer that sends without end and so fills the memory or keeps a connection or a core
+ * busy. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -18,8 +19,8 @@
 	return true;
 }
 
-/* What is searched anew at each read, or for each event, takes minutes. */
-START_TEST(events_take_time_in_proportion_to_their_bytes)
+/* A parser that searches all pending bytes again at each read, or for each event, needs minutes. */
+START_TEST(parsing_events_takes_time_in_proportion_to_their_bytes)
 {
 	static char line[4096];
 	static char blank[16384];
@@ -38,7 +39,7 @@
 }
 END_TEST
 
-START_TEST(an_event_without_an_end_is_given_up)
+START_TEST(an_endless_event_is_an_error)
 {
 	static char line[4096];
 	sse_parser_t s = {0};
@@ -53,7 +54,7 @@
 }
 END_TEST
 
-/* ---- a server that sends whatever it likes ---- */
+/* ---- a server that sends without end ---- */
 
 typedef struct {
 	struct ev_loop *loop;
@@ -62,51 +63,52 @@
 	str_t reply_start; /* sent once for each request */
 	str_t repeat; /* sent without end */
 	size_t sent;
-} raw_t;
+} endless_server_t;
 
-static void raw_write(struct ev_loop *loop, ev_io *w, int events)
+/* Answers a request with reply_start and then sends `repeat` as often as the socket takes it. */
+static void endless_write(struct ev_loop *loop, ev_io *watcher, int events)
 {
-	raw_t *r = w->data;
+	endless_server_t *server = watcher->data;
 	ssize_t n;
 
 	if (events & EV_READ) {
 		char buf[4096];
 
-		if (recv(w->fd, buf, sizeof(buf), MSG_DONTWAIT) <= 0) {
-			ev_io_stop(loop, w);
-			close(w->fd);
+		if (recv(watcher->fd, buf, sizeof(buf), MSG_DONTWAIT) <= 0) {
+			ev_io_stop(loop, watcher);
+			close(watcher->fd);
 			return;
 		}
-		n = send(w->fd, r->reply_start.p, r->reply_start.n, MSG_NOSIGNAL);
-		r->sent += n > 0 ? (size_t)n : 0;
-		ev_io_stop(loop, w);
-		ev_io_set(w, w->fd, r->repeat.n ? EV_WRITE : EV_READ);
-		ev_io_start(loop, w);
+		n = send(watcher->fd, server->reply_start.p, server->reply_start.n, MSG_NOSIGNAL);
+		server->sent += n > 0 ? (size_t)n : 0;
+		ev_io_stop(loop, watcher);
+		ev_io_set(watcher, watcher->fd, server->repeat.n ? EV_WRITE : EV_READ);
+		ev_io_start(loop, watcher);
 		return;
 	}
-	n = send(w->fd, r->repeat.p, r->repeat.n, MSG_NOSIGNAL | MSG_DONTWAIT);
+	n = send(watcher->fd, server->repeat.p, server->repeat.n, MSG_NOSIGNAL | MSG_DONTWAIT);
 	if (n < 0) {
-		ev_io_stop(loop, w);
-		close(w->fd);
+		ev_io_stop(loop, watcher);
+		close(watcher->fd);
 		return;
 	}
-	r->sent += (size_t)n;
+	server->sent += (size_t)n;
 }
 
-static void raw_accept(struct ev_loop *loop, ev_io *w, int events)
+static void endless_accept(struct ev_loop *loop, ev_io *watcher, int events)
 {
-	raw_t *r = w->data;
-	int fd = accept(w->fd, NULL, NULL);
+	endless_server_t *server = watcher->data;
+	int fd = accept(watcher->fd, NULL, NULL);
 
-	ev_io_init(&r->conn, raw_write, fd, EV_READ);
-	r->conn.data = r;
-	ev_io_start(loop, &r->conn);
+	ev_io_init(&server->conn, endless_write, fd, EV_READ);
+	server->conn.data = server;
+	ev_io_start(loop, &server->conn);
 }
 
-static void raw_open(raw_t *r, pair_t *p)
+static void endless_server_open(endless_server_t *server, http_pair_t *p)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
-	unsigned port = free_port();
+	unsigned port = pick_port();
 	int one = 1;
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
@@ -115,17 +117,17 @@
 	ck_assert_int_eq(bind(fd, (struct sockaddr *)&sa, sizeof(sa)), 0);
 	ck_assert_int_eq(listen(fd, 4), 0);
 	snprintf(p->addr, sizeof(p->addr), "127.0.0.1:%u", port);
-	r->loop = p->loop;
-	ev_io_init(&r->accept, raw_accept, fd, EV_READ);
-	r->accept.data = r;
-	ev_io_start(p->loop, &r->accept);
+	server->loop = p->loop;
+	ev_io_init(&server->accept, endless_accept, fd, EV_READ);
+	server->accept.data = server;
+	ev_io_start(p->loop, &server->accept);
 }
 
 static const struct {
 	const char *begin;
 	const char *repeat;
 	http_call_end_t how;
-} endless[] = {
+} replies[] = {
 	{"", "xxxxxxxxxxxxxxxx", HTTP_CALL_MALFORMED},
 	{"HTTP/1.1 200 OK\r\nX: ", "yyyyyyyyyyyyyyyyyyyyyyyyy", HTTP_CALL_MALFORMED},
 	{"HTTP/1.1 200 OK\r\n", "X: y\r\n", HTTP_CALL_MALFORMED},
@@ -135,83 +137,83 @@
 	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", HTTP_CALL_TOO_LONG},
 };
 
-START_TEST(an_answer_without_end_is_given_up)
+START_TEST(an_endless_reply_is_given_up)
 {
-	raw_t r = {.reply_start = str_c(endless[_i].begin)};
+	endless_server_t server = {.reply_start = str_c(replies[_i].begin)};
 	AUTO_BUF repeat = {0};
-	pair_t p;
+	http_pair_t p;
 
 	while (repeat.n < 16384)
-		buf_add(&repeat, str_c(endless[_i].repeat));
-	r.repeat = str_buf(&repeat);
+		buf_add(&repeat, str_c(replies[_i].repeat));
+	server.repeat = str_buf(&repeat);
 	pair_open(&p);
-	raw_open(&r, &p);
-	call(&p, post);
-	turn(&p, 5.0);
+	endless_server_open(&server, &p);
+	start_call(&p, post_request);
+	run_loop(&p, 5.0);
 	ck_assert_int_eq(p.calls_ended, 1);
-	ck_assert_int_eq(p.call_end, endless[_i].how);
-	ck_assert_uint_le(p.body.n, ANSWER_BYTES);
-	ev_io_stop(p.loop, &r.accept);
-	close(r.accept.fd);
+	ck_assert_int_eq(p.call_end, replies[_i].how);
+	ck_assert_uint_le(p.body.n, RESPONSE_BYTES_MAX);
+	ev_io_stop(p.loop, &server.accept);
+	close(server.accept.fd);
 	pair_close(&p);
 }
 END_TEST
 
-/* The same for a framing that carries no body, and for heads of answers to others. */
-START_TEST(chunk_extensions_and_trailers_without_end_are_given_up)
+/* The limit must cover bytes of the framing too, which are not part of the body. */
+START_TEST(endless_chunk_extensions_and_trailers_are_given_up)
 {
-	static const char *const begins[] = {
+	static const char *const reply_starts[] = {
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n"};
-	raw_t r = {.reply_start = str_c(begins[_i])};
+	endless_server_t server = {.reply_start = str_c(reply_starts[_i])};
 	AUTO_BUF repeat = {0};
-	pair_t p;
+	http_pair_t p;
 
 	while (repeat.n < 16384)
 		buf_add(&repeat, _i ? STR("X: y\r\n") : STR("yyyyyy"));
-	r.repeat = str_buf(&repeat);
+	server.repeat = str_buf(&repeat);
 	pair_open(&p);
-	raw_open(&r, &p);
-	call(&p, post);
-	turn(&p, 5.0);
+	endless_server_open(&server, &p);
+	start_call(&p, post_request);
+	run_loop(&p, 5.0);
 	ck_assert_int_eq(p.calls_ended, 1);
 	ck_assert_int_ne(p.call_end, HTTP_CALL_DONE);
-	ev_io_stop(p.loop, &r.accept);
-	close(r.accept.fd);
+	ev_io_stop(p.loop, &server.accept);
+	close(server.accept.fd);
 	pair_close(&p);
 }
 END_TEST
 
-/* A caller whose framing never ends holds its connection no longer than a body would. */
-START_TEST(a_callers_chunk_extension_without_end_is_refused)
+/* The server's limits must cover the framing of a request as well as its body. */
+START_TEST(a_callers_endless_chunk_extension_is_refused)
 {
-	pair_t p;
-	raw_t r = {.sent = 0};
+	http_pair_t p;
+	endless_server_t server = {.sent = 0};
 	AUTO_BUF piece = {0};
 	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 	char answer[64] = "";
-	size_t most;
+	size_t send_max;
 
 	pair_open(&p);
-	most = 8U << 20; /* a thousand times the limits of head and body, and what sockets hold */
+	send_max = 8U << 20; /* far above the limits of head and body and the sockets' buffers */
 	sa.sin_port = htons((uint16_t)strtoul(strchr(p.addr, ':') + 1, NULL, 10));
 	ck_assert_int_eq(connect(fd, (struct sockaddr *)&sa, sizeof(sa)), 0);
 	buf_add(&piece, STR("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;"));
-	while (r.sent < most) {
+	while (server.sent < send_max) {
 		ssize_t n = send(fd, piece.p, piece.n, MSG_NOSIGNAL | MSG_DONTWAIT);
 
 		if (n < 0 && errno != EAGAIN)
 			break;
-		r.sent += n > 0 ? (size_t)n : 0;
+		server.sent += n > 0 ? (size_t)n : 0;
 		piece.n = 0;
 		while (piece.n < 16384)
 			buf_add(&piece, STR("yyyyyyyy"));
-		turn(&p, 0.001);
+		run_loop(&p, 0.001);
 		if (recv(fd, answer, sizeof(answer) - 1, MSG_DONTWAIT) > 0)
 			break;
 	}
-	ck_assert_uint_lt(r.sent, most);
+	ck_assert_uint_lt(server.sent, send_max);
 	ck_assert_ptr_nonnull(strstr(answer, "413"));
 	close(fd);
 	pair_close(&p);
@@ -224,12 +226,12 @@
 	TCase *t = tcase_create("all");
 
 	tcase_set_timeout(t, 20);
-	tcase_add_loop_test(t, an_answer_without_end_is_given_up, 0,
-			    sizeof(endless) / sizeof(endless[0]));
-	tcase_add_loop_test(t, chunk_extensions_and_trailers_without_end_are_given_up, 0, 2);
-	tcase_add_test(t, a_callers_chunk_extension_without_end_is_refused);
-	tcase_add_test(t, events_take_time_in_proportion_to_their_bytes);
-	tcase_add_test(t, an_event_without_an_end_is_given_up);
+	tcase_add_loop_test(t, an_endless_reply_is_given_up, 0,
+			    sizeof(replies) / sizeof(replies[0]));
+	tcase_add_loop_test(t, endless_chunk_extensions_and_trailers_are_given_up, 0, 2);
+	tcase_add_test(t, a_callers_endless_chunk_extension_is_refused);
+	tcase_add_test(t, parsing_events_takes_time_in_proportion_to_their_bytes);
+	tcase_add_test(t, an_endless_event_is_an_error);
 	suite_add_tcase(s, t);
 	return suite_run(s);
 }
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -1,10 +1,12 @@
-/* Unit tests of the adapter to the users' platform: bytes in, typed values out, and back. */
+/* Tests of the platform's formats (platform/platform.h): bytes decoded into typed values, and
+ * values encoded. Guard against a format that is misread, and against input of which only a part
+ * is used. */
 #include <stdlib.h>
 #include <string.h>
 #include "platform/platform.h"
 #include "suite_kit.h"
 
-static const char conf[] =
+static const char config_json[] =
 	"{\"version\":7,\"routes\":["
 	"{\"name\":\"r1\",\"host\":\"a.example\",\"pathPrefix\":\"/x/\",\"kind\":\"stream\","
 	"\"timeoutMs\":5000,\"sloMs\":300,\"priority\":0,\"split\":[{\"service\":\"s\",\"weight\":"
@@ -19,36 +21,36 @@
 	"\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":4194304,\"headerTimeoutMs\":3000,"
 	"\"idleTimeoutMs\":15000}}";
 
-/* The text with one piece replaced. */
-static void replace(buf_t *b, const char *what, const char *by)
+/* Appends config_json with the first occurrence of a text replaced. */
+static void replace_in_config(buf_t *b, const char *old, const char *new_text)
 {
-	const char *at = strstr(conf, what);
+	const char *at = strstr(config_json, old);
 
 	ck_assert_ptr_nonnull(at);
-	buf_add(b, (str_t){conf, (size_t)(at - conf)});
-	buf_add(b, str_c(by));
-	buf_add(b, str_c(at + strlen(what)));
+	buf_add(b, (str_t){config_json, (size_t)(at - config_json)});
+	buf_add(b, str_c(new_text));
+	buf_add(b, str_c(at + strlen(old)));
 }
 
-static status_t decode_with(const char *what, const char *by)
+static status_t decode_config_with(const char *old, const char *new_text)
 {
 	AUTO_BUF b = {0};
 	route_table_t *r = NULL;
 	status_t st;
 
-	replace(&b, what, by);
+	replace_in_config(&b, old, new_text);
 	st = platform_config_decode(str_buf(&b), &r);
 	ck_assert(st == STATUS_OK || r == NULL);
 	route_table_free(r);
 	return st;
 }
 
-START_TEST(a_text_is_decoded)
+START_TEST(a_config_is_decoded)
 {
 	AUTO_ROUTE_TABLE *r = NULL;
 	const route_spec_t *one;
 
-	ck_assert_int_eq(platform_config_decode(str_c(conf), &r), STATUS_OK);
+	ck_assert_int_eq(platform_config_decode(str_c(config_json), &r), STATUS_OK);
 	ck_assert_uint_eq(r->version, 7);
 	ck_assert_uint_eq(r->nroutes, 2);
 	one = &r->routes[0];
@@ -71,8 +73,8 @@
 }
 END_TEST
 
-/* The longest of 2 s, four objectives and eight pauses. */
-START_TEST(how_long_callers_wait_for_an_event)
+/* It is the longest of 2 s, four times the objective and eight times the gap target. */
+START_TEST(the_give_up_time_follows_from_objective_and_gap_target)
 {
 	static const struct {
 		const char *was, *is;
@@ -87,39 +89,43 @@
 		AUTO_BUF b = {0};
 		AUTO_ROUTE_TABLE *r = NULL;
 
-		replace(&b, cases[i].was, cases[i].is);
+		replace_in_config(&b, cases[i].was, cases[i].is);
 		ck_assert_int_eq(platform_config_decode(str_buf(&b), &r), STATUS_OK);
 		ck_assert_int_eq(r->routes[0].give_up_ms, cases[i].give_up_ms);
 	}
 }
 END_TEST
 
-START_TEST(a_wrong_text_is_refused)
+START_TEST(an_invalid_config_is_refused)
 {
-	ck_assert_int_eq(decode_with("\"version\":7", "\"version\":7"), STATUS_OK);
-	ck_assert_int_eq(decode_with("\"version\":7", "\"version\":\"7\""), STATUS_INVALID);
-	ck_assert_int_eq(decode_with("\"version\":7,", ""), STATUS_INVALID);
-	ck_assert_int_eq(decode_with("\"service\":\"s\",\"attempts\"",
-				     "\"service\":\"nobody\",\"attempts\""),
+	ck_assert_int_eq(decode_config_with("\"version\":7", "\"version\":7"), STATUS_OK);
+	ck_assert_int_eq(decode_config_with("\"version\":7", "\"version\":\"7\""), STATUS_INVALID);
+	ck_assert_int_eq(decode_config_with("\"version\":7,", ""), STATUS_INVALID);
+	ck_assert_int_eq(decode_config_with("\"service\":\"s\",\"attempts\"",
+					    "\"service\":\"nobody\",\"attempts\""),
 			 STATUS_INVALID);
-	ck_assert_int_eq(decode_with("/x/y/", "/x/"), STATUS_INVALID);
-	ck_assert_int_eq(decode_with("/x/y/", "x/y/"), STATUS_INVALID);
-	ck_assert_int_eq(decode_with("\"timeoutMs\":5000", "\"timeoutMs\":0"), STATUS_INVALID);
-	ck_assert_int_eq(decode_with("\"weight\":90", "\"weight\":-10"), STATUS_INVALID);
-	ck_assert_int_eq(decode_with("\"weight\":90},{\"service\":\"t\",\"weight\":10",
-				     "\"weight\":0},{\"service\":\"t\",\"weight\":0"),
+	ck_assert_int_eq(decode_config_with("/x/y/", "/x/"), STATUS_INVALID);
+	ck_assert_int_eq(decode_config_with("/x/y/", "x/y/"), STATUS_INVALID);
+	ck_assert_int_eq(decode_config_with("\"timeoutMs\":5000", "\"timeoutMs\":0"),
 			 STATUS_INVALID);
-	ck_assert_int_eq(decode_with("\"kind\":\"stream\"", "\"kind\":\"strm\""), STATUS_INVALID);
-	ck_assert_int_eq(decode_with("\"routes\":[", "\"routes\":[7,"), STATUS_INVALID);
+	ck_assert_int_eq(decode_config_with("\"weight\":90", "\"weight\":-10"), STATUS_INVALID);
+	ck_assert_int_eq(decode_config_with("\"weight\":90},{\"service\":\"t\",\"weight\":10",
+					    "\"weight\":0},{\"service\":\"t\",\"weight\":0"),
+			 STATUS_INVALID);
+	ck_assert_int_eq(decode_config_with("\"kind\":\"stream\"", "\"kind\":\"strm\""),
+			 STATUS_INVALID);
+	ck_assert_int_eq(decode_config_with("\"routes\":[", "\"routes\":[7,"), STATUS_INVALID);
 }
 END_TEST
 
-START_TEST(a_text_cut_anywhere_is_refused)
+/* A config of which only a part arrived would remove routes. */
+START_TEST(a_truncated_config_is_refused)
 {
 	route_table_t *r = NULL;
 
-	for (size_t n = 0; n + 1 < sizeof(conf) - 1; n++)
-		ck_assert_int_eq(platform_config_decode((str_t){conf, n}, &r), STATUS_INVALID);
+	for (size_t n = 0; n + 1 < sizeof(config_json) - 1; n++)
+		ck_assert_int_eq(platform_config_decode((str_t){config_json, n}, &r),
+				 STATUS_INVALID);
 }
 END_TEST
 
@@ -128,7 +134,7 @@
 	AUTO_ROUTE_TABLE *r = NULL;
 	unsigned other = 0;
 
-	platform_config_decode(str_c(conf), &r);
+	platform_config_decode(str_c(config_json), &r);
 	ck_assert_str_eq(route_table_match(r, STR("a.example"), STR("/x/1"))->name, "r1");
 	ck_assert_str_eq(route_table_match(r, STR("A.Example:80"), STR("/x/y/1"))->name, "r2");
 	ck_assert_str_eq(route_table_match(r, STR("a.example"), STR("/x/y"))->name, "r1");
@@ -140,7 +146,9 @@
 }
 END_TEST
 
-START_TEST(entries_of_the_list_that_can_not_be_read_name_no_replica)
+/* One bad entry must not hide all other replicas. A page that is no JSON is an error and adds
+ * nothing. */
+START_TEST(list_entries_that_cannot_be_decoded_are_skipped)
 {
 	static const char page[] =
 		"{\"instances\":["
@@ -174,8 +182,8 @@
 }
 END_TEST
 
-static http_head_t head(const char *method, const char *target, const http_header_t *headers,
-			size_t n)
+static http_head_t make_head(const char *method, const char *target, const http_header_t *headers,
+			     size_t n)
 {
 	return (http_head_t){.method = str_c(method),
 			     .target = str_c(target),
@@ -190,7 +198,7 @@
 				   {STR("Deadline-Ms"), STR("5000")},
 				   {STR("Last-Event-Id"), STR("12")},
 				   {STR("Prompt-Prefix"), STR("5c:800,91:410,e4:250")}};
-	http_head_t h = head("POST", "/x/1?q=2", v, 5);
+	http_head_t h = make_head("POST", "/x/1?q=2", v, 5);
 	platform_call_t c;
 	uint64_t shared;
 
@@ -210,10 +218,10 @@
 }
 END_TEST
 
-START_TEST(a_number_that_is_none_is_refused)
+START_TEST(a_header_that_is_not_a_number_is_refused)
 {
 	const http_header_t v[] = {{STR("Deadline-Ms"), STR("soon")}};
-	http_head_t h = head("POST", "/x/1", v, 1);
+	http_head_t h = make_head("POST", "/x/1", v, 1);
 	platform_call_t c;
 
 	ck_assert_int_eq(platform_call_decode(&h, &c), STATUS_INVALID);
@@ -223,7 +231,7 @@
 START_TEST(calls_on_lots_are_decoded)
 {
 	const http_header_t v[] = {{STR("Wait-Ms"), STR("1000")}};
-	http_head_t h = head("GET", "/lots/7c41?after=12", v, 1);
+	http_head_t h = make_head("GET", "/lots/7c41?after=12", v, 1);
 	platform_call_t c;
 
 	ck_assert_int_eq(platform_call_decode(&h, &c), STATUS_OK);
@@ -231,22 +239,24 @@
 	ck_assert(str_eq(c.id, STR("7c41")));
 	ck_assert_int_eq(c.after, 12);
 	ck_assert_int_eq(c.timeout_ms, 1000);
-	h = head("GET", "/items/7c41?id=e5", NULL, 0);
+	h = make_head("GET", "/items/7c41?id=e5", NULL, 0);
 	platform_call_decode(&h, &c);
 	ck_assert_int_eq(c.kind, PLATFORM_CALL_ITEM_BODY);
 	ck_assert(str_eq(c.item, STR("e5")));
-	h = head("DELETE", "/lots/7c41", NULL, 0);
+	h = make_head("DELETE", "/lots/7c41", NULL, 0);
 	platform_call_decode(&h, &c);
 	ck_assert_int_eq(c.kind, PLATFORM_CALL_LOT_END);
-	h = head("GET", "/lots/7c41?after=x", NULL, 0);
+	h = make_head("GET", "/lots/7c41?after=x", NULL, 0);
 	ck_assert_int_eq(platform_call_decode(&h, &c), STATUS_INVALID);
-	h = head("GET", "/ready", NULL, 0);
+	h = make_head("GET", "/ready", NULL, 0);
 	platform_call_decode(&h, &c);
 	ck_assert_int_eq(c.kind, PLATFORM_CALL_READY);
 }
 END_TEST
 
-START_TEST(a_request_to_a_replica_keeps_the_clients_headers)
+/* Headers of the connection, and those that this process sets itself, must not be passed on from
+ * the client. */
+START_TEST(a_request_to_a_replica_keeps_the_end_to_end_headers)
 {
 	const http_header_t v[] = {{STR("Host"), STR("a.example")},
 				   {STR("Request-Id"), STR("9c41")},
@@ -258,7 +268,7 @@
 				   {STR("Expect-Instance"), STR("forged")},
 				   {STR("Last-Event-Id"), STR("1")},
 				   {STR("Model"), STR("m")}};
-	http_head_t h = head("POST", "/x/1?q=2", v, 10);
+	http_head_t h = make_head("POST", "/x/1?q=2", v, 10);
 	AUTO_BUF b = {0};
 	platform_send_t s = {STR("i-7"), 1200, 12};
 
@@ -286,19 +296,20 @@
 }
 END_TEST
 
+/* Only a request that surely did not run is sent to another replica in any case. */
 START_TEST(a_reply_says_whether_the_request_ran)
 {
 	const http_header_t ok[] = {{STR("Request-Id"), STR("9c")},
 				    {STR("Signature"), STR("3e")},
 				    {STR("Content-Type"), STR("text/event-stream; charset=utf-8")}};
-	const http_header_t shed[] = {{STR("Not-Run"), STR("1")}};
+	const http_header_t rejected[] = {{STR("Not-Run"), STR("1")}};
 	http_head_t h = {.status = 200, .headers = ok, .nheaders = 3};
 	platform_reply_t r;
 
 	platform_reply_decode(&h, &r);
 	ck_assert(r.has_signature && r.event_stream && !r.not_run);
 	ck_assert(str_eq(r.id, STR("9c")));
-	h = (http_head_t){.status = 503, .headers = shed, .nheaders = 1};
+	h = (http_head_t){.status = 503, .headers = rejected, .nheaders = 1};
 	platform_reply_decode(&h, &r);
 	ck_assert(r.not_run && !r.other_replica && !r.has_signature);
 	h = (http_head_t){.status = 421};
@@ -334,7 +345,7 @@
 }
 END_TEST
 
-START_TEST(a_wrong_lot_is_refused)
+START_TEST(an_invalid_lot_is_refused)
 {
 	static const char two_lines[] = "{\"items\":[{\"id\":\"a\",\"path\":\"/a\",\"tokens\":1,"
 					"\"headers\":{\"A\":\"b\\nC: d\"}}]}";
@@ -359,7 +370,7 @@
 }
 END_TEST
 
-START_TEST(results_are_encoded)
+START_TEST(the_results_of_a_lot_are_encoded)
 {
 	link_result_t v[] = {{wire_bytes(STR("e5")), false, wire_bytes(STR("a\nb\"c"))},
 			     {wire_bytes(STR("e6")), true, wire_bytes(STR(""))}};
@@ -392,7 +403,7 @@
 	};
 
 	for (size_t i = 0; i < sizeof(calls) / sizeof(calls[0]); i++) {
-		http_head_t h = head(calls[i].method, calls[i].target, NULL, 0);
+		http_head_t h = make_head(calls[i].method, calls[i].target, NULL, 0);
 		platform_op_t op;
 
 		platform_op_decode(&h, &op);
@@ -403,7 +414,7 @@
 }
 END_TEST
 
-START_TEST(answers_are_encoded)
+START_TEST(operators_replies_are_encoded)
 {
 	const str_t addrs[] = {STR("10.1.0.13:8161"), STR("10.1.0.14:8161")};
 	AUTO_BUF b = {0};
@@ -425,23 +436,23 @@
 	Suite *s = suite_create("platform");
 	TCase *t = tcase_create("all");
 
-	tcase_add_test(t, a_text_is_decoded);
-	tcase_add_test(t, how_long_callers_wait_for_an_event);
-	tcase_add_test(t, a_wrong_text_is_refused);
-	tcase_add_test(t, a_text_cut_anywhere_is_refused);
+	tcase_add_test(t, a_config_is_decoded);
+	tcase_add_test(t, the_give_up_time_follows_from_objective_and_gap_target);
+	tcase_add_test(t, an_invalid_config_is_refused);
+	tcase_add_test(t, a_truncated_config_is_refused);
 	tcase_add_test(t, routes_match_by_host_and_longest_prefix);
-	tcase_add_test(t, entries_of_the_list_that_can_not_be_read_name_no_replica);
+	tcase_add_test(t, list_entries_that_cannot_be_decoded_are_skipped);
 	tcase_add_test(t, a_request_is_decoded);
-	tcase_add_test(t, a_number_that_is_none_is_refused);
+	tcase_add_test(t, a_header_that_is_not_a_number_is_refused);
 	tcase_add_test(t, calls_on_lots_are_decoded);
-	tcase_add_test(t, a_request_to_a_replica_keeps_the_clients_headers);
+	tcase_add_test(t, a_request_to_a_replica_keeps_the_end_to_end_headers);
 	tcase_add_test(t, an_item_is_sent_as_a_request);
 	tcase_add_test(t, a_reply_says_whether_the_request_ran);
 	tcase_add_test(t, a_lot_is_decoded);
-	tcase_add_test(t, a_wrong_lot_is_refused);
-	tcase_add_test(t, results_are_encoded);
+	tcase_add_test(t, an_invalid_lot_is_refused);
+	tcase_add_test(t, the_results_of_a_lot_are_encoded);
 	tcase_add_test(t, operators_calls_are_decoded);
-	tcase_add_test(t, answers_are_encoded);
+	tcase_add_test(t, operators_replies_are_encoded);
 	suite_add_tcase(s, t);
 	return suite_run(s);
 }
--- a/tests/unit/test_rpc.c
+++ b/tests/unit/test_rpc.c
@@ -1,5 +1,6 @@
-/* RPC between threads of one process: answers, concurrent clients, a peer that freezes mid-record.
- */
+/* Tests of RPC (base/rpc.h) between threads of one process, of histograms (base/metric.h) and of
+ * settings (base/toml.h). Guard against answers that reach the wrong client, and against a peer
+ * that freezes in the middle of a message and blocks the server. */
 #include <arpa/inet.h>
 #include <pthread.h>
 #include <stdlib.h>
@@ -37,7 +38,7 @@
 	{0},
 };
 
-static void serve(void)
+static void start_server(void)
 {
 	rpc_server_options_t o = {ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1, procs, NULL};
 
@@ -47,7 +48,7 @@
 static void *client_thread(void *p)
 {
 	rpc_client_t *c = rpc_client_new(ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1);
-	long *good = p;
+	long *nanswered = p;
 
 	for (int i = 0; i < 10; i++) {
 		char text[32];
@@ -60,36 +61,37 @@
 				    XDR_PROC(wire_text_t), &res,
 				    clock_now_ms() + CALL_MS) == STATUS_OK &&
 		    str_eq(wire_str(res.text), str_c(text)))
-			++*good;
+			++*nanswered;
 		wire_free(XDR_PROC(wire_text_t), &res);
 	}
 	rpc_client_free(c);
 	return NULL;
 }
 
-START_TEST(clients_get_their_own_answers)
+START_TEST(each_client_gets_its_own_answers)
 {
 	pthread_t t[40];
-	long good[40] = {0};
+	long nanswered[40] = {0};
 
-	serve();
+	start_server();
 	for (int i = 0; i < 40; i++)
-		pthread_create(&t[i], NULL, client_thread, &good[i]);
+		pthread_create(&t[i], NULL, client_thread, &nanswered[i]);
 	for (int i = 0; i < 40; i++) {
 		pthread_join(t[i], NULL);
-		ck_assert_int_eq(good[i], 10);
+		ck_assert_int_eq(nanswered[i], 10);
 	}
 }
 END_TEST
 
-START_TEST(frozen_peer_stalls_nobody)
+/* The peer sends the first bytes of a record of 256 bytes and nothing more. */
+START_TEST(a_frozen_peer_blocks_no_other_client)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(7311)};
 	rpc_client_t *c = rpc_client_new(ADDR, AUBURN_CONTROL, AUBURN_CONTROL_V1);
 	wire_text_t res = {0};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
-	serve();
+	start_server();
 	inet_pton(AF_INET, "127.0.10.1", &sa.sin_addr);
 	ck_assert_int_eq(connect(fd, (struct sockaddr *)&sa, sizeof(sa)), 0);
 	ck_assert_int_eq(write(fd,
@@ -106,7 +108,8 @@
 }
 END_TEST
 
-START_TEST(unreached_is_told_from_timeout)
+/* A call that was never sent may be retried; one that timed out may have run. */
+START_TEST(an_unreachable_server_is_unavailable_not_a_timeout)
 {
 	rpc_client_t *c = rpc_client_new("127.0.10.1:7312", AUBURN_CONTROL, AUBURN_CONTROL_V1);
 	wire_text_t res = {0};
@@ -118,7 +121,7 @@
 }
 END_TEST
 
-START_TEST(histogram_quantiles_are_close)
+START_TEST(histogram_quantiles_are_within_4_percent)
 {
 	metric_t *m = metric_get(METRIC_HISTOGRAM, "t_us", NULL);
 
@@ -129,7 +132,7 @@
 }
 END_TEST
 
-START_TEST(settings_name_line_and_key)
+START_TEST(errors_in_settings_name_line_and_key)
 {
 	AUTO_TOML *c = NULL;
 	int64_t port = 0;
@@ -151,10 +154,10 @@
 	TCase *t = tcase_create("rpc");
 
 	suite_add_tcase(s, t);
-	tcase_add_test(t, clients_get_their_own_answers);
-	tcase_add_test(t, frozen_peer_stalls_nobody);
-	tcase_add_test(t, unreached_is_told_from_timeout);
-	tcase_add_test(t, histogram_quantiles_are_close);
-	tcase_add_test(t, settings_name_line_and_key);
+	tcase_add_test(t, each_client_gets_its_own_answers);
+	tcase_add_test(t, a_frozen_peer_blocks_no_other_client);
+	tcase_add_test(t, an_unreachable_server_is_unavailable_not_a_timeout);
+	tcase_add_test(t, histogram_quantiles_are_within_4_percent);
+	tcase_add_test(t, errors_in_settings_name_line_and_key);
 	return suite_run(s);
 }
