--- a/tests/unit/ledger_kit.h
+++ b/tests/unit/ledger_kit.h
@@ -28,7 +28,7 @@
 	wire_free(XDR_PROC(wire_query_res_t), res);
 }
 
-static inline wire_bytes_t to_bytes(const char *c)
+static inline wire_bytes_t bytes_of(const char *c)
 {
 	return wire_bytes(str_c(c));
 }
@@ -52,16 +52,16 @@
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.accept = (wire_accept_t){
-		.caller = to_bytes("desk"),
-		.key = to_bytes(key),
+		.caller = bytes_of("desk"),
+		.key = bytes_of(key),
 		.digest = digest,
-		.service = to_bytes("llm"),
+		.service = bytes_of("llm"),
 		.repeatable = repeatable,
 		.deadline_wall_ms = request_deadline_ms(key),
 		.session = session,
-		.path = to_bytes("/v1/x"),
-		.body = to_bytes("body"),
-		.trace = to_bytes("trace"),
+		.path = bytes_of("/v1/x"),
+		.body = bytes_of("body"),
+		.trace = bytes_of("trace"),
 	};
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
@@ -73,8 +73,8 @@
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_ATTEMPT};
 	wire_ledger_res_t res;
 
-	cmd.wire_ledger_cmd_t_u.attempt = (wire_attempt_t){.caller = to_bytes("desk"),
-							   .key = to_bytes(key),
+	cmd.wire_ledger_cmd_t_u.attempt = (wire_attempt_t){.caller = bytes_of("desk"),
+							   .key = bytes_of(key),
 							   .token = token,
 							   .session = session};
 	ledger_apply_cmd(l, &cmd, &res);
@@ -88,12 +88,12 @@
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.finish = (wire_finish_t){
-		.caller = to_bytes("desk"),
-		.key = to_bytes(key),
+		.caller = bytes_of("desk"),
+		.key = bytes_of(key),
 		.state = state,
 		.verdict = state == WIRE_DONE ? VERDICT_RAN : VERDICT_NOT_RUN,
 		.http_status = 200,
-		.result = to_bytes(result),
+		.result = bytes_of(result),
 		.now_wall_ms = wall_now_ms,
 		.session = session,
 	};
@@ -129,7 +129,7 @@
 
 	cmd.wire_ledger_cmd_t_u.lease = (wire_lease_t){.session = session,
 						       .seq = seq,
-						       .service = to_bytes("llm"),
+						       .service = bytes_of("llm"),
 						       .max = max,
 						       .now_wall_ms = wall_now_ms};
 	ledger_apply_cmd(l, &cmd, &res);
@@ -148,7 +148,7 @@
 		.attempt = it->attempt,
 		.done = done,
 		.blame = blame,
-		.body = to_bytes(body),
+		.body = bytes_of(body),
 	};
 }
 
@@ -196,10 +196,10 @@
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.open = (wire_job_open_t){
-		.caller = to_bytes(caller),
-		.job = to_bytes(job),
+		.caller = bytes_of(caller),
+		.job = bytes_of(job),
 		.digest = digest,
-		.service = to_bytes("llm"),
+		.service = bytes_of("llm"),
 		.deadline_wall_ms = deadline_ms,
 		.count = count,
 		.now_wall_ms = wall_now_ms,
@@ -218,7 +218,7 @@
 	wire_ledger_res_t res;
 	char body[32];
 
-	*c = (wire_job_items_t){.caller = to_bytes(caller), .job = to_bytes(job), .first = first};
+	*c = (wire_job_items_t){.caller = bytes_of(caller), .job = bytes_of(job), .first = first};
 	c->bodies.bodies_len = n;
 	c->bodies.bodies_val = mem_new(n * sizeof(wire_bytes_t));
 	for (unsigned i = 0; i < n; i++) {
@@ -240,7 +240,7 @@
 	wire_ledger_res_t res;
 
 	cmd.wire_ledger_cmd_t_u.seal =
-		(wire_job_ref_t){to_bytes(caller), to_bytes(job), wall_now_ms};
+		(wire_job_ref_t){bytes_of(caller), bytes_of(job), wall_now_ms};
 	ledger_apply_cmd(l, &cmd, &res);
 	return res;
 }
@@ -273,7 +273,7 @@
 	wire_query_t q = {.kind = WIRE_QUERY_JOB};
 	wire_query_res_t res;
 
-	q.wire_query_t_u.job = (wire_job_ref_t){to_bytes(caller), to_bytes(job), wall_now_ms};
+	q.wire_query_t_u.job = (wire_job_ref_t){bytes_of(caller), bytes_of(job), wall_now_ms};
 	ledger_query(l, &q, &res);
 	return res;
 }
@@ -285,7 +285,7 @@
 	wire_query_res_t res;
 
 	q.wire_query_t_u.results =
-		(wire_results_ref_t){to_bytes(caller), to_bytes(job), first, max};
+		(wire_results_ref_t){bytes_of(caller), bytes_of(job), first, max};
 	ledger_query(l, &q, &res);
 	return res;
 }
--- a/tests/unit/ledger_model.h
+++ b/tests/unit/ledger_model.h
@@ -94,6 +94,7 @@
 		res_;                                                                              \
 	})
 
+/* The name is valid until the next call. */
 static const char *key_name(unsigned k)
 {
 	static char name[8];
@@ -102,6 +103,7 @@
 	return name;
 }
 
+/* The name is valid until the next call. */
 static const char *job_name(unsigned j)
 {
 	static char name[8];
--- a/tests/unit/sim.c
+++ b/tests/unit/sim.c
@@ -6,8 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALM_STEPS     4000
-#define DELIVERIES_MAX 8 /* messages per step */
+/* Steps without faults in which the members must catch up. */
+#define CALM_STEPS 4000
+/* Messages delivered in a step: a random number up to this, and this many without faults. */
+#define DELIVERIES_MAX 8
 
 static bool chance(sim_t *s, unsigned per_mille)
 {
@@ -143,7 +145,7 @@
 		s->nodes[i].partition = whole ? 0 : (unsigned)sim_random(s, 2);
 }
 
-/* Writes the members as of the running replica with the highest commit index. */
+/* Sets *out to the members in the log of the running replica with the highest commit index. */
 static void newest_members(const sim_t *s, raft_members_t *out)
 {
 	uint64_t best = 0;
@@ -210,8 +212,9 @@
 		sim_lose_disk(s, n);
 }
 
-/* Starts one membership change at a leader: adds or promotes a random replica, else removes a
- * replica whose disk was lost or, if there are enough members, any other. */
+/* Tries one membership change at a leader: adds or promotes a random replica. If that changes
+ * nothing, removes a replica whose disk was lost; from five members on, none with a lost disk,
+ * removes any of them with a chance of 5% each. */
 static void change_members(sim_t *s)
 {
 	sim_node_t *leader = random_leader(s);
@@ -362,7 +365,8 @@
 				     CALM_STEPS);
 }
 
-/* Checks that each member has the leader's state and no acknowledged write is missing. */
+/* Checks that each member that still has its disk has the leader's last write to each register, and
+ * no lower version than any caller has seen. */
 static void check_final(sim_t *s)
 {
 	raft_members_t members;
--- a/tests/unit/sim_node.c
+++ b/tests/unit/sim_node.c
@@ -113,7 +113,7 @@
 	sim_send(ctx, m);
 }
 
-static void on_hard(void *ctx, uint64_t seq, uint64_t term, uint64_t vote)
+static void on_hard_state(void *ctx, uint64_t seq, uint64_t term, uint64_t vote)
 {
 	queue_write(ctx, (sim_write_t){SIM_HARD_STATE, seq, term, vote, NULL, 0});
 }
@@ -257,7 +257,7 @@
 			    .vote = d->vote,
 			    .cb = {.ctx = n,
 				   .send = on_send,
-				   .persist_hard_state = on_hard,
+				   .persist_hard_state = on_hard_state,
 				   .persist_entries = on_entries,
 				   .persist_reset = on_reset,
 				   .apply = on_apply,
--- a/tests/unit/test_dispatch.c
+++ b/tests/unit/test_dispatch.c
@@ -356,7 +356,8 @@
 }
 END_TEST
 
-/* That replica has the prefix in its cache; any other would process the prompt anew. */
+/* The replica that was granted a prefix has it in its cache; any other would process the prompt
+ * anew. */
 START_TEST(requests_with_the_same_prefix_go_to_the_same_replica)
 {
 	dispatch_t *d = new_dispatcher(4, 4);
--- a/tests/unit/test_dispatch_load.c
+++ b/tests/unit/test_dispatch_load.c
@@ -206,7 +206,8 @@
 		dispatch_tick(p->dispatch, p->now);
 	}
 	dispatch_stats(p->dispatch, &p->stats);
-	printf("load x%.1f: online in time %u late %u lost %u of %llu; items in time %u late %u of "
+	printf("load x%.1f: online in time %u late %u refused twice %u of %llu; items in time %u "
+	       "late %u of "
 	       "%u, stopped %llu times\n",
 	       online_factor, p->in_time, p->late, p->refused_twice,
 	       (unsigned long long)p->nrequests - 1, p->items_in_time, p->items_late, p->nitems,
@@ -258,9 +259,9 @@
 }
 END_TEST
 
-/* The same for items of different lengths, and for up to three times as many as the slots can run.
- * Fails and is listed in KNOWN-RED.txt: the items due first are started at the last moment, and too
- * many of them end late. */
+/* Like the test before, with items of different lengths, and up to three times as many as the slots
+ * can run. Fails and is listed in KNOWN-RED.txt: the items due first are started at the last
+ * moment, and too many of them end late. */
 START_TEST(goodput_of_items_does_not_fall_in_overload)
 {
 	static const double loads[] = {1.8, 2.2, 3.0, 4.0};
--- a/tests/unit/test_fleet_plan.c
+++ b/tests/unit/test_fleet_plan.c
@@ -222,6 +222,7 @@
 		snprintf(ids[i], sizeof(ids[i]), "u%u", i);
 		v[i] = make_upstream(ids[i], i < 6 ? "z0" : "z1", "llm");
 	}
+	/* ids[0] serves as a buffer for the names of the entries and is set back after them. */
 	for (unsigned i = 0; i < 4; i++) {
 		snprintf(ids[0], sizeof(ids[0]), "e%u", i);
 		s[i] = open_session(ids[0], 1, i % 2 ? "z1" : "z0");
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -428,7 +428,7 @@
 
 int main(void)
 {
-	Suite *s = suite_create("net");
+	Suite *s = suite_create("http");
 	TCase *t = tcase_create("all");
 
 	tcase_add_test(t, a_request_is_parsed_byte_by_byte);
--- a/tests/unit/test_http_limits.c
+++ b/tests/unit/test_http_limits.c
@@ -188,7 +188,7 @@
 START_TEST(a_callers_endless_chunk_extension_is_refused)
 {
 	http_pair_t p;
-	endless_server_t server = {.sent = 0};
+	endless_server_t client = {.sent = 0}; /* counts the bytes that the test sends */
 	AUTO_BUF piece = {0};
 	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -200,12 +200,12 @@
 	sa.sin_port = htons((uint16_t)strtoul(strchr(p.addr, ':') + 1, NULL, 10));
 	ck_assert_int_eq(connect(fd, (struct sockaddr *)&sa, sizeof(sa)), 0);
 	buf_add(&piece, STR("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;"));
-	while (server.sent < send_max) {
+	while (client.sent < send_max) {
 		ssize_t n = send(fd, piece.p, piece.n, MSG_NOSIGNAL | MSG_DONTWAIT);
 
 		if (n < 0 && errno != EAGAIN)
 			break;
-		server.sent += n > 0 ? (size_t)n : 0;
+		client.sent += n > 0 ? (size_t)n : 0;
 		piece.n = 0;
 		while (piece.n < 16384)
 			buf_add(&piece, STR("yyyyyyyy"));
@@ -213,7 +213,7 @@
 		if (recv(fd, answer, sizeof(answer) - 1, MSG_DONTWAIT) > 0)
 			break;
 	}
-	ck_assert_uint_lt(server.sent, send_max);
+	ck_assert_uint_lt(client.sent, send_max);
 	ck_assert_ptr_nonnull(strstr(answer, "413"));
 	close(fd);
 	pair_close(&p);
@@ -222,7 +222,7 @@
 
 int main(void)
 {
-	Suite *s = suite_create("net_endless");
+	Suite *s = suite_create("http_limits");
 	TCase *t = tcase_create("all");
 
 	tcase_set_timeout(t, 20);
--- a/tests/unit/test_ledger.c
+++ b/tests/unit/test_ledger.c
@@ -159,8 +159,8 @@
 }
 END_TEST
 
-/* Its item was leased again, so that two results could arrive. A result must name the current
- * attempt, too. */
+/* The items of a lost session are leased again, so that two results of an item could arrive. A
+ * result must name the current attempt, too. */
 START_TEST(a_result_from_a_lost_session_is_dropped)
 {
 	submit_job(ledger, "paper", "lot", 1, WALL_START_MS);
@@ -312,9 +312,9 @@
 	submit_job(ledger, "other", "x", 1, WALL_START_MS);
 	submit_job(ledger, "paper", "two", 1, WALL_START_MS);
 	submit_job(ledger, "paper", "three", 1, WALL_START_MS);
-	q.wire_query_t_u.jobs = (wire_jobs_ref_t){to_bytes("paper"), {0}, 2};
+	q.wire_query_t_u.jobs = (wire_jobs_ref_t){bytes_of("paper"), {0}, 2};
 	ledger_query(ledger, &q, &page);
-	q.wire_query_t_u.jobs = (wire_jobs_ref_t){to_bytes("paper"), to_bytes("two"), 2};
+	q.wire_query_t_u.jobs = (wire_jobs_ref_t){bytes_of("paper"), bytes_of("two"), 2};
 	ledger_query(ledger, &q, &rest);
 	ck_assert_int_eq(page.jobs.jobs_len, 2);
 	ck_assert(bytes_are(page.jobs.jobs_val[1].job, "two"));
@@ -360,10 +360,10 @@
 		open_job(ledger, "paper", "big", LEDGER_JOB_ITEMS_MAX, digest, WALL_START_MS);
 
 	for (unsigned i = 0; i < BIG_JOB_CHUNK; i++)
-		bodies[i] = to_bytes("0123456789");
+		bodies[i] = bytes_of("0123456789");
 	for (unsigned first = 0; first < LEDGER_JOB_ITEMS_MAX; first += BIG_JOB_CHUNK) {
 		cmd.wire_ledger_cmd_t_u.items = (wire_job_items_t){
-			to_bytes("paper"), to_bytes("big"), first, {BIG_JOB_CHUNK, bodies}};
+			bytes_of("paper"), bytes_of("big"), first, {BIG_JOB_CHUNK, bodies}};
 		AUTO_RES res;
 
 		ledger_apply_cmd(ledger, &cmd, &res);
--- a/tests/unit/test_ledger_random.c
+++ b/tests/unit/test_ledger_random.c
@@ -310,7 +310,7 @@
 	char body[16];
 	char name[8];
 	wire_item_result_t v = {
-		.caller = to_bytes(lease->request ? "desk" : job_caller(lease->number)),
+		.caller = bytes_of(lease->request ? "desk" : job_caller(lease->number)),
 		.index = lease->index,
 		.attempt = lease->attempt,
 		.done = done,
@@ -321,9 +321,9 @@
 
 	snprintf(name, sizeof(name), "%s",
 		 lease->request ? key_name(lease->number) : job_name(lease->number));
-	*(lease->request ? &v.key : &v.job) = to_bytes(name);
+	*(lease->request ? &v.key : &v.job) = bytes_of(name);
 	snprintf(body, sizeof(body), "r%llu", (unsigned long long)++nresults);
-	v.body = to_bytes(body);
+	v.body = bytes_of(body);
 	AUTO_RES res = APPLY_BOTH(commit_results(ledger, session, &v, 1));
 
 	ck_assert_uint_eq(res.count, taken);
@@ -465,7 +465,8 @@
 	}
 }
 
-static void reset_model(unsigned long seed)
+/* Makes a new ledger, twin and model, and opens the sessions. */
+static void start_run(unsigned long seed)
 {
 	memset(model_requests, 0, sizeof(model_requests));
 	memset(model_jobs, 0, sizeof(model_jobs));
@@ -485,7 +486,7 @@
 {
 	const char *seed = getenv("AUBURN_SEED");
 
-	reset_model((seed ? strtoul(seed, NULL, 10) : 1) + (unsigned long)_i - 1);
+	start_run((seed ? strtoul(seed, NULL, 10) : 1) + (unsigned long)_i - 1);
 	for (unsigned i = 0; i < STEPS; i++) {
 		random_step();
 		if (i % 50 == 0)
--- a/tests/unit/test_owner.c
+++ b/tests/unit/test_owner.c
@@ -355,7 +355,7 @@
 		offer_online(id, DEADLINE_NEVER, id, 50000);
 	ck_assert_uint_eq(model.count[WAITING], 4);
 	/* Four streams wait, and a slot becomes free every 0.5 s. */
-	/* It has the earliest deadline, so it would be the next one. */
+	/* This stream has the earliest deadline, so it goes before the four. */
 	ck_assert_int_eq(offer_online(id++, 51000, 90, 50000), OWNER_QUEUED);
 	ck_assert_int_eq(offer_online(id++, 50400, 91, 50000), OWNER_REFUSED);
 	ck_assert_int_eq(model.last_retry_ms, 500);
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -1,6 +1,6 @@
 /* Tests of the platform's formats (platform/platform.h): bytes decoded into typed values, and
- * values encoded. Guard against a format that is misread, and against input of which only a part
- * is used. */
+ * values encoded. Guard against a format that is misread, and against a truncated config or lot
+ * that is used as if it were whole. */
 #include <stdlib.h>
 #include <string.h>
 #include "platform/platform.h"
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-/* It is the longest of 2 s, four times the objective and eight times the gap target. */
+/* The longest of 2 s, four times the objective and eight times the gap target applies. */
 START_TEST(the_give_up_time_follows_from_objective_and_gap_target)
 {
 	static const struct {
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -201,16 +201,16 @@
 int main(void)
 {
 	Suite *s = suite_create("policy");
-	TCase *bucket = tcase_create("policy");
-
-	suite_add_tcase(s, bucket);
-	tcase_add_test(bucket, a_bucket_gives_its_burst_then_its_rate);
-	tcase_add_test(bucket, a_bucket_stays_within_its_burst_after_a_long_pause);
-	tcase_add_test(bucket, a_bucket_map_drops_the_least_recently_used_and_stays_bounded);
-	tcase_add_test(bucket, retries_stay_a_share_of_first_attempts);
-	tcase_add_test(bucket, only_calls_that_did_not_run_or_are_repeatable_are_retried);
-	tcase_add_test(bucket, the_breaker_lets_one_probe_through_after_a_doubling_pause);
-	tcase_add_test(bucket, the_pick_prefers_free_slots_then_zone_and_prefix);
-	tcase_add_test(bucket, the_pick_spreads_load_and_never_takes_an_unusable_replica);
+	TCase *t = tcase_create("policy");
+
+	suite_add_tcase(s, t);
+	tcase_add_test(t, a_bucket_gives_its_burst_then_its_rate);
+	tcase_add_test(t, a_bucket_stays_within_its_burst_after_a_long_pause);
+	tcase_add_test(t, a_bucket_map_drops_the_least_recently_used_and_stays_bounded);
+	tcase_add_test(t, retries_stay_a_share_of_first_attempts);
+	tcase_add_test(t, only_calls_that_did_not_run_or_are_repeatable_are_retried);
+	tcase_add_test(t, the_breaker_lets_one_probe_through_after_a_doubling_pause);
+	tcase_add_test(t, the_pick_prefers_free_slots_then_zone_and_prefix);
+	tcase_add_test(t, the_pick_spreads_load_and_never_takes_an_unusable_replica);
 	return suite_run(s);
 }
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -224,7 +224,7 @@
 	ck_assert_str_eq(contents.snap.p, "state at 5");
 	ck_assert_int_eq(store_save_snapshot(store, 12, 1, str_buf(&conf), STR("state at 12")),
 			 STATUS_OK);
-	/* This bit belongs to the state. */
+	/* Damages the state, not the header. */
 	flip_bit("snap-000000000000000c", file_size("snap-000000000000000c") - 20);
 	ck_assert_int_eq(reopen(), STATUS_OK);
 	ck_assert_uint_eq(contents.snap_index, 5);
