--- a/tests/unit/sim.c
+++ b/tests/unit/sim.c
@@ -1,11 +1,14 @@
-/* The randomised run itself: callers, faults, repairs, and the calm at the end. */
+/* A run of the simulation: reads and writes of callers, membership changes and faults, then a phase
+ * without faults in which all replicas must catch up. */
 #include "sim.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define CALM_STEPS     4000
+/* Steps without faults in which the members must catch up. */
+#define CALM_STEPS 4000
+/* Messages delivered in a step: a random number up to this, and this many without faults. */
 #define DELIVERIES_MAX 8
 
 static bool chance(sim_t *s, unsigned per_mille)
@@ -13,37 +16,38 @@
 	return sim_random(s, 1000) < per_mille;
 }
 
-static sim_node_t *any_node(sim_t *s)
+static sim_node_t *random_node(sim_t *s)
 {
-	return &s->nodes[sim_random(s, SIM_SLOTS)];
+	return &s->nodes[sim_random(s, SIM_ADDRS)];
 }
 
-/* A running replica that believes to lead, or NULL. */
-static sim_node_t *any_leader(sim_t *s)
+/* Returns a running replica that considers itself leader, or NULL. */
+static sim_node_t *random_leader(sim_t *s)
 {
-	unsigned start = (unsigned)sim_random(s, SIM_SLOTS);
+	unsigned start = (unsigned)sim_random(s, SIM_ADDRS);
 
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		sim_node_t *n = &s->nodes[(start + i) % SIM_SLOTS];
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
+		sim_node_t *n = &s->nodes[(start + i) % SIM_ADDRS];
 
-		if (n->rf && !n->frozen && raft_role(n->rf) == RAFT_LEADER)
+		if (n->raft && !n->frozen_steps && raft_role(n->raft) == RAFT_LEADER)
 			return n;
 	}
 	return NULL;
 }
 
-static void flush(sim_t *s, sim_node_t *n)
+/* Flushes the replica at 70% of the calls, so that inputs are batched at random. */
+static void maybe_flush(sim_t *s, sim_node_t *n)
 {
-	if (n->rf && !n->frozen && chance(s, 700))
-		raft_flush(n->rf);
+	if (n->raft && !n->frozen_steps && chance(s, 700))
+		raft_flush(n->raft);
 }
 
-static uint64_t new_id(sim_t *s, unsigned slot)
+static uint64_t new_id(sim_t *s, unsigned addr)
 {
 	uint64_t id = s->nids + 1;
 
 	s->ids[s->nids].id = id;
-	s->ids[s->nids].slot = slot;
+	s->ids[s->nids].addr = addr;
 	s->ids[s->nids].lost = false;
 	s->nids++;
 	return id;
@@ -58,20 +62,20 @@
 	return true;
 }
 
-/* The first voters, as a fresh folder holds them. */
+/* Starts all replicas; n of them have the first voters as the only entry of their log. */
 static void bootstrap(sim_t *s, unsigned n)
 {
-	raft_members_t conf = {.n = n};
+	raft_members_t members = {.n = n};
 	AUTO_BUF b = {0};
 
 	for (unsigned i = 0; i < n; i++)
-		conf.peers[i] = (group_peer_t){.id = new_id(s, i), .voter = true};
-	raft_members_encode(&conf, &b);
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
+		members.peers[i] = (group_peer_t){.id = new_id(s, i), .voter = true};
+	raft_members_encode(&members, &b);
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		sim_node_t *node = &s->nodes[i];
 
 		node->sim = s;
-		node->slot = i;
+		node->addr = i;
 		node->id = i < n ? s->ids[i].id : new_id(s, i);
 		if (i < n) {
 			node->disk.entries = mem_new(sizeof(raft_entry_t));
@@ -84,47 +88,47 @@
 	}
 }
 
-static void write_some(sim_t *s)
+static void start_write(sim_t *s)
 {
-	sim_node_t *n = any_leader(s);
+	sim_node_t *n = random_leader(s);
 	sim_cmd_t cmd = {.op = ++s->next_op, .key = (uint32_t)sim_random(s, SIM_KEYS)};
 	uint64_t index;
 
 	if (!n)
 		return;
-	index = raft_propose(n->rf, (str_t){(const char *)&cmd, sizeof(cmd)});
+	index = raft_propose(n->raft, (str_t){(const char *)&cmd, sizeof(cmd)});
 	if (index)
 		sim_call_begin(s, n, false, cmd.op, index, cmd.key);
-	flush(s, n);
+	maybe_flush(s, n);
 }
 
-static void read_some(sim_t *s)
+static void start_read(sim_t *s)
 {
-	sim_node_t *n = any_leader(s);
+	sim_node_t *n = random_leader(s);
 	uint64_t token = ++s->next_op;
 
 	if (!n)
 		return;
 	sim_call_begin(s, n, true, token, 0, (uint32_t)sim_random(s, SIM_KEYS));
-	if (!raft_read_index(n->rf, token))
+	if (!raft_read_index(n->raft, token))
 		sim_call_read_done(n, token, false);
-	flush(s, n);
+	maybe_flush(s, n);
 }
 
 static void tick_all(sim_t *s)
 {
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
 		sim_node_t *n = &s->nodes[i];
 
-		if (n->rf && !n->frozen && chance(s, 900))
-			raft_tick(n->rf);
-		flush(s, n);
+		if (n->raft && !n->frozen_steps && chance(s, 900))
+			raft_tick(n->raft);
+		maybe_flush(s, n);
 	}
 }
 
-static void restart(sim_t *s, sim_node_t *n)
+static void stop_or_start(sim_t *s, sim_node_t *n)
 {
-	if (n->rf) {
+	if (n->raft) {
 		sim_node_stop(n);
 		s->res->restarts++;
 	} else {
@@ -132,25 +136,26 @@
 	}
 }
 
-static void partition(sim_t *s)
+/* Heals all partitions or assigns the replicas to two at random. */
+static void change_partitions(sim_t *s)
 {
-	bool heal = chance(s, 500);
+	bool whole = chance(s, 500);
 
-	for (unsigned i = 0; i < SIM_SLOTS; i++)
-		s->nodes[i].island = heal ? 0 : (unsigned)sim_random(s, 2);
+	for (unsigned i = 0; i < SIM_ADDRS; i++)
+		s->nodes[i].partition = whole ? 0 : (unsigned)sim_random(s, 2);
 }
 
-/* Members as the most advanced replica has them. */
-static void newest_conf(const sim_t *s, raft_members_t *out)
+/* Sets *out to the members in the log of the running replica with the highest commit index. */
+static void newest_members(const sim_t *s, raft_members_t *out)
 {
 	uint64_t best = 0;
 	raft_status_t v;
 
 	*out = (raft_members_t){0};
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		if (!s->nodes[i].rf)
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
+		if (!s->nodes[i].raft)
 			continue;
-		raft_get_status(s->nodes[i].rf, &v);
+		raft_get_status(s->nodes[i].raft, &v);
 		if (v.commit >= best) {
 			best = v.commit;
 			*out = v.members;
@@ -158,8 +163,8 @@
 	}
 }
 
-/* True when a majority of these voters has lost its disk, counting `also` as one of them. */
-static bool majority_is_lost(const sim_t *s, const raft_members_t *c, uint64_t also)
+/* True if a majority of these voters has lost its disk, counting `other` as lost too. */
+static bool majority_is_lost(const sim_t *s, const raft_members_t *c, uint64_t other)
 {
 	unsigned voters = 0;
 	unsigned lost = 0;
@@ -168,21 +173,21 @@
 		if (!c->peers[i].voter)
 			continue;
 		voters++;
-		lost += is_lost(s, c->peers[i].id) || c->peers[i].id == also;
+		lost += is_lost(s, c->peers[i].id) || c->peers[i].id == other;
 	}
 	return voters > 0 && lost > (voters - 1) / 2;
 }
 
-/* True when some replica's log names voters whose majority would be lost. */
-static bool is_stuck(const sim_t *s, uint64_t also)
+/* True if a replica is stopped, or if its voters would have lost a majority of their disks. */
+static bool is_stuck(const sim_t *s, uint64_t other)
 {
 	raft_status_t v;
 
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		if (!s->nodes[i].rf)
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
+		if (!s->nodes[i].raft)
 			return true;
-		raft_get_status(s->nodes[i].rf, &v);
-		if (majority_is_lost(s, &v.members, also))
+		raft_get_status(s->nodes[i].raft, &v);
+		if (majority_is_lost(s, &v.members, other))
 			return true;
 	}
 	return false;
@@ -194,177 +199,191 @@
 	sim_disk_clear(&n->disk);
 	for (unsigned i = 0; i < s->nids; i++)
 		s->ids[i].lost |= s->ids[i].id == n->id;
-	n->id = new_id(s, n->slot);
+	n->id = new_id(s, n->addr);
 	sim_node_start(n);
 	s->res->disks_lost++;
 }
 
-static void lose_some_disk(sim_t *s)
+static void lose_random_disk(sim_t *s)
 {
-	sim_node_t *n = any_node(s);
+	sim_node_t *n = random_node(s);
 
 	if (s->nids < SIM_IDS_MAX && !is_stuck(s, n->id))
 		sim_lose_disk(s, n);
 }
 
-/* Learners join, are promoted once they may be, and the lost are removed. */
+/* Tries one membership change at a leader: adds or promotes a random replica. If that changes
+ * nothing, removes a replica whose disk was lost; from five members on, none with a lost disk,
+ * removes any of them with a chance of 5% each. */
 static void change_members(sim_t *s)
 {
-	sim_node_t *leader = any_leader(s);
-	group_peer_t peer = {.id = any_node(s)->id};
+	sim_node_t *leader = random_leader(s);
+	group_peer_t peer = {.id = random_node(s)->id};
 	uint64_t index = 0;
-	bool spare;
+	bool may_shrink;
 	raft_status_t v;
 	int at;
 
 	if (!leader)
 		return;
-	raft_get_status(leader->rf, &v);
-	spare = v.members.n > 4;
+	raft_get_status(leader->raft, &v);
+	may_shrink = v.members.n > 4;
 	for (unsigned i = 0; i < v.members.n; i++)
-		spare &= !is_lost(s, v.members.peers[i].id);
+		may_shrink &= !is_lost(s, v.members.peers[i].id);
 	at = raft_members_find(&v.members, peer.id);
 	if (at < 0)
-		raft_add_learner(leader->rf, &peer, &index);
+		raft_add_learner(leader->raft, &peer, &index);
 	else if (!v.members.peers[at].voter)
-		raft_promote(leader->rf, peer.id, &index);
+		raft_promote(leader->raft, peer.id, &index);
 	for (unsigned i = 0; i < v.members.n && !index; i++) {
-		if (is_lost(s, v.members.peers[i].id) || (spare && chance(s, 50)))
-			raft_remove(leader->rf, v.members.peers[i].id, &index);
+		if (is_lost(s, v.members.peers[i].id) || (may_shrink && chance(s, 50)))
+			raft_remove(leader->raft, v.members.peers[i].id, &index);
 	}
 	s->res->changes += index != 0;
-	flush(s, leader);
+	maybe_flush(s, leader);
 }
 
-static void sync_some(sim_t *s)
+static void sync_random_disk(sim_t *s)
 {
-	sim_node_t *n = any_node(s);
+	sim_node_t *n = random_node(s);
 
-	if (!n->rf || n->frozen)
+	if (!n->raft || n->frozen_steps)
 		return;
 	sim_node_sync(n, sim_random(s, 4));
-	flush(s, n);
+	maybe_flush(s, n);
 }
 
-static void fault(sim_t *s)
+/* Causes some faults at random: crashes and restarts, partitions, freezes, lost disks and
+ * messages, and transfers of leadership. */
+static void random_fault(sim_t *s)
 {
-	sim_node_t *n = any_node(s);
-
-	if (chance(s, 6) || (!n->rf && chance(s, 100)))
-		restart(s, n);
-	if (n->rf && n->disk.nwrites > 0 && chance(s, 20)) {
-		/* Right after it may have promised something. */
-		restart(s, n);
-		restart(s, n);
+	sim_node_t *n = random_node(s);
+
+	if (chance(s, 6) || (!n->raft && chance(s, 100)))
+		stop_or_start(s, n);
+	if (n->raft && n->disk.nwrites > 0 && chance(s, 20)) {
+		/* A crash while a vote or an acknowledgement may depend on an unsynced write. */
+		stop_or_start(s, n);
+		stop_or_start(s, n);
 	}
 	if (chance(s, 8))
-		partition(s);
-	if (chance(s, 4) && n->rf)
-		n->frozen = (unsigned)sim_random(s, 200);
+		change_partitions(s);
+	if (chance(s, 4) && n->raft)
+		n->frozen_steps = (unsigned)sim_random(s, 200);
 	if (chance(s, 3))
-		lose_some_disk(s);
+		lose_random_disk(s);
 	if (chance(s, 5))
-		s->loss = chance(s, 500) ? 0 : (unsigned)sim_random(s, 40);
+		s->loss_percent = chance(s, 500) ? 0 : (unsigned)sim_random(s, 40);
 	if (chance(s, 3)) {
-		n = any_leader(s);
+		n = random_leader(s);
 		if (n)
-			raft_transfer_leadership(n->rf);
+			raft_transfer_leadership(n->raft);
 	}
 }
 
+/* One step without new faults: messages, ticks, syncs, calls, a snapshot and a membership change,
+ * each with its own chance. */
 static void step(sim_t *s)
 {
 	unsigned n = 1 + (unsigned)sim_random(s, DELIVERIES_MAX);
 
-	for (unsigned i = 0; i < SIM_SLOTS; i++)
-		s->nodes[i].frozen -= s->nodes[i].frozen > 0;
+	for (unsigned i = 0; i < SIM_ADDRS; i++)
+		s->nodes[i].frozen_steps -= s->nodes[i].frozen_steps > 0;
 	for (unsigned i = 0; i < n; i++)
 		sim_deliver(s);
-	flush(s, any_node(s));
+	maybe_flush(s, random_node(s));
 	if (chance(s, s->tick_per_mille))
 		tick_all(s);
-	for (unsigned i = 0; i < s->syncs; i++)
-		sync_some(s);
+	for (unsigned i = 0; i < s->sync_tries; i++)
+		sync_random_disk(s);
 	if (chance(s, 300))
-		write_some(s);
+		start_write(s);
 	if (chance(s, 150))
-		read_some(s);
-	if (chance(s, 30) && any_node(s)->rf) {
-		sim_node_t *node = any_node(s);
+		start_read(s);
+	if (chance(s, 30) && random_node(s)->raft) {
+		sim_node_t *node = random_node(s);
 
-		if (node->rf && !node->frozen)
+		if (node->raft && !node->frozen_steps)
 			sim_node_snapshot(node);
 	}
 	if (chance(s, 40))
 		change_members(s);
 }
 
-static bool all_equal(const sim_t *s)
+/* True if each member that still has its disk has applied all entries of the reference. */
+static bool all_caught_up(const sim_t *s)
 {
-	raft_members_t conf;
+	raft_members_t members;
 
-	newest_conf(s, &conf);
-	for (unsigned i = 0; i < conf.n; i++) {
-		int slot = sim_id_slot(s, conf.peers[i].id);
-		const sim_node_t *n = &s->nodes[slot];
+	newest_members(s, &members);
+	for (unsigned i = 0; i < members.n; i++) {
+		int addr = sim_addr_of(s, members.peers[i].id);
+		const sim_node_t *n = &s->nodes[addr];
 
-		if (n->id != conf.peers[i].id)
+		if (n->id != members.peers[i].id)
 			continue;
-		if (!n->rf || raft_applied_index(n->rf) != s->ref_last)
+		if (!n->raft || raft_applied_index(n->raft) != s->reference_last)
 			return false;
 	}
-	return conf.n > 0;
+	return members.n > 0;
 }
 
-/* With all replicas running and no losses, the group commits again and all come to agree. */
-static void calm(sim_t *s)
+/* With all replicas running and no faults, the group must commit again and all members must apply
+ * the same entries. */
+static void run_calm_phase(sim_t *s)
 {
 	uint64_t writes = s->res->writes;
 
-	s->loss = 0;
-	for (unsigned i = 0; i < SIM_SLOTS; i++) {
-		s->nodes[i].island = 0;
-		s->nodes[i].frozen = 0;
-		if (!s->nodes[i].rf)
+	s->loss_percent = 0;
+	for (unsigned i = 0; i < SIM_ADDRS; i++) {
+		s->nodes[i].partition = 0;
+		s->nodes[i].frozen_steps = 0;
+		if (!s->nodes[i].raft)
 			sim_node_start(&s->nodes[i]);
 	}
 	for (unsigned i = 0; i < CALM_STEPS && !s->res->violated; i++) {
-		bool quiet = s->res->writes > writes + 3;
+		bool enough_writes = s->res->writes > writes + 3;
 
 		for (unsigned k = 0; k < DELIVERIES_MAX; k++)
 			sim_deliver(s);
 		if (chance(s, 150))
 			tick_all(s);
-		for (unsigned k = 0; k < SIM_SLOTS; k++) {
+		for (unsigned k = 0; k < SIM_ADDRS; k++) {
 			sim_node_sync(&s->nodes[k], SIZE_MAX);
-			raft_flush(s->nodes[k].rf);
+			raft_flush(s->nodes[k].raft);
 		}
-		if (!quiet && chance(s, 100))
-			write_some(s);
-		if (quiet && all_equal(s))
+		if (!enough_writes && chance(s, 100))
+			start_write(s);
+		if (enough_writes && all_caught_up(s))
 			return;
 	}
-	/* A removal under way when a disk was lost can leave voters whose majority is gone. */
+	/* A removal that was pending when a disk was lost can leave voters without a majority. */
 	if (is_stuck(s, 0))
 		s->res->stuck++;
 	else if (!s->res->violated)
-		sim_violate(s, "no agreement after %d calm steps", CALM_STEPS);
+		sim_report_violation(s, "members have not caught up after %d steps without faults",
+				     CALM_STEPS);
 }
 
-/* The state that the reference gives is the one that each replica has. */
+/* Checks that each member that still has its disk has the leader's last write to each register, and
+ * no lower version than any caller has seen. */
 static void check_final(sim_t *s)
 {
-	raft_members_t conf;
-
-	newest_conf(s, &conf);
-	for (unsigned i = 0; i < conf.n; i++) {
-		const sim_node_t *n = &s->nodes[sim_id_slot(s, conf.peers[i].id)];
-
-		for (unsigned k = 0; k < SIM_KEYS && n->id == conf.peers[i].id; k++) {
-			if (n->state.version[k] < s->seen[k])
-				sim_violate(s, "replica %u lost an acknowledged write", n->slot);
-			if (n->state.op[k] != any_leader(s)->state.op[k])
-				sim_violate(s, "replica %u differs from the leader", n->slot);
+	raft_members_t members;
+
+	newest_members(s, &members);
+	for (unsigned i = 0; i < members.n; i++) {
+		const sim_node_t *n = &s->nodes[sim_addr_of(s, members.peers[i].id)];
+
+		for (unsigned k = 0; k < SIM_KEYS && n->id == members.peers[i].id; k++) {
+			if (n->state.version[k] < s->seen_version[k])
+				sim_report_violation(
+					s, "replica at address %u lost an acknowledged write",
+					n->addr);
+			if (n->state.op[k] != random_leader(s)->state.op[k])
+				sim_report_violation(
+					s, "replica at address %u differs from the leader",
+					n->addr);
 		}
 	}
 }
@@ -382,7 +401,7 @@
 
 void sim_free(sim_t *s)
 {
-	for (unsigned i = 0; i < SIM_SLOTS; i++)
+	for (unsigned i = 0; i < SIM_ADDRS; i++)
 		sim_node_free(&s->nodes[i]);
 	while (s->npackets)
 		buf_free(&s->packets[--s->npackets].bytes);
@@ -398,12 +417,12 @@
 		busy = false;
 		while (s->npackets)
 			sim_deliver(s);
-		for (unsigned i = 0; i < SIM_SLOTS; i++) {
+		for (unsigned i = 0; i < SIM_ADDRS; i++) {
 			sim_node_t *n = &s->nodes[i];
 
-			if (!n->rf)
+			if (!n->raft)
 				continue;
-			raft_flush(n->rf);
+			raft_flush(n->raft);
 			busy |= n->disk.nwrites > 0;
 			sim_node_sync(n, SIZE_MAX);
 		}
@@ -416,14 +435,14 @@
 	sim_t *s = sim_new(o->seed, 0, res);
 
 	s->tick_per_mille = 100 + (unsigned)sim_random(s, 500);
-	s->syncs = 1 + (unsigned)sim_random(s, 4);
+	s->sync_tries = 1 + (unsigned)sim_random(s, 4);
 	for (res->step = 0; res->step < o->steps && !res->violated; res->step++) {
 		step(s);
-		fault(s);
+		random_fault(s);
 	}
 	if (!res->violated)
-		calm(s);
-	if (!res->violated && !res->stuck && any_leader(s))
+		run_calm_phase(s);
+	if (!res->violated && !res->stuck && random_leader(s))
 		check_final(s);
 	sim_free(s);
 	return !res->violated;
--- /dev/null
+++ b/tests/unit/test_http_limits.c
@@ -0,0 +1,237 @@
+/* Tests of the limits on HTTP input (net/http_server.h, net/http_client.h, net/sse.h). Guard
+ * against a peer that sends without end and so fills the memory or keeps a connection or a core
+ * busy. */
+#include <arpa/inet.h>
+#include <errno.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/socket.h>
+#include <unistd.h>
+#include "net/sse.h"
+#include "http_kit.h"
+#include "suite_kit.h"
+
+/* ---- events ---- */
+
+static bool on_event(void *ctx, const sse_event_t *e)
+{
+	*(size_t *)ctx += e->raw.n;
+	return true;
+}
+
+/* A parser that searches all pending bytes again at each read, or for each event, needs minutes. */
+START_TEST(parsing_events_takes_time_in_proportion_to_their_bytes)
+{
+	static char line[4096];
+	static char blank[16384];
+	sse_parser_t one = {0};
+	sse_parser_t many = {0};
+	size_t given = 0;
+
+	memset(line, 'x', sizeof(line));
+	memset(blank, '\n', sizeof(blank));
+	for (int i = 0; i < 200000; i++)
+		ck_assert(sse_feed(&one, (str_t){line, 4}, on_event, &given));
+	for (int i = 0; i < 2000; i++)
+		ck_assert(sse_feed(&many, (str_t){blank, sizeof(blank)}, on_event, &given));
+	sse_free(&one);
+	sse_free(&many);
+}
+END_TEST
+
+START_TEST(an_endless_event_is_an_error)
+{
+	static char line[4096];
+	sse_parser_t s = {0};
+	size_t given = 0;
+	size_t taken = 0;
+
+	memset(line, 'x', sizeof(line));
+	while (sse_feed(&s, (str_t){line, sizeof(line)}, on_event, &given))
+		taken += sizeof(line);
+	ck_assert_uint_le(taken, SSE_EVENT_MAX_BYTES);
+	sse_free(&s);
+}
+END_TEST
+
+/* ---- a server that sends without end ---- */
+
+typedef struct {
+	struct ev_loop *loop;
+	ev_io accept;
+	ev_io conn;
+	str_t reply_start; /* sent once for each request */
+	str_t repeat; /* sent without end */
+	size_t sent;
+} endless_server_t;
+
+/* Answers a request with reply_start and then sends `repeat` as often as the socket takes it. */
+static void endless_write(struct ev_loop *loop, ev_io *watcher, int events)
+{
+	endless_server_t *server = watcher->data;
+	ssize_t n;
+
+	if (events & EV_READ) {
+		char buf[4096];
+
+		if (recv(watcher->fd, buf, sizeof(buf), MSG_DONTWAIT) <= 0) {
+			ev_io_stop(loop, watcher);
+			close(watcher->fd);
+			return;
+		}
+		n = send(watcher->fd, server->reply_start.p, server->reply_start.n, MSG_NOSIGNAL);
+		server->sent += n > 0 ? (size_t)n : 0;
+		ev_io_stop(loop, watcher);
+		ev_io_set(watcher, watcher->fd, server->repeat.n ? EV_WRITE : EV_READ);
+		ev_io_start(loop, watcher);
+		return;
+	}
+	n = send(watcher->fd, server->repeat.p, server->repeat.n, MSG_NOSIGNAL | MSG_DONTWAIT);
+	if (n < 0) {
+		ev_io_stop(loop, watcher);
+		close(watcher->fd);
+		return;
+	}
+	server->sent += (size_t)n;
+}
+
+static void endless_accept(struct ev_loop *loop, ev_io *watcher, int events)
+{
+	endless_server_t *server = watcher->data;
+	int fd = accept(watcher->fd, NULL, NULL);
+
+	ev_io_init(&server->conn, endless_write, fd, EV_READ);
+	server->conn.data = server;
+	ev_io_start(loop, &server->conn);
+}
+
+static void endless_server_open(endless_server_t *server, http_pair_t *p)
+{
+	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
+	unsigned port = pick_port();
+	int one = 1;
+	int fd = socket(AF_INET, SOCK_STREAM, 0);
+
+	sa.sin_port = htons((uint16_t)port);
+	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
+	ck_assert_int_eq(bind(fd, (struct sockaddr *)&sa, sizeof(sa)), 0);
+	ck_assert_int_eq(listen(fd, 4), 0);
+	snprintf(p->addr, sizeof(p->addr), "127.0.0.1:%u", port);
+	server->loop = p->loop;
+	ev_io_init(&server->accept, endless_accept, fd, EV_READ);
+	server->accept.data = server;
+	ev_io_start(p->loop, &server->accept);
+}
+
+static const struct {
+	const char *begin;
+	const char *repeat;
+	http_call_end_t how;
+} replies[] = {
+	{"", "xxxxxxxxxxxxxxxx", HTTP_CALL_MALFORMED},
+	{"HTTP/1.1 200 OK\r\nX: ", "yyyyyyyyyyyyyyyyyyyyyyyyy", HTTP_CALL_MALFORMED},
+	{"HTTP/1.1 200 OK\r\n", "X: y\r\n", HTTP_CALL_MALFORMED},
+	{"", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", HTTP_CALL_MALFORMED},
+	{"HTTP/1.1 200 OK\r\n\r\n", "yyyyyyyyyyyyyyyyyyyyyyyyy", HTTP_CALL_TOO_LONG},
+	{"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "yyyyyyyy", HTTP_CALL_TOO_LONG},
+	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", HTTP_CALL_TOO_LONG},
+};
+
+START_TEST(an_endless_reply_is_given_up)
+{
+	endless_server_t server = {.reply_start = str_c(replies[_i].begin)};
+	AUTO_BUF repeat = {0};
+	http_pair_t p;
+
+	while (repeat.n < 16384)
+		buf_add(&repeat, str_c(replies[_i].repeat));
+	server.repeat = str_buf(&repeat);
+	pair_open(&p);
+	endless_server_open(&server, &p);
+	start_call(&p, post_request);
+	run_loop(&p, 5.0);
+	ck_assert_int_eq(p.calls_ended, 1);
+	ck_assert_int_eq(p.call_end, replies[_i].how);
+	ck_assert_uint_le(p.body.n, RESPONSE_BYTES_MAX);
+	ev_io_stop(p.loop, &server.accept);
+	close(server.accept.fd);
+	pair_close(&p);
+}
+END_TEST
+
+/* The limit must cover bytes of the framing too, which are not part of the body. */
+START_TEST(endless_chunk_extensions_and_trailers_are_given_up)
+{
+	static const char *const reply_starts[] = {
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n"};
+	endless_server_t server = {.reply_start = str_c(reply_starts[_i])};
+	AUTO_BUF repeat = {0};
+	http_pair_t p;
+
+	while (repeat.n < 16384)
+		buf_add(&repeat, _i ? STR("X: y\r\n") : STR("yyyyyy"));
+	server.repeat = str_buf(&repeat);
+	pair_open(&p);
+	endless_server_open(&server, &p);
+	start_call(&p, post_request);
+	run_loop(&p, 5.0);
+	ck_assert_int_eq(p.calls_ended, 1);
+	ck_assert_int_ne(p.call_end, HTTP_CALL_DONE);
+	ev_io_stop(p.loop, &server.accept);
+	close(server.accept.fd);
+	pair_close(&p);
+}
+END_TEST
+
+/* The server's limits must cover the framing of a request as well as its body. */
+START_TEST(a_callers_endless_chunk_extension_is_refused)
+{
+	http_pair_t p;
+	endless_server_t client = {.sent = 0}; /* counts the bytes that the test sends */
+	AUTO_BUF piece = {0};
+	struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
+	int fd = socket(AF_INET, SOCK_STREAM, 0);
+	char answer[64] = "";
+	size_t send_max;
+
+	pair_open(&p);
+	send_max = 8U << 20; /* far above the limits of head and body and the sockets' buffers */
+	sa.sin_port = htons((uint16_t)strtoul(strchr(p.addr, ':') + 1, NULL, 10));
+	ck_assert_int_eq(connect(fd, (struct sockaddr *)&sa, sizeof(sa)), 0);
+	buf_add(&piece, STR("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;"));
+	while (client.sent < send_max) {
+		ssize_t n = send(fd, piece.p, piece.n, MSG_NOSIGNAL | MSG_DONTWAIT);
+
+		if (n < 0 && errno != EAGAIN)
+			break;
+		client.sent += n > 0 ? (size_t)n : 0;
+		piece.n = 0;
+		while (piece.n < 16384)
+			buf_add(&piece, STR("yyyyyyyy"));
+		run_loop(&p, 0.001);
+		if (recv(fd, answer, sizeof(answer) - 1, MSG_DONTWAIT) > 0)
+			break;
+	}
+	ck_assert_uint_lt(client.sent, send_max);
+	ck_assert_ptr_nonnull(strstr(answer, "413"));
+	close(fd);
+	pair_close(&p);
+}
+END_TEST
+
+int main(void)
+{
+	Suite *s = suite_create("http_limits");
+	TCase *t = tcase_create("all");
+
+	tcase_set_timeout(t, 20);
+	tcase_add_loop_test(t, an_endless_reply_is_given_up, 0,
+			    sizeof(replies) / sizeof(replies[0]));
+	tcase_add_loop_test(t, endless_chunk_extensions_and_trailers_are_given_up, 0, 2);
+	tcase_add_test(t, a_callers_endless_chunk_extension_is_refused);
+	tcase_add_test(t, parsing_events_takes_time_in_proportion_to_their_bytes);
+	tcase_add_test(t, an_endless_event_is_an_error);
+	suite_add_tcase(s, t);
+	return suite_run(s);
+}
