--- a/src/control/control_boot.c
+++ b/src/control/control_boot.c
@@ -18,7 +18,7 @@
 	return stat(path.p, &sb) == 0;
 }
 
-/* Gets the state of a control process, see control_status_json; empty if there is no answer. */
+/* Gets the "state" of control process i, see control_status_json; empty if there is no answer. */
 static void fetch_state(control_t *ctl, size_t i, char out[16])
 {
 	AUTO_BUF text = {0};
@@ -45,9 +45,10 @@
 }
 
 /*
- * A VM that lost its disk must not vote again. A process with a new data folder therefore founds a
- * fleet only after every other control process has answered and none of them holds state; if one
- * holds state, the process joins it.
+ * A VM that has lost its disk must not vote again under its old replica id, because it could vote
+ * twice in a term. A process with a new data folder therefore founds a fleet only after all other
+ * founding control processes have answered that they hold no state. If one of them holds state,
+ * this process joins its fleet.
  */
 control_boot_t control_boot_decide(control_t *ctl, bool bootstrap)
 {
--- a/src/control/control_group.c
+++ b/src/control/control_group.c
@@ -1,4 +1,4 @@
-/* The replicated groups: apply commands, take and restore snapshots, open replicas. */
+/* Opens the replicated groups and supplies their state machines: commands and snapshots. */
 #include <assert.h>
 #include <stdio.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 
 #define MIB (1024 * 1024)
 
-/* For on_send, whose context is the group. */
+/* Used by on_send, which gets only the group. */
 static control_t *this_process;
 
 static void apply_fleet(control_group_t *g, str_t cmd, buf_t *result)
@@ -54,7 +54,7 @@
 	pthread_rwlock_unlock(&g->lock);
 }
 
-/* Marks a snapshot of group 0 that holds the lots after the fleet state. */
+/* First number in a snapshot of group 0 that holds the fleet state and the lots. */
 #define LOTS_SNAPSHOT_MAGIC 0x4730U
 
 static void snapshot_fleet(control_group_t *g, buf_t *out)
@@ -65,7 +65,8 @@
 	pack_u64(out, LOTS_SNAPSHOT_MAGIC);
 	fleet_snapshot(g->fleet, &fleet);
 	pack_str(out, str_buf(&fleet));
-	/* Encoded in place: lots take most of the memory, and a copy would take as much again. */
+	/* The lots are encoded in place: they take most of the memory, and a copy would take as
+	 * much again. */
 	lots = pack_begin_str(out);
 	lots_snapshot(g->lots, out);
 	pack_end_str(out, lots);
@@ -158,8 +159,8 @@
 }
 
 /* Renames the folder of a damaged replica. The replica must not continue under its old id: the
- * process joins again as a learner with a new one. */
-static status_t set_folder_aside(const char *dir)
+ * process joins the group again as a learner with a new id. */
+static status_t rename_damaged_folder(const char *dir)
 {
 	AUTO_BUF aside = {0};
 
@@ -194,7 +195,7 @@
 		return st;
 	log_event(LOG_LEVEL_ERROR, "replica_damaged", LOG_INT("group", n),
 		  LOG_CSTR("what", status_message()));
-	st = set_folder_aside(dir.p);
+	st = rename_damaged_folder(dir.p);
 	if (st != STATUS_OK)
 		return st;
 	o.bootstrap = false;
--- a/src/control/control_http.c
+++ b/src/control/control_http.c
@@ -9,7 +9,7 @@
 /* No endpoint reads a request body. */
 #define BODY_MAX_BYTES 1024
 
-static void set_gauge(const char *name, unsigned group, int64_t v)
+static void set_group_gauge(const char *name, unsigned group, int64_t v)
 {
 	char label[32];
 
@@ -23,12 +23,12 @@
 		group_status_t st;
 
 		group_get_status(ctl->groups[n].raft, &st);
-		set_gauge("auburn_group_leader", n, st.leader);
-		set_gauge("auburn_group_term", n, (int64_t)st.term);
-		set_gauge("auburn_group_applied", n, (int64_t)st.applied);
-		set_gauge("auburn_group_commit", n, (int64_t)st.commit);
-		set_gauge("auburn_group_syncs", n, (int64_t)st.syncs);
-		set_gauge("auburn_group_sync_us", n, (int64_t)st.sync_us);
+		set_group_gauge("auburn_group_leader", n, st.leader);
+		set_group_gauge("auburn_group_term", n, (int64_t)st.term);
+		set_group_gauge("auburn_group_applied", n, (int64_t)st.applied);
+		set_group_gauge("auburn_group_commit", n, (int64_t)st.commit);
+		set_group_gauge("auburn_group_syncs", n, (int64_t)st.syncs);
+		set_group_gauge("auburn_group_sync_us", n, (int64_t)st.sync_us);
 	}
 }
 
@@ -49,7 +49,7 @@
 	return U_CALLBACK_COMPLETE;
 }
 
-static bool has_all_leaders(control_t *ctl)
+static bool all_leaders_known(control_t *ctl)
 {
 	for (unsigned n = 0; ctl->ready && n < ctl->ngroups; n++) {
 		group_status_t st;
@@ -63,7 +63,7 @@
 
 static int on_ready(const struct _u_request *req, struct _u_response *res, void *ctx)
 {
-	bool ready = has_all_leaders(ctx);
+	bool ready = all_leaders_known(ctx);
 
 	ulfius_set_string_body_response(res, ready ? 200 : 503, ready ? "ready\n" : "no leader\n");
 	return U_CALLBACK_COMPLETE;
--- a/src/control/control_leader.c
+++ b/src/control/control_leader.c
@@ -1,4 +1,5 @@
-/* Periodic work of a leader: expired sessions, retention, repair, upstreams and their owners. */
+/* Periodic work of a leader: closes expired sessions, removes old ledger records, and calls the
+ * rounds of repair, upstreams and owners. */
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/control.h"
@@ -81,7 +82,8 @@
 		  LOG_INT("first", lost->ids[0]));
 }
 
-/* Every ledger group must record the closed sessions before group 0 forgets them. */
+/* Reports closed sessions to the ledger groups, which then release the requests and items of these
+ * sessions. Group 0 forgets the sessions only once all ledger groups have recorded them. */
 static void report_lost_sessions(control_t *ctl)
 {
 	static session_list_t closed;
@@ -101,7 +103,7 @@
 	int64_t retention_ms;
 } retention_t;
 
-/* Parses the config in force once for each config number. */
+/* Reads the retention time from the newest config, unless it is known from this config already. */
 static void read_retention(control_group_t *g, void *arg)
 {
 	retention_t *r = arg;
@@ -120,7 +122,8 @@
 	wire_free(XDR_PROC(wire_query_res_t), &res);
 }
 
-/* Proposes the removal of records older than the retention time of this replica's newest config. */
+/* Proposes to remove ledger records that are older than the retention time. The time comes from the
+ * newest config in this process's replica of group 0, which may lag behind. */
 static void propose_expire(control_t *ctl, control_group_t *g)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_EXPIRE};
--- a/src/control/control_owner.c
+++ b/src/control/control_owner.c
@@ -1,5 +1,5 @@
-/* Gives each upstream an owner, the one entry that starts streams on the upstream and so keeps its
- * slots from being exceeded. Runs while this process leads group 0. */
+/* Assigns each upstream to an owner: the one entry that starts streams on the upstream and counts
+ * them, so that they never exceed its slots. Runs while this process leads group 0. */
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/control.h"
--- a/src/control/control_peer.c
+++ b/src/control/control_peer.c
@@ -1,4 +1,5 @@
-/* Sends Raft messages to the other control processes: a queue and a thread for each. */
+/* Sends Raft messages to the other control processes: a queue and a thread for each process. Raft
+ * repeats messages that are lost. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/metric.h"
@@ -17,7 +18,7 @@
 	buf_t msg;
 } queued_msg_t;
 
-/* Ring buffer of outgoing messages and the connection of the thread that sends them. */
+/* Ring buffer of messages to one process, and the connection on which its thread sends them. */
 typedef struct {
 	char addr[64];
 	control_t *ctl;
@@ -43,6 +44,7 @@
 	return p;
 }
 
+/* Waits until messages are queued, and takes those for one call. */
 static size_t take_batch(peer_queue_t *p, queued_msg_t out[BATCH_MAX])
 {
 	size_t n = 0;
--- a/src/control/control_platform.c
+++ b/src/control/control_platform.c
@@ -1,4 +1,5 @@
-/* Polls the platform's list of VMs and commits changes of the upstreams to group 0. */
+/* Polls the platform's list of VMs, which become the upstreams of auburn-entry, and commits changes
+ * to group 0. */
 #include <curl/curl.h>
 #include <jansson.h>
 #include <string.h>
@@ -51,7 +52,7 @@
 	return v && *v;
 }
 
-static bool read_vm(const json_t *o, wire_upstream_t *u)
+static bool parse_vm(const json_t *o, wire_upstream_t *u)
 {
 	const char *state = json_string_value(json_object_get(o, "state"));
 
@@ -77,8 +78,8 @@
 		mem_new((n + 1) * sizeof(wire_upstream_t));
 	cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len = (u_int)n;
 	for (size_t i = 0; i < n && st == STATUS_OK; i++) {
-		if (!read_vm(json_array_get(vms, i),
-			     &cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]))
+		if (!parse_vm(json_array_get(vms, i),
+			      &cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]))
 			st = status_fail(STATUS_INVALID,
 					 "VM %zu in the platform's list lacks a field", i);
 	}
@@ -99,7 +100,7 @@
 	       str_eq(wire_str(a->service), wire_str(b->service)) && a->state == b->state;
 }
 
-static bool is_listed(const wire_view_t *v, const wire_upstream_t *u)
+static bool view_contains(const wire_view_t *v, const wire_upstream_t *u)
 {
 	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
 		if (same_upstream(&v->upstreams.upstreams_val[i], u))
@@ -114,19 +115,19 @@
 	wire_query_t q = {.kind = WIRE_QUERY_VIEW};
 	wire_query_res_t res = {0};
 	u_int n = c->cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len;
-	u_int known = 0;
+	u_int listed = 0;
 
 	fleet_query(g->fleet, &q, &res);
 	for (u_int i = 0; i < res.view.upstreams.upstreams_len; i++)
-		known += res.view.upstreams.upstreams_val[i].state != WIRE_UPSTREAM_GONE;
-	c->differs = known != n;
+		listed += res.view.upstreams.upstreams_val[i].state != WIRE_UPSTREAM_GONE;
+	c->differs = listed != n;
 	for (u_int i = 0; i < n && !c->differs; i++)
-		c->differs = !is_listed(&res.view,
-					&c->cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]);
+		c->differs = !view_contains(&res.view,
+					    &c->cmd->wire_fleet_cmd_t_u.upstreams.upstreams_val[i]);
 	wire_free(XDR_PROC(wire_query_res_t), &res);
 }
 
-/* An empty list is ignored: the platform is more likely at fault than without any VM. */
+/* An empty list is ignored: an error of the platform is more likely than that no VM is left. */
 static bool is_plausible(const wire_fleet_cmd_t *cmd)
 {
 	return cmd->wire_fleet_cmd_t_u.upstreams.upstreams_len > 0;
--- a/src/control/control_repair.c
+++ b/src/control/control_repair.c
@@ -1,4 +1,5 @@
-/* Membership repair by a group's leader: replaces lost and retired voters, adds missing ones. */
+/* Membership repair by a group's leader: replaces lost and retired voters and adds missing ones. A
+ * new voter is first added as a learner and promoted once it has caught up. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +12,7 @@
 #define PERIOD_MS	  200
 
 /* Asks the process at an address for the id of its replica of a group, and for its zone. Returns 0
- * without an answer. */
+ * if there is no answer or the process has not opened its groups yet. */
 static uint64_t fetch_replica_id(const char *addr, unsigned group, char zone[32])
 {
 	const char *addrs[] = {addr};
@@ -34,7 +35,7 @@
 	return id;
 }
 
-static const group_peer_t *peer_by_id(const group_status_t *st, uint64_t id)
+static const group_peer_t *find_peer(const group_status_t *st, uint64_t id)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
 		if (st->peers[i].id == id)
@@ -52,6 +53,7 @@
 	return false;
 }
 
+/* True if the member has sent nothing for this long while this process has led the group. */
 static bool is_silent(const group_status_t *st, unsigned i, int64_t ms)
 {
 	deadline_t last_answer =
@@ -63,25 +65,25 @@
 typedef struct {
 	uint64_t id;
 	bool retired;
-} retired_t;
+} retired_query_t;
 
 static void read_retired(control_group_t *g, void *arg)
 {
-	retired_t *r = arg;
+	retired_query_t *r = arg;
 
 	r->retired = fleet_is_retired(g->fleet, r->id);
 }
 
-bool control_is_retired(control_t *ctl, uint64_t id)
+bool control_is_retired(control_t *ctl, uint64_t replica_id)
 {
-	retired_t r = {.id = id};
+	retired_query_t r = {.id = replica_id};
 
 	control_group_read(&ctl->groups[0], read_retired, &r);
 	return r.retired;
 }
 
-/* Processes that may become voters: those linked to the hub, or the spares of the settings if there
- * is no hub. */
+/* Lists the processes that could become voters: those linked to the hub or, without a hub, the
+ * spares of the settings that answer. */
 static unsigned list_candidates(control_t *ctl, control_group_t *g,
 				group_peer_t out[CONTROL_CANDIDATES_MAX])
 {
@@ -100,8 +102,8 @@
 	return n;
 }
 
-/* Id of the replica at a voter's address; 0 if unknown. An id other than the voter's means that the
- * voter lost its disk. */
+/* Returns the id of the replica that is now at a voter's address; 0 if unknown. An id other than
+ * the voter's means that the process has lost the voter's disk or set its damaged folder aside. */
 static uint64_t find_replica_id(control_t *ctl, control_group_t *g, const char *addr, char zone[32])
 {
 	group_peer_t v[CONTROL_CANDIDATES_MAX];
@@ -128,7 +130,8 @@
 	return n;
 }
 
-/* Prefers a spare in the given zone; with zone NULL, one in the zone with the fewest voters. */
+/* Finds a candidate that is neither a member nor retired. Prefers one in the given zone; with zone
+ * NULL, one in the zone with the fewest voters. */
 static bool find_spare(control_t *ctl, control_group_t *g, const group_status_t *st,
 		       const char *zone, group_peer_t *out)
 {
@@ -139,7 +142,7 @@
 	for (unsigned i = 0; i < n; i++) {
 		bool better;
 
-		if (has_voter_at(st, v[i].addr) || peer_by_id(st, v[i].id) ||
+		if (has_voter_at(st, v[i].addr) || find_peer(st, v[i].id) ||
 		    control_is_retired(ctl, v[i].id))
 			continue;
 		better = zone ? strcmp(v[i].zone, zone) == 0
@@ -151,7 +154,8 @@
 	return found;
 }
 
-/* Prefers the lost voter's address under a new id, then a spare in its zone, then any spare. */
+/* Prefers the process at the lost voter's address if it has a new replica id, then a spare in the
+ * voter's zone, then any spare. */
 static bool find_replacement(control_t *ctl, control_group_t *g, const group_status_t *st,
 			     const group_peer_t *lost, group_peer_t *out)
 {
@@ -160,15 +164,16 @@
 	*out = (group_peer_t){0};
 	snprintf(out->addr, sizeof(out->addr), "%s", lost->addr);
 	id = find_replica_id(ctl, g, lost->addr, out->zone);
-	if (id && id != lost->id && !peer_by_id(st, id)) {
+	if (id && id != lost->id && !find_peer(st, id)) {
 		out->id = id;
 		return true;
 	}
 	return find_spare(ctl, g, st, lost->zone, out);
 }
 
-/* Promotes a learner that has caught up. Returns true while there is a learner, which is about to
- * become a voter: the group changes one member at a time. */
+/* Promotes the learner once it has caught up. Returns true while there is a learner: the group
+ * changes one member at a time, so other changes wait until the
+ * learner is promoted or removed. */
 static bool promote_learner(control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
@@ -189,7 +194,7 @@
 	return false;
 }
 
-/* Removes a learner that no longer answers, so that another one can be added. */
+/* Removes a learner that has been silent for the grace time, so that another one can be added. */
 static bool remove_silent_learner(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
@@ -212,8 +217,9 @@
 	return n;
 }
 
-/* Replaces a lost or retired voter. Adds the replacement first; removes the voter only when the
- * group has more voters than its target, so the group never shrinks below it. */
+/* Takes the next step to replace a lost or retired voter: adds the replacement, or removes the
+ * voter once the group has more voters than its target. So the group never shrinks below its
+ * target. */
 static void replace_voter(control_t *ctl, control_group_t *g, const group_status_t *st, unsigned i)
 {
 	const group_peer_t *lost = &st->peers[i];
@@ -235,8 +241,8 @@
 		  LOG_CSTR("status", status_name(result)));
 }
 
-/* A voter whose address answers with another replica id has lost its disk and is replaced without
- * the grace time. */
+/* True if another replica is now at the voter's address. The voter cannot come back then, so it is
+ * replaced without waiting for the grace time. */
 static bool has_new_id(control_t *ctl, control_group_t *g, const group_status_t *st, unsigned i)
 {
 	char zone[32];
@@ -251,7 +257,8 @@
 				      : (unsigned)ctl->settings.controls.n;
 }
 
-/* Adds one voter at a time to a group that was founded with fewer voters than its target. */
+/* Adds a learner, the next voter, if the group has fewer voters than its target, as after it was
+ * founded by fewer control processes. */
 static void add_missing_voter(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	group_peer_t spare = {0};
@@ -260,12 +267,14 @@
 	if (count_voters(st) >= control_voter_target(ctl) || !find_spare(ctl, g, st, NULL, &spare))
 		return;
 	result = group_add_learner(g->raft, &spare, clock_now_ms() + MEMBER_CHANGE_MS);
-	log_event(LOG_LEVEL_INFO, "voter_added", LOG_INT("group", g->number),
+	log_event(LOG_LEVEL_INFO, "learner_added", LOG_INT("group", g->number),
 		  LOG_CSTR("addr", spare.addr), LOG_INT("voters", count_voters(st)),
 		  LOG_CSTR("status", status_name(result)));
 }
 
-/* Replaces a member that operators have retired; a leader hands over its leadership first. */
+/* Takes the next step to remove a member that operators have retired: removes a learner, replaces a
+ * voter. If the voter is this leader, it hands over its leadership once the replacement votes, and
+ * the next leader removes it. Returns true if a member is retired. */
 static bool replace_retired(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
--- a/src/control/control_rpc.c
+++ b/src/control/control_rpc.c
@@ -23,8 +23,8 @@
 }
 
 /* Forwards a call to the leader if the client asked for it and this process does not lead. Returns
- * false if the caller is to execute the call here: nothing to forward, or the leader is unknown or
- * did not answer. */
+ * false if the call is to be executed here: because it need not be forwarded, or because the leader
+ * is unknown or did not answer. */
 static bool forward_exec(control_t *ctl, control_group_t *g, unsigned proc,
 			 const wire_exec_arg_t *arg, wire_exec_res_t *res)
 {
@@ -58,7 +58,7 @@
 	return &ctl->groups[n];
 }
 
-/* An invalid config must never reach the log. */
+/* Refuses an invalid config before it gets into the replicated log. */
 static status_t check_config(const wire_fleet_cmd_t *cmd)
 {
 	config_t *t = NULL;
@@ -167,6 +167,7 @@
 	wire_free(XDR_PROC(wire_query_t), &q);
 }
 
+/* Like forward_exec. */
 static bool forward_heartbeat(control_t *ctl, const wire_heartbeat_arg_t *arg,
 			      wire_heartbeat_res_t *res)
 {
--- a/src/control/control_session.c
+++ b/src/control/control_session.c
@@ -1,4 +1,5 @@
-/* Sessions and leases of entries, held by the leader of group 0. */
+/* Heartbeats and leases of entries. The time of an entry's last heartbeat is soft state of the
+ * leader of group 0; the sessions themselves are replicated in group 0. */
 #include <stdlib.h>
 #include <uthash.h>
 #include "base/metric.h"
@@ -6,12 +7,12 @@
 
 #define HEARTBEAT_MAX_MS 1000
 
-/* The last heartbeat of a session that this process received. */
+/* State of a session, from the heartbeats that this process has received. */
 typedef struct {
 	uint64_t session;
 	deadline_t last_heartbeat;
 	uint64_t view_version; /* version of the view that the entry uses */
-	bool drained; /* the planned stop of its entry is committed */
+	bool drained; /* the planned stop of its entry is recorded in group 0 */
 	UT_hash_handle hh;
 } session_record_t;
 
@@ -61,7 +62,7 @@
 	deadline_t last_heartbeat = leader_since;
 	session_record_t *h;
 
-	/* The previous leader may have renewed the lease until this process took over. */
+	/* The previous leader may have renewed the lease until this process became leader. */
 	pthread_mutex_lock(&s->lock);
 	h = find_session(s, session);
 	if (h && h->last_heartbeat > last_heartbeat)
--- a/src/control/control_settings.c
+++ b/src/control/control_settings.c
@@ -43,7 +43,8 @@
 	return STATUS_OK;
 }
 
-/* Sets the port of every address: `controls` lists the processes by another of their ports. */
+/* Sets the port of all addresses. Used if `controls` lists the processes with a port other than
+ * that of their RPC servers. */
 static void replace_ports(toml_strs_t *addrs, unsigned port)
 {
 	for (size_t i = 0; i < addrs->n; i++) {
--- a/src/control/control_status.c
+++ b/src/control/control_status.c
@@ -2,8 +2,8 @@
 #include <jansson.h>
 #include "control/control.h"
 
-/* A group with a commit index above this has been in use: its replicas must not be founded again.
- */
+/* A group whose commit index is above this has been used since it was founded, so it must not be
+ * founded again. */
 #define FOUNDING_ENTRIES 2
 
 static json_t *peers_json(const group_status_t *st)
@@ -62,7 +62,7 @@
 	json_object_set_new(o, "bytes", json_integer((json_int_t)s.bytes));
 }
 
-/* Adds all groups to root. Returns true if one of them has been in use. */
+/* Adds the groups to root. Returns true if one of them has been used. */
 static bool add_groups(control_t *ctl, json_t *root)
 {
 	json_t *groups = json_array();
@@ -90,7 +90,8 @@
 	const char *state = "fresh";
 	char *text;
 
-	/* "fresh": the groups are not open yet. "seeded": open and never used. "member": in use. */
+	/* "fresh": the groups are not open yet. "seeded": they are open, but none has been used.
+	 * "member": a group has been used, so this process holds state. */
 	if (ctl->ready)
 		state = add_groups(ctl, root) ? "member" : "seeded";
 	json_object_set_new(root, "state", json_string(state));
--- a/src/control/hub.c
+++ b/src/control/hub.c
@@ -1,4 +1,4 @@
-/* Event loop of the hub: links to other processes, the leader role, and calls on this process. */
+/* The hub's event loop: links with other processes, start and end of leading, dispatch of calls. */
 #include "control/hub.h"
 
 #include <stdlib.h>
@@ -9,10 +9,10 @@
 
 /** Silence timeout of a linked process, in ms. */
 #define PEER_SILENCE_MS 700
-/** Time limit of a new leader's first read barrier, in ms. */
+/** Time limit of the read barrier of a new leader, in ms. */
 #define BARRIER_MS   2000
 #define CALL_THREADS 3
-/** The leader announces itself to control processes without a link on this period, in ms. */
+/** Period of the leader's announcements, in ms; see announce_leader. */
 #define ANNOUNCE_MS 500
 
 hub_peer_t *hub_find_peer(hub_t *h, uint64_t id)
@@ -80,9 +80,9 @@
 	for (hub_peer_t *p = h->peers; p; p = p->hh.next) {
 		group_peer_t *c = &h->candidates[h->ncandidates];
 
-		if (!p->rpc_addr[0] || !p->replica || h->ncandidates == CONTROL_CANDIDATES_MAX)
+		if (!p->rpc_addr[0] || !p->replica_id || h->ncandidates == CONTROL_CANDIDATES_MAX)
 			continue;
-		*c = (group_peer_t){.id = p->replica};
+		*c = (group_peer_t){.id = p->replica_id};
 		snprintf(c->addr, sizeof(c->addr), "%s", p->rpc_addr);
 		snprintf(c->zone, sizeof(c->zone), "%s", p->zone);
 		h->ncandidates++;
@@ -109,6 +109,7 @@
 
 /* ---- links ---- */
 
+/* Frees the peer but does not close its link. */
 static void remove_peer(hub_peer_t *p, const char *reason)
 {
 	hub_t *h = p->hub;
@@ -130,7 +131,7 @@
 	remove_peer(msgconn_data(l), "closed");
 }
 
-static void copy_bytes(char *out, size_t size, wire_bytes_t b)
+static void copy_str(char *out, size_t size, wire_bytes_t b)
 {
 	snprintf(out, size, "%.*s", STR_ARG(wire_str(b)));
 }
@@ -153,11 +154,11 @@
 {
 	bool first = !p->registered;
 
-	copy_bytes(p->name, sizeof(p->name), m->name);
-	copy_bytes(p->addr, sizeof(p->addr), m->addr);
-	copy_bytes(p->zone, sizeof(p->zone), m->zone);
-	copy_bytes(p->rpc_addr, sizeof(p->rpc_addr), m->control);
-	p->replica = m->replica;
+	copy_str(p->name, sizeof(p->name), m->name);
+	copy_str(p->addr, sizeof(p->addr), m->addr);
+	copy_str(p->zone, sizeof(p->zone), m->zone);
+	copy_str(p->rpc_addr, sizeof(p->rpc_addr), m->control);
+	p->replica_id = m->replica;
 	p->draining = m->draining;
 	if (first)
 		send_welcome(h, p);
@@ -222,8 +223,8 @@
 	}
 }
 
-/* read_until: time up to which received data has been read; data that arrived while this process
- * was paused may still be unread. */
+/* Drops silent peers and pings the others. Silence counts only up to read_until, as data that
+ * arrived while this process was paused may still be unread. */
 static void check_links(hub_t *h, deadline_t now, deadline_t read_until)
 {
 	hub_peer_t *p;
@@ -267,7 +268,7 @@
 	}
 }
 
-/* Nothing is expected in return for an announcement. */
+/* Ignores what the other end of an announcement link sends, such as pings. */
 static void on_announce_message(void *ctx, msgconn_t *l, str_t s)
 {
 }
@@ -303,10 +304,10 @@
 }
 
 /*
- * An entry that has restarted knows only the control processes in its settings. If these are no
- * longer members, because they were replaced or lost their disks, none of them can name the leader
- * to the entry. The leader therefore announces itself to the known control processes that are not
- * linked to it.
+ * An entry that has restarted asks only the control processes in its settings for the leader. If
+ * none of these is a member any more, because they were replaced or lost their disks, none can name
+ * the leader. The leader therefore connects to the control processes that are not linked to it and
+ * sends them its address.
  */
 static void announce_leader(hub_t *h, deadline_t now)
 {
@@ -386,8 +387,8 @@
 	free(s);
 }
 
-/* Follows the Raft role. A new leader dispatches only after a read barrier, when it has applied all
- * commands of its predecessors. */
+/* Follows the Raft role. A new leader starts to dispatch after a read barrier, when it has applied
+ * all commands that former leaders committed. */
 static void update_role(hub_t *h)
 {
 	group_status_t st;
@@ -433,7 +434,7 @@
 	size_t n;
 } add_controls_task_t;
 
-/* The worker has nothing to do: the task only moves the addresses to the hub's thread. */
+/* Empty: the task only moves the addresses to the hub's thread, which calls add_controls_done. */
 static void add_controls_work(worker_task_t *task)
 {
 }
--- a/src/control/hub_config.c
+++ b/src/control/hub_config.c
@@ -1,12 +1,13 @@
-/* Changes and reads of the operators' config. Its version is the operators' own label inside the
- * config; group 0 numbers the configs and accepts number N+1 only on top of N. */
+/* Changes and reads of the operators' config. Group 0 numbers the configs and accepts number N+1
+ * only while N is the newest. The version is the operators' own label inside a config of the
+ * platform's format; in auburnwing's own format it is the number. */
 #include <stdlib.h>
 #include "base/log.h"
 #include "client/routes_decode.h"
 #include "control/hub.h"
 
-/** Time limit of a change or read, in ms. After it the outcome is unclear, and the operator asks
- * another control process. */
+/** Time limit of a change or read, in ms. After it the outcome of a change is unclear, and the
+ * operator asks another control process. */
 #define CALL_MS 2500
 
 typedef struct {
@@ -15,13 +16,14 @@
 	hub_origin_t from;
 	bool submit;
 	uint64_t version; /* of the submitted config */
-	uint64_t known_number; /* of the config in force when the call arrived */
+	uint64_t
+		known_number; /* of the newest config that the hub had decoded when the call came */
 	uint64_t known_version; /* of the same config */
 	char *config;
 	size_t config_bytes;
 	status_t st;
 	char message[256];
-	wire_query_res_t current;
+	wire_query_res_t current; /* the newest config in group 0 */
 } config_call_t;
 
 static void read_current(control_group_t *g, void *arg)
@@ -43,8 +45,8 @@
 	return st;
 }
 
-/* Version of a config, which in auburnwing's own format is its number; 0 if it cannot be decoded.
- */
+/* Returns the version of a config; 0 if it cannot be decoded. number: the version of a config in
+ * auburnwing's own format. */
 static uint64_t config_version(str_t config, uint64_t number)
 {
 	route_table_t *r = NULL;
@@ -57,6 +59,8 @@
 	return version;
 }
 
+/* Returns the version of the current config, 0 if there is none. Decodes the config only if the hub
+ * has not done so already. */
 static uint64_t current_version(const config_call_t *c)
 {
 	const wire_config_t *current = &c->current.conf;
@@ -66,9 +70,9 @@
 	return current->number ? config_version(wire_str(current->text), current->number) : 0;
 }
 
-/* STATUS_OK: the config is in force, or one of the same or a newer version is. STATUS_CONFLICT:
- * another change was committed first. */
-static status_t submit_once(config_call_t *c, deadline_t deadline)
+/* STATUS_OK: the config was committed, or the current one has the same or a newer version and stays
+ * in force. STATUS_CONFLICT: another change was committed first. */
+static status_t try_submit(config_call_t *c, deadline_t deadline)
 {
 	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_CONFIG_SUBMIT};
 	wire_config_submit_t *s = &cmd.wire_fleet_cmd_t_u.submit;
@@ -89,29 +93,30 @@
 	return st;
 }
 
-static status_t submit(config_call_t *c, deadline_t deadline)
+static status_t submit_config(config_call_t *c, deadline_t deadline)
 {
 	status_t st;
 
+	/* A config in auburnwing's own format gets version 0 here and is refused. */
 	c->version = config_version((str_t){c->config, c->config_bytes}, 0);
 	if (c->version == 0)
 		return STATUS_INVALID;
 	do {
-		st = submit_once(c, deadline);
+		st = try_submit(c, deadline);
 	} while (st == STATUS_CONFLICT && clock_now_ms() < deadline);
 	return st;
 }
 
-static void call_work(worker_task_t *task)
+static void config_call_work(worker_task_t *task)
 {
 	config_call_t *c = (config_call_t *)task;
 	deadline_t deadline = clock_now_ms() + CALL_MS;
 
-	c->st = c->submit ? submit(c, deadline) : fetch_current(c, deadline);
+	c->st = c->submit ? submit_config(c, deadline) : fetch_current(c, deadline);
 	snprintf(c->message, sizeof(c->message), "%s", c->st == STATUS_OK ? "" : status_message());
 }
 
-static void call_done(worker_task_t *task)
+static void config_call_done(worker_task_t *task)
 {
 	config_call_t *c = (config_call_t *)task;
 	link_reply_t r = {.status = (int)c->st, .message = wire_bytes(str_c(c->message))};
@@ -135,7 +140,7 @@
 
 	if (arg->kind == LINK_CALL_CONFIG_SUBMIT)
 		config = wire_str(arg->link_call_arg_t_u.text);
-	c->task = (worker_task_t){call_work, call_done, NULL};
+	c->task = (worker_task_t){config_call_work, config_call_done, NULL};
 	c->h = h;
 	c->from = *from;
 	c->submit = arg->kind == LINK_CALL_CONFIG_SUBMIT;
--- a/src/control/hub_dispatch.c
+++ b/src/control/hub_dispatch.c
@@ -1,12 +1,13 @@
-/* Connects the leader's dispatcher to the entries: slot requests, grants, runs of items. */
+/* Connects the leader's dispatcher to the entries, which request slots and run items, and to the
+ * lots in group 0. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/hub.h"
 
-/** A new leader starts no items for this long, in ms, so that entries can report the items that
- * they run: longer than an entry searches for the leader, shorter than the time after which an
+/** A new leader starts no items for this long, in ms, so that entries can first report the items
+ * that they run: longer than an entry searches for the leader, shorter than the time after which an
  * entry without a leader stops its items. */
 #define ADOPT_HOLD_MS 800
 
@@ -106,7 +107,7 @@
 	if (r.p)
 		control_group_read(&h->control->groups[0], send_item_run, &r);
 	if (!r.sent) {
-		/* The entry is lost or the item finished: sync the lots on the next tick. */
+		/* The entry is lost or the item is finished: sync the lots on the next tick. */
 		h->next_lots_sync = 0;
 		return;
 	}
@@ -136,7 +137,8 @@
 
 /* ---- lots ---- */
 
-/* Service of an item by the config in force; empty when its route was removed. */
+/* Returns the service of an item by the routes in force, and sets its attempts_max. Empty if no
+ * route matches, because its route was removed. */
 static const char *find_item_service(hub_t *h, const lot_t *t, hub_item_t *it)
 {
 	const lot_item_t *item = &t->items[it->index];
@@ -167,7 +169,7 @@
 	return lot;
 }
 
-/* Adds the lots accepted since the last call. */
+/* Adds the lots accepted since the last call to the dispatcher, with their open items. */
 static void add_new_lots(control_group_t *g, void *arg)
 {
 	new_lots_t *s = arg;
@@ -202,7 +204,7 @@
 	}
 }
 
-/* Removes an item from the dispatcher. ended: its run has ended, so no entry has to stop it. */
+/* Removes an item from the dispatcher. ended: its run has ended, so no entry is told to stop it. */
 static void finish_item(hub_item_t *it, bool ended)
 {
 	hub_lot_t *lot = it->lot;
@@ -229,8 +231,8 @@
 
 typedef struct {
 	const hub_lot_t *lot;
-	bool over; /* ended, or removed from the replicated state */
-	bool *finished;
+	bool over; /* ended, or removed from group 0 */
+	bool *finished; /* for each item */
 } lot_state_t;
 
 static void read_lot_state(control_group_t *g, void *arg)
@@ -243,7 +245,8 @@
 		l->finished[i] = t->items[i].state != LOT_ITEM_OPEN;
 }
 
-/* Stops items that are finished in the replicated state; frees lots without unfinished items. */
+/* Removes the items that are finished in group 0 or whose lot is over; entries stop their runs.
+ * Frees the lots without unfinished items. */
 static void drop_finished(hub_t *h)
 {
 	hub_lot_t *lot;
@@ -291,7 +294,7 @@
 	}
 }
 
-/* Updates the service of every item; waiting items whose route was removed fail. */
+/* Updates the service of the unfinished items; those that wait and have no route any more fail. */
 void hub_dispatch_reroute(hub_t *h)
 {
 	for (hub_lot_t *lot = h->lots; lot; lot = lot->hh.next)
@@ -325,8 +328,8 @@
 									    : NULL;
 }
 
-/* Adopts a run that an entry reports. The entry stops an item that is finished or runs elsewhere.
- */
+/* Adopts a run that an entry reports. The entry is told to stop an item that is finished or that a
+ * connected entry runs already. */
 static void adopt_run(hub_t *h, hub_peer_t *p, const link_run_t *r)
 {
 	link_msg_t stop = {.kind = LINK_ITEM_STOP};
@@ -379,7 +382,7 @@
 	for (u_int i = 0; i < m->avoid.avoid_len && i < DISPATCH_AVOID_MAX; i++)
 		a.avoid[a.navoid++] = wire_str(m->avoid.avoid_val[i]);
 	dispatch_request_add(h->dispatch, &a, now);
-	/* The slot request may wait here: the ping shows its entry that the leader is alive. */
+	/* The slot request may wait here. The ping acknowledges it, see LEADER_LINK_ACK_MS. */
 	if (p->last_sent < now)
 		hub_send(p, &(link_msg_t){.kind = LINK_PING});
 }
@@ -399,8 +402,8 @@
 {
 	hub_item_t *it = find_unfinished_item(h, m->job, m->item);
 
-	/* A complete result counts from any entry, any other end only from that of the latest run.
-	 */
+	/* A complete result counts from any entry, any other end only from the entry of the latest
+	 * run. */
 	if (!it || (it->entry != p->id && m->end != LINK_ITEM_END_DONE))
 		return;
 	switch (m->end) {
--- a/src/control/hub_http.c
+++ b/src/control/hub_http.c
@@ -1,4 +1,4 @@
-/* HTTP servers for operators and for callers that look up entries. */
+/* HTTP servers of the hub: one for operators, one for callers that look up entries. */
 #include <stdlib.h>
 #include "base/log.h"
 #include "base/metric.h"
@@ -7,13 +7,12 @@
 #include "control/hub.h"
 #include "platform/platform.h"
 
-/** Enough for a config of many routes, which operators send in one request. */
+/** Operators send a config, which may have thousands of routes, in one request. */
 #define BODY_MAX_BYTES	 (16U << 20)
 #define HEADER_MAX_BYTES 16384
-#define HEADER_MS	 5000
-#define IDLE_MS		 15000
-/** Time limit of an operator's call forwarded to the leader, in ms; after it the outcome is
- * unclear. */
+#define HEADER_MS	 5000 /* limit for receiving a header */
+#define IDLE_MS		 15000 /* limit for an idle connection */
+/** Time limit of a call that is forwarded to the leader, in ms. After it the outcome is unclear. */
 #define CALL_MS 2500
 
 typedef struct {
@@ -22,7 +21,7 @@
 	link_call_kind_t kind;
 } operator_call_t;
 
-/* Replies to a call that succeeded. */
+/* Replies to the operator of a successful call. */
 static void reply_ok(const operator_call_t *c, const link_reply_t *r)
 {
 	AUTO_BUF body = {0};
@@ -58,6 +57,7 @@
 	}
 }
 
+/* Replies to the operator and frees the call. r: NULL if the leader did not reply. */
 static void finish_call(operator_call_t *c, const link_reply_t *r)
 {
 	status_t st = r ? (status_t)r->status : STATUS_UNAVAILABLE;
@@ -88,7 +88,7 @@
 	finish_call(ctx, r);
 }
 
-static operator_call_t *call_new(hub_t *h, http_conn_t *conn, link_call_kind_t kind)
+static operator_call_t *new_call(hub_t *h, http_conn_t *conn, link_call_kind_t kind)
 {
 	operator_call_t *c = mem_new(sizeof(*c));
 
@@ -148,13 +148,14 @@
 	free(k);
 }
 
-/* A worker checks the config: decoding thousands of routes here would delay the links. */
-static void put_config(hub_t *h, http_conn_t *conn, str_t body)
+/* Submits a config after a worker has checked it: decoding thousands of routes on the loop would
+ * delay the links. */
+static void submit_config(hub_t *h, http_conn_t *conn, str_t body)
 {
 	config_check_t *k = mem_new(sizeof(*k));
 
 	k->task = (worker_task_t){config_check_work, config_check_done, NULL};
-	k->call = call_new(h, conn, LINK_CALL_CONFIG_SUBMIT);
+	k->call = new_call(h, conn, LINK_CALL_CONFIG_SUBMIT);
 	k->config = str_dup(body);
 	k->config_bytes = body.n;
 	worker_pool_submit(h->call_workers, &k->task);
@@ -169,18 +170,18 @@
 	platform_op_decode(&r->head, &op);
 	switch (op.kind) {
 	case PLATFORM_OP_CONFIG_PUT:
-		put_config(h, conn, r->body);
+		submit_config(h, conn, r->body);
 		break;
 	case PLATFORM_OP_CONFIG_GET:
 		arg.kind = LINK_CALL_CONFIG_GET;
-		execute_call(call_new(h, conn, arg.kind), &arg);
+		execute_call(new_call(h, conn, arg.kind), &arg);
 		break;
 	case PLATFORM_OP_RETIRE:
 	case PLATFORM_OP_RETIRE_STATUS:
 		arg.kind =
 			op.kind == PLATFORM_OP_RETIRE ? LINK_CALL_RETIRE : LINK_CALL_RETIRE_STATUS;
 		arg.link_call_arg_t_u.node = wire_bytes(op.node);
-		execute_call(call_new(h, conn, arg.kind), &arg);
+		execute_call(new_call(h, conn, arg.kind), &arg);
 		break;
 	default:
 		log_event(LOG_LEVEL_INFO, "operator_call_unknown",
--- a/src/control/hub_lots.c
+++ b/src/control/hub_lots.c
@@ -1,4 +1,5 @@
-/* Calls on batch lots, and the commits that record them. Messages on links call a lot a job. */
+/* Calls on batch lots, and the commits of their changes to group 0. A lot is a "job" in the
+ * messages on links. */
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -6,19 +7,19 @@
 #include "base/metric.h"
 #include "control/hub.h"
 
-/** Time limit of a commit, in ms. A commit that exceeds it may still be applied; its callers get a
- * status that says so. */
+/** Time limit of a commit, in ms. A commit that exceeds it may still be applied, and its calls end
+ * with a status that says so. */
 #define COMMIT_MS 2000
-/** A batch above this size accepts no further lots until the commit before it ends. */
+/** New lots are refused while more bytes than this wait for the next commit. */
 #define COMMIT_BYTES   (4U << 20)
 #define READ_BYTES_MAX 1000000
-/** Ended and expired lots are searched for on this period, in ms. */
+/** Period of hub_lots_sync, in ms; commits also call it. */
 #define SYNC_MS 500
-/** Added to the retention time of an item, in ms, so that no clock drops the item early. */
+/** Added to the retention times of items and lots, in ms, so that no clock drops them early. */
 #define DROP_MARGIN_MS 5000
 #define BARRIER_MS     1000
-/** Percentage of memory_mib that lots may fill: writing a snapshot takes as much again, and log,
- * links and messages take the rest. */
+/** Percentage of memory_mib that lots may fill: writing a snapshot takes as much again, and the
+ * log, links and messages take the rest. */
 #define LOTS_MEMORY_PERCENT 35
 #define MIB		    (1U << 20)
 
@@ -43,7 +44,7 @@
 	return mem_grow(v, *cap * size);
 }
 
-static void add_open(hub_t *h, const hub_origin_t *from, const wire_lot_open_t *o)
+static void add_lot_open(hub_t *h, const hub_origin_t *from, const wire_lot_open_t *o)
 {
 	hub_batch_t *b = &h->batch;
 	u_int n = b->cmd.opens.opens_len;
@@ -58,7 +59,7 @@
 	b->bytes += xdr_sizeof(XDR_PROC(wire_lot_open_t), (void *)o);
 }
 
-static void add_end(hub_t *h, const hub_origin_t *from, str_t lot)
+static void add_lot_end(hub_t *h, const hub_origin_t *from, str_t lot)
 {
 	hub_batch_t *b = &h->batch;
 	u_int n = b->cmd.ends.ends_len;
@@ -123,7 +124,7 @@
 	str_t lot;
 	uint32_t after;
 	bool found;
-	bool over; /* no further results will be listed */
+	bool over; /* no further results will come */
 	link_reply_t r;
 } results_read_t;
 
@@ -153,8 +154,8 @@
 	}
 }
 
-/* Replies to a read. Returns false if the lot is unknown here, or if the read may wait and there is
- * nothing new. */
+/* Replies to a read of results. Returns false, without a reply, if the lot is unknown here, or if
+ * `wait` is set, there is no new result and more may come. */
 static bool try_answer_read(hub_t *h, const hub_origin_t *from, str_t lot, uint32_t after,
 			    bool wait)
 {
@@ -176,8 +177,8 @@
 	free(w);
 }
 
-/* Replies to the waiting reads that have results or whose lot has ended, and to those past their
- * deadline. */
+/* Replies to the waiting reads that have new results, whose lot is over, or that are past their
+ * deadline. A read of a lot that has been removed gets no reply. */
 static void wake_waiters(hub_t *h, deadline_t now)
 {
 	hub_waiter_t *w;
@@ -225,7 +226,8 @@
 	buf_add(&b->body, (str_t){t->items[i].data, t->items[i].data_n});
 }
 
-/* Returns false if the lot is unknown here or the item is not open. */
+/* Replies to a read of an item's body. Returns false, without a reply, if the lot is unknown here
+ * or the item is not open. */
 static bool try_answer_body(hub_t *h, const hub_origin_t *from, const link_item_body_t *m)
 {
 	body_read_t b = {.lot = wire_str(m->job), .item = wire_str(m->item)};
@@ -239,8 +241,9 @@
 	return b.st == STATUS_OK;
 }
 
-/* Replies to a read of results or of an item's body, or queues the read of results until there are
- * any. Returns false if the lot or item is unknown here. */
+/* Replies to a read of an item's body or of results. A read of results that may wait is queued
+ * while there is no new result. Returns false, without a reply, if the lot is unknown here or the
+ * item is not open. */
 static bool try_answer_or_wait(hub_t *h, const hub_origin_t *from, const link_call_arg_t *w)
 {
 	const link_lot_read_t *m = &w->link_call_arg_t_u.read;
@@ -279,7 +282,8 @@
 	free(c);
 }
 
-/* Only a confirmed leader may reply "not found", so a read barrier comes first. */
+/* Answers a read whose lot or item was not found. Only a confirmed leader may reply "not found", so
+ * a read barrier comes first. */
 static void answer_after_barrier(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg)
 {
 	barrier_task_t *c = mem_new(sizeof(*c));
@@ -337,8 +341,8 @@
 	}
 }
 
-/* Results that may not have been committed are committed again: the first result of an item counts.
- */
+/* Adds the results of a failed commit to the next one. They may have been committed after all,
+ * which does no harm: the first result of an item counts. */
 static void requeue_results(hub_t *h, commit_t *c)
 {
 	for (u_int i = 0; i < c->batch.cmd.results.results_len; i++) {
@@ -411,7 +415,8 @@
 	r->bytes = r->exists ? 0 : lots_bytes_expected(g->lots);
 }
 
-/* An accepted lot must be kept, so a lot that does not fit into memory is refused. */
+/* An accepted lot stays in memory until it expires, so new lots are refused once the lots have
+ * filled their part of the memory. */
 static bool has_memory_for(hub_t *h, str_t lot)
 {
 	size_t limit = (size_t)h->control->settings.memory_mib * MIB / 100 * LOTS_MEMORY_PERCENT;
@@ -460,7 +465,7 @@
 	o.forget_wall_ms = wall + h->control->settings.lot_ttl_ms + DROP_MARGIN_MS;
 	if (o.forget_wall_ms < o.drop_wall_ms)
 		o.forget_wall_ms = o.drop_wall_ms;
-	add_open(h, from, &o);
+	add_lot_open(h, from, &o);
 	hub_lots_commit(h);
 }
 
@@ -471,7 +476,7 @@
 		open_lot(h, from, &arg->link_call_arg_t_u.open);
 		break;
 	case LINK_CALL_LOT_END:
-		add_end(h, from, wire_str(arg->link_call_arg_t_u.job));
+		add_lot_end(h, from, wire_str(arg->link_call_arg_t_u.job));
 		hub_lots_commit(h);
 		break;
 	default:
@@ -499,7 +504,7 @@
 			status_fail(STATUS_UNAVAILABLE, "this process is no longer the leader"));
 		waiter_free(h, h->waiters);
 	}
-	/* The batch was never proposed, so none of its calls took effect. */
+	/* The batch was not proposed, so none of its calls took effect. */
 	for (u_int i = 0; i < h->batch.cmd.opens.opens_len; i++)
 		hub_reply_status(
 			h, &h->batch.open_origins[i],
--- a/src/control/hub_retire.c
+++ b/src/control/hub_retire.c
@@ -1,14 +1,14 @@
-/* Retires control processes: group 0 records the replica as retired, and the repair replaces its
- * voter. */
+/* Retires control processes for operators: group 0 records the process's Raft replica as retired,
+ * and the repair (control_repair.c) replaces it in the group. Calls name the process by its "node"
+ * (VM). */
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
 #include "control/hub.h"
 
-/** Time limit of a call, in ms. After it the outcome is unclear; the operator may repeat the call.
- */
+/** Time limit of a call, in ms. After it the outcome is unclear; operators may repeat the call. */
 #define RETIRE_MS 2000
-/** Control processes have linked to a new leader after this, in ms: the slowest took 1.8 s. */
+/** Time in ms in which the other control processes link to a new leader; the slowest took 1.8 s. */
 #define PEERS_LINK_MS 3000
 
 typedef struct {
@@ -16,27 +16,27 @@
 	hub_t *h;
 	hub_origin_t from;
 	char *node; /* name of the control process */
-	uint64_t replica; /* to retire; 0: the call asks whether the retired process is empty */
+	uint64_t replica_id; /* to retire; 0: the call asks whether the retired process is empty */
 	status_t st;
 	char message[128];
-	bool empty;
+	bool empty; /* see check_empty */
 } retire_task_t;
 
 typedef struct {
 	str_t node;
-	uint64_t replica;
+	uint64_t replica_id;
 } retired_lookup_t;
 
-static void find_retired(control_group_t *g, void *arg)
+static void find_retired_replica(control_group_t *g, void *arg)
 {
 	retired_lookup_t *f = arg;
 
-	f->replica = fleet_retired_replica(g->fleet, f->node);
+	f->replica_id = fleet_retired_replica(g->fleet, f->node);
 }
 
-/* A retired process is empty once its replica is no member: the members hold all of its data,
- * synced. */
-static void check_emptied(retire_task_t *o)
+/* Checks whether a retired process is empty: its replica is no longer a member of group 0. The VM
+ * can be removed then, as the members hold all of its data, synced. */
+static void check_empty(retire_task_t *o)
 {
 	control_group_t *g = &o->h->control->groups[0];
 	retired_lookup_t f = {.node = str_c(o->node)};
@@ -45,15 +45,15 @@
 	o->st = group_read_barrier(g->raft, clock_now_ms() + RETIRE_MS);
 	if (o->st != STATUS_OK)
 		return;
-	control_group_read(g, find_retired, &f);
-	if (!f.replica) {
+	control_group_read(g, find_retired_replica, &f);
+	if (!f.replica_id) {
 		o->st = status_fail(STATUS_NOT_FOUND, "%s is not retired", o->node);
 		return;
 	}
 	group_get_status(g->raft, &st);
 	o->empty = true;
 	for (unsigned i = 0; i < st.npeers; i++)
-		o->empty &= st.peers[i].id != f.replica;
+		o->empty &= st.peers[i].id != f.replica_id;
 }
 
 static void retire_work(worker_task_t *task)
@@ -62,11 +62,11 @@
 	wire_fleet_cmd_t cmd = {.kind = WIRE_FLEET_RETIRE};
 	wire_fleet_res_t res;
 
-	if (!o->replica) {
-		check_emptied(o);
+	if (!o->replica_id) {
+		check_empty(o);
 	} else {
 		cmd.wire_fleet_cmd_t_u.retire.name = wire_bytes(str_c(o->node));
-		cmd.wire_fleet_cmd_t_u.retire.replica = o->replica;
+		cmd.wire_fleet_cmd_t_u.retire.replica = o->replica_id;
 		o->st = control_fleet_propose(o->h->control, &cmd, &res,
 					      clock_now_ms() + RETIRE_MS);
 		if (o->st == STATUS_OK)
@@ -82,7 +82,7 @@
 	link_reply_t r = {
 		.status = (int)o->st, .message = wire_bytes(str_c(o->message)), .empty = o->empty};
 
-	log_event(LOG_LEVEL_INFO, o->replica ? "retire_ordered" : "retire_asked",
+	log_event(LOG_LEVEL_INFO, o->replica_id ? "retire_ordered" : "retire_asked",
 		  LOG_CSTR("node", o->node), LOG_CSTR("status", status_name(o->st)),
 		  LOG_INT("empty", o->empty));
 	hub_reply(o->h, &o->from, &r);
@@ -90,7 +90,8 @@
 	free(o);
 }
 
-/* Replica id of the control process with this name; 0 if unknown. */
+/* Returns the replica id of the control process with this name; 0 if it is neither linked nor this
+ * process. */
 static uint64_t find_replica_id(hub_t *h, str_t node)
 {
 	group_status_t st;
@@ -101,28 +102,28 @@
 	}
 	for (hub_peer_t *p = h->peers; p; p = p->hh.next) {
 		if (p->rpc_addr[0] && str_eq(str_c(p->name), node))
-			return p->replica;
+			return p->replica_id;
 	}
 	return 0;
 }
 
-/* Number of control processes that could vote without this replica. */
-static unsigned count_left_without(hub_t *h, uint64_t replica)
+/* Counts the control processes that could vote if this replica were retired. */
+static unsigned count_left_without(hub_t *h, uint64_t replica_id)
 {
 	group_status_t st;
 	unsigned n;
 
 	group_get_status(h->control->groups[0].raft, &st);
-	n = st.self != replica && !control_is_retired(h->control, st.self);
+	n = st.self != replica_id && !control_is_retired(h->control, st.self);
 	for (hub_peer_t *p = h->peers; p; p = p->hh.next)
-		n += p->rpc_addr[0] && p->replica != replica &&
-		     !control_is_retired(h->control, p->replica);
+		n += p->rpc_addr[0] && p->replica_id != replica_id &&
+		     !control_is_retired(h->control, p->replica_id);
 	return n;
 }
 
-/* The other control processes link to a new leader within PEERS_LINK_MS. Until then the leader
- * cannot tell whether a VM is unknown or too few VMs would remain. */
-static bool peers_have_linked(hub_t *h)
+/* Before the other control processes have had time to link, a new leader cannot tell whether a VM
+ * is unknown or too few VMs would remain. */
+static bool peers_had_time_to_link(hub_t *h)
 {
 	group_status_t st;
 
@@ -130,9 +131,11 @@
 	return clock_now_ms() - st.leader_since > PEERS_LINK_MS;
 }
 
+/* Refuses to retire a control process: with status st, or as "unavailable" while st may be wrong
+ * because others have not linked yet. */
 static void refuse_retire(hub_t *h, const hub_origin_t *from, str_t node, status_t st)
 {
-	if (!peers_have_linked(h))
+	if (!peers_had_time_to_link(h))
 		st = status_fail(STATUS_UNAVAILABLE, "this process became leader only moments ago");
 	log_event(LOG_LEVEL_INFO, "retire_refused", LOG_STR("node", node),
 		  LOG_CSTR("status", status_name(st)), LOG_CSTR("message", status_message()));
@@ -142,19 +145,19 @@
 void hub_retire_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg)
 {
 	str_t node = wire_str(arg->link_call_arg_t_u.node);
-	uint64_t replica = 0;
+	uint64_t replica_id = 0;
 	retire_task_t *o;
 
 	if (arg->kind == LINK_CALL_RETIRE) {
-		replica = find_replica_id(h, node);
-		if (!replica) {
+		replica_id = find_replica_id(h, node);
+		if (!replica_id) {
 			refuse_retire(
 				h, from, node,
 				status_fail(STATUS_NOT_FOUND, "no VM with this name is linked"));
 			return;
 		}
-		if (!control_is_retired(h->control, replica) &&
-		    count_left_without(h, replica) < control_voter_target(h->control)) {
+		if (!control_is_retired(h->control, replica_id) &&
+		    count_left_without(h, replica_id) < control_voter_target(h->control)) {
 			refuse_retire(
 				h, from, node,
 				status_fail(STATUS_CONFLICT, "too few VMs would remain to vote"));
@@ -166,6 +169,6 @@
 	o->h = h;
 	o->from = *from;
 	o->node = str_dup(node);
-	o->replica = replica;
+	o->replica_id = replica_id;
 	worker_pool_submit(h->call_workers, &o->task);
 }
--- a/src/control/hub_routes.c
+++ b/src/control/hub_routes.c
@@ -1,5 +1,5 @@
-/* The routes in force. A worker decodes them from the config in the log, as thousands of routes
- * would block the loop; the entries receive them as deltas. */
+/* The routes in force. A worker decodes them from the newest config in group 0, as decoding
+ * thousands of routes would block the loop. The leader sends them to the entries as deltas. */
 #include <stdlib.h>
 #include "base/log.h"
 #include "base/metric.h"
@@ -19,8 +19,9 @@
 	return NULL;
 }
 
-/* Returns the routes whose delta leads from base to the newest; packs the delta on first use. Index
- * 0 holds the newest routes, and its delta contains all of them. */
+/* Finds the element of recent_routes whose delta turns the routes of base into the newest ones, and
+ * packs that delta on first use. If base is none, too old or the newest config itself, this is the
+ * first element, whose delta contains all routes. */
 static hub_routes_t *pack_delta(hub_t *h, fanout_config_id_t base)
 {
 	hub_routes_t *newest = &h->recent_routes[0];
@@ -35,6 +36,7 @@
 	return k;
 }
 
+/* Sends an entry the newest routes, see fanout_callbacks_t. */
 static size_t send_config(void *ctx, uint64_t peer, fanout_config_id_t base)
 {
 	hub_t *h = ctx;
@@ -71,7 +73,7 @@
 typedef struct {
 	worker_task_t task;
 	hub_t *h;
-	uint64_t config_seen; /* number of the newest config that was decoded, or could not be */
+	uint64_t config_seen; /* as in hub_t */
 	wire_query_res_t res;
 	route_table_t *routes;
 	char message[256];
@@ -94,6 +96,7 @@
 		snprintf(d->message, sizeof(d->message), "%s", status_message());
 }
 
+/* Makes the routes the newest. The packed deltas, which led to the former newest, are dropped. */
 static void add_recent(hub_t *h, fanout_config_id_t config, route_table_t *routes)
 {
 	hub_routes_t *last = &h->recent_routes[HUB_RECENT_ROUTES - 1];
@@ -128,7 +131,7 @@
 		if (h->dispatch)
 			hub_dispatch_reroute(h);
 	} else {
-		/* Unexpected: every config is decoded before it is accepted. */
+		/* Unexpected, as a config is checked before it is committed. */
 		log_event(LOG_LEVEL_ERROR, "text_unreadable", LOG_INT("number", config.number),
 			  LOG_CSTR("what", d->message));
 	}
--- a/src/control/hub_view.c
+++ b/src/control/hub_view.c
@@ -1,15 +1,16 @@
-/* The view (replicas, entries and control processes) and its distribution to linked processes. */
+/* The view: replicas from the upstream list, entries and control processes from the links. While
+ * this process leads, it makes the view and sends it to the linked processes. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
 #include "base/metric.h"
 #include "control/hub.h"
 
-/** The view retains the entries of the previous leader's view until as many processes have linked
- * to this one, but no longer than this, in ms. */
+/** A new leader's view retains the entries of the previous leader's view until as many processes
+ * have linked, but no longer than this, in ms. */
 #define INHERITED_ENTRIES_MS 2000
-/** Minimum time between two views, in ms for each linked process: views then cost the leader less
- * than a tenth of a core. */
+/** Minimum time between two sends of the view, in ms for each linked process: the view then costs
+ * the leader less than a tenth of a core. */
 #define VIEW_PERIOD_PER_PEER_MS 1
 
 static bool same_upstream(const link_upstream_t *a, const link_upstream_t *b)
@@ -20,7 +21,7 @@
 	       a->leaving == b->leaving && a->start_time == b->start_time;
 }
 
-/* Lists mostly keep their order, so the search looks at the hinted index first. */
+/* Looks at the hinted index first, as replicas mostly keep their position from list to list. */
 static const link_upstream_t *find_upstream(const link_view_t *v, str_t id, u_int hint)
 {
 	if (hint < v->upstreams.upstreams_len &&
@@ -38,7 +39,7 @@
 	return find_upstream(&h->view, id, 0);
 }
 
-/* Logs the differences between two lists; returns true if there are any. */
+/* Logs the differences between two lists of replicas; returns true if there are any. */
 static bool log_list_changes(const link_view_t *was, const link_view_t *now)
 {
 	bool changed = was->upstreams.upstreams_len != now->upstreams.upstreams_len;
@@ -82,7 +83,8 @@
 	free(v);
 }
 
-/* A notice from the replica itself, reported by an entry, overrides the list, which lags. */
+/* Marks the replicas that have announced to an entry that they leave. Their own announcement
+ * overrides the upstream list, which lags. */
 static void mark_leaving(hub_t *h, link_view_t *v)
 {
 	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
@@ -99,7 +101,7 @@
 	str_t id = wire_str(m->replica);
 	const link_upstream_t *u = hub_find_replica(h, id);
 
-	/* A replica that has restarted since is not leaving. */
+	/* A replica that has restarted since its announcement is not leaving. */
 	if ((u && m->start_time && u->start_time > m->start_time) ||
 	    !leaving_add(h->leaving_replicas, (leaving_replica_t){id, m->start_time}))
 		return;
@@ -118,6 +120,7 @@
 	h->view_changed = true;
 }
 
+/* Handles a newly read upstream list. */
 static void on_list(void *ctx, link_view_t *v)
 {
 	hub_t *h = ctx;
@@ -137,7 +140,8 @@
 	update_dispatcher(h);
 }
 
-/* Sets the entries and control processes of the view from the registered peers. */
+/* Sets the entries and control processes of the view: the registered peers without draining
+ * entries, and this process. */
 static void rebuild_members(hub_t *h)
 {
 	size_t n = HASH_COUNT(h->peers);
@@ -204,7 +208,8 @@
 	h->rings_stale = false;
 }
 
-/* Selects a peer's share of the upstream list; returns the digest of the share. */
+/* Selects an entry's share of the replicas. self: hash of the entry's address. Returns the digest
+ * of the share, which is never 0. */
 static uint64_t select_upstreams(const hub_t *h, uint64_t self, link_upstream_t *out, u_int *n)
 {
 	size_t at[HUB_SHARE_MAX];
@@ -219,6 +224,7 @@
 	return digest | 1;
 }
 
+/* Like select_upstreams, for the list of entries. */
 static uint64_t select_entries(const hub_t *h, uint64_t self, link_entry_t *out, u_int *n)
 {
 	size_t at[HUB_SHARE_MAX];
@@ -243,10 +249,11 @@
 }
 
 /*
- * Sends an entry its share of the view, without the lists that it has already. A share is enough: a
- * grant contains the replica's address, so an entry needs the list only while it has no leader, and
- * a caller is given no more than HUB_SHARE_MAX entries. With hundreds of entries and thousands of
- * replicas, most of the leader's traffic would be whole lists, or shares that have not changed.
+ * Sends an entry its share of the view, without the lists that have not changed since the last
+ * time. A share is enough: a grant contains the replica's address, so an entry needs the list of
+ * replicas only while it has no leader, and a caller is given no more than HUB_SHARE_MAX entries.
+ * With hundreds of entries and thousands of replicas, sending whole or unchanged lists would be
+ * most of the leader's traffic.
  */
 static void send_share(hub_t *h, hub_peer_t *p)
 {
@@ -282,7 +289,7 @@
 	METRIC_INC("auburn_views_sent_total");
 }
 
-/* An entry gets its share. A control process may become the leader and needs the whole view. */
+/* Sends an entry its share, and a control process the whole view, as it may become the leader. */
 static void send_view(hub_t *h, hub_peer_t *p)
 {
 	link_msg_t m = {.kind = LINK_VIEW};
@@ -326,7 +333,8 @@
 	if (!h->view_changed)
 		return;
 	group_get_status(h->control->groups[0].raft, &st);
-	/* Callers still get the entries of the previous leader's view. */
+	/* Waits for more entries to link. Until then callers get the entries of the previous
+	 * leader's view. */
 	if (now - st.leader_since < INHERITED_ENTRIES_MS &&
 	    h->view.entries.entries_len > HASH_COUNT(h->peers))
 		return;
--- a/src/control/main.c
+++ b/src/control/main.c
@@ -1,4 +1,5 @@
-/* auburn-control: starts the groups and runs the control thread. */
+/* auburn-control: starts the servers, opens the groups, and runs the leader's periodic work until a
+ * signal. */
 #include <curl/curl.h>
 #include <errno.h>
 #include <signal.h>
@@ -13,8 +14,8 @@
 
 #define ROUND_MS     50
 #define STEP_DOWN_MS 2000
-/** A planned stop waits this long, in ms, for calls in progress: each is answered within 2,500 ms.
- */
+/** A planned stop waits up to this long for HTTP calls in progress, in ms; their time limit is
+ * 2,500 ms. */
 #define CALLS_DRAIN_MS 2700
 #define STOP_POLL_MS   50 /* the hub updates its busy flag every 25 ms */
 
@@ -61,15 +62,16 @@
 	return STATUS_OK;
 }
 
-/* Hands leadership over first, so that no group waits for an election. The groups stay open until
- * the process ends: other threads use them, and every acknowledged command is synced. */
+/* Hands over leadership first, so that no group has to wait for an election timeout. The groups
+ * stay open until the process ends: other threads use them, and each acknowledged command is
+ * synced. */
 static void stop_planned(control_t *ctl)
 {
 	log_event(LOG_LEVEL_INFO, "stopping", LOG_CSTR("reason", "signal"));
 	for (unsigned n = 0; n < ctl->ngroups; n++)
 		group_step_down(ctl->groups[n].raft, clock_now_ms() + STEP_DOWN_MS);
-	/* Waits for the answers to calls and look-ups in progress. Calls that have not begun are
-	 * forwarded to the next leader. */
+	/* Waits until the HTTP calls in progress are answered. New calls are forwarded to the next
+	 * leader, and fail until the link to it is up. */
 	if (ctl->hub) {
 		deadline_t by = clock_now_ms() + CALLS_DRAIN_MS;
 
@@ -80,7 +82,8 @@
 	log_event(LOG_LEVEL_INFO, "stopped", LOG_CSTR("name", ctl->settings.name));
 }
 
-/* Only the list of control processes can change without a restart. */
+/* Adds the control processes that are new in the settings file to those that the hub tries as the
+ * leader. New address routes apply, too; all other changes need a restart. */
 static void reload(control_t *ctl, const char *path)
 {
 	control_settings_t s;
