--- a/src/client/control_client.c
+++ b/src/client/control_client.c
@@ -5,17 +5,17 @@
 #include <stdlib.h>
 #include "base/rpc.h"
 
-/* A control process that has not answered within this time is skipped. */
+/* Time limit of a call to one control process, in ms; then the next one is tried. */
 #define ATTEMPT_MAX_MS 700
 #define RETRY_PAUSE_MS 20
-/* After the leader could not be reached directly, calls ask other processes to forward them for
- * this long. */
+/* For this long, in ms, after the leader could not be reached directly, calls ask other processes
+ * to forward them. */
 #define FORWARD_MS   5000
-#define POOL_MAX     64
+#define POOL_MAX     64 /* idle connections to one control process */
 #define GROUPS_MAX   64
 #define CONTROLS_MAX 18
 
-/* Pool of idle connections to one control process. */
+/* Idle connections to one control process. */
 typedef struct {
 	char *addr;
 	rpc_client_t *idle[POOL_MAX];
@@ -72,6 +72,7 @@
 	return wire_ledger_group(caller, key, c->groups);
 }
 
+/* Takes an idle connection or makes a new one. */
 static rpc_client_t *take_connection(control_client_t *c, size_t i)
 {
 	rpc_client_t *r = NULL;
@@ -144,8 +145,8 @@
 	pthread_mutex_unlock(&c->lock);
 }
 
-/* Makes the hinted process the assumed leader, or the next one in order. Returns false without a
- * usable hint. */
+/* After a failed call: assumes that the hinted process leads the group or, without a usable hint,
+ * the next one in order. Returns true if the hint was used. */
 static bool advance_leader(control_client_t *c, unsigned group, size_t tried, str_t hint)
 {
 	size_t next = (tried + 1) % c->n;
@@ -164,7 +165,8 @@
 	return hinted;
 }
 
-/* Sends the request to the group's leader and retries until an answer or the deadline. */
+/* Sends a command or query to the group's leader; retries until it is executed or refused, or the
+ * deadline passes. */
 static status_t exec_on_leader(control_client_t *c, unsigned group, unsigned proc, str_t payload,
 			       wire_exec_res_t *res, deadline_t deadline)
 {
@@ -199,6 +201,7 @@
 			   group);
 }
 
+/* Encodes a command or query, executes it on the leader and decodes the answer. */
 static status_t exec_typed(control_client_t *c, unsigned group, unsigned proc, xdrproc_t xcmd,
 			   const void *cmd, xdrproc_t xres, void *res, size_t res_size,
 			   deadline_t deadline)
--- a/src/client/delta.c
+++ b/src/client/delta.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include "proto/wire.h"
 
-/** Output space for deflate's overhead on incompressible input. */
+/** Bytes by which n bytes of incompressible input can grow, with a margin. */
 #define DEFLATE_MARGIN(n) ((n) / 16 + 1024)
 
 /* ---- compression ---- */
@@ -46,7 +46,7 @@
 	return STATUS_OK;
 }
 
-/* ---- encoding: route tables to a delta; the message borrows their strings ---- */
+/* ---- encoding: two route tables to a delta, whose message borrows their strings ---- */
 
 static link_route_t encode_route(const route_spec_t *t, link_share_t *shares)
 {
@@ -81,7 +81,7 @@
 	return n;
 }
 
-/* Adds the routes of r that base lacks, or has with other contents. */
+/* Adds the routes of r that base does not have, or has with other contents. */
 static void encode_changed(const route_table_t *base, const route_table_t *r, link_routes_t *m,
 			   link_share_t *shares)
 {
@@ -97,7 +97,7 @@
 	}
 }
 
-/* Adds the keys of the routes of base that r lacks. */
+/* Adds the keys of the routes of base that r does not have. */
 static void encode_removed(const route_table_t *base, const route_table_t *r, link_routes_t *m)
 {
 	for (size_t i = 0; base && i < base->nroutes; i++) {
--- a/src/client/leader_link.c
+++ b/src/client/leader_link.c
@@ -9,9 +9,10 @@
 #include "base/rpc.h"
 #include "net/msgconn.h"
 
-/** A control process that does not answer a hello within this time, in ms, is skipped. */
+/** Time limit for connecting to a control process and for its welcome, in ms; then the next one is
+ * tried. */
 #define HELLO_TIMEOUT_MS 150
-/** Pause between connection attempts, in ms: an attempt may fail at once. */
+/** Minimum time between connection attempts, in ms: an attempt may fail at once. */
 #define RECONNECT_MS 20
 #define CONTROLS_MAX 32
 
@@ -28,7 +29,7 @@
 	char controls[CONTROLS_MAX][LEADER_LINK_ADDR_BYTES];
 	size_t ncontrols;
 	size_t next_control;
-	char hint[LEADER_LINK_ADDR_BYTES];
+	char hint[LEADER_LINK_ADDR_BYTES]; /* is tried next; empty: none */
 	char rpc_addr[LEADER_LINK_ADDR_BYTES]; /* of the process being tried or linked */
 	char link_addr[LEADER_LINK_ADDR_BYTES]; /* its link address */
 	msgconn_t *link;
@@ -37,12 +38,12 @@
 	deadline_t down_since;
 	deadline_t connect_started;
 	deadline_t retry_at;
-	deadline_t last_sent; /* when the last message was sent */
+	deadline_t last_sent;
 	deadline_t unacked_since; /* when the oldest unacknowledged message was sent; 0: none */
 	uint64_t call_id;
 	pending_call_t *calls;
 	ev_timer tick;
-	deadline_t last_tick; /* when on_tick last ran */
+	deadline_t last_tick;
 };
 
 const char *leader_link_call_name(link_call_kind_t kind)
@@ -160,6 +161,7 @@
 	free(c);
 }
 
+/* Ends the calls whose deadline is due_by or earlier. */
 static void expire_calls(leader_link_t *l, deadline_t due_by)
 {
 	pending_call_t *c;
@@ -273,8 +275,8 @@
 	deadline_t now = clock_now_ms();
 	deadline_t read_until;
 
-	/* Data that arrived while this process was paused may still be unread, so silence counts
-	 * only up to one tick after the previous tick. */
+	/* Silence counts only up to one period after the previous tick: data that arrived while
+	 * this process was paused may still be unread. */
 	read_until =
 		now < l->last_tick + LEADER_LINK_TICK_MS ? now : l->last_tick + LEADER_LINK_TICK_MS;
 	l->last_tick = now;
--- a/src/client/upstream_list.c
+++ b/src/client/upstream_list.c
@@ -5,12 +5,14 @@
 #include "net/timeout.h"
 #include "platform/platform.h"
 
-/** Time limit for reading the whole list, in ms; the hub starts the next read within a second. */
+/** Time limit for reading the whole list, in ms. The readers soon start the next read: the hub
+ * within a second, an entry within two. */
 #define READ_TIMEOUT_MS	   1500
 #define CONNECT_TIMEOUT_MS 500
-/** Most bytes of the response for one page; a page of a few hundred replicas is below 100 KB. */
+/** Maximum size of the response for one page, in bytes; a page of a few hundred replicas is below
+ * 100 KB. */
 #define PAGE_BYTES_MAX (4U << 20)
-/** Most replicas in a whole list: several times the size that the system is designed for. */
+/** Maximum number of replicas in a list: several times what the system is designed for. */
 #define REPLICAS_MAX 20000
 
 struct upstream_list {
@@ -21,7 +23,7 @@
 	buf_t cursor;
 	buf_t body;
 	int status;
-	bool failing;
+	bool failing; /* the last read failed, which was logged */
 };
 
 static void end_read(upstream_list_t *u)
@@ -44,7 +46,7 @@
 
 static void read_page(upstream_list_t *u);
 
-static void on_end(void *ctx, http_call_end_t how)
+static void on_page_end(void *ctx, http_call_end_t how)
 {
 	upstream_list_t *u = ctx;
 
@@ -104,11 +106,11 @@
 					  .ctx = u,
 					  .head = on_head,
 					  .body = on_body,
-					  .end = on_end,
+					  .end = on_page_end,
 				  });
 }
 
-static void on_timer(void *ctx)
+static void on_timeout(void *ctx)
 {
 	upstream_list_t *u = ctx;
 
@@ -122,7 +124,7 @@
 	upstream_list_t *u = mem_new(sizeof(*u));
 
 	u->o = *o;
-	timeout_init(&u->timer, o->loop, on_timer, u);
+	timeout_init(&u->timer, o->loop, on_timeout, u);
 	return u;
 }
 
--- a/src/client/upstream_list.h
+++ b/src/client/upstream_list.h
@@ -1,4 +1,4 @@
-/** Reads the platform's list of replicas page by page, one whole read at a time. */
+/** Reads the platform's list of replicas, page by page. */
 #ifndef AUBURN_UPSTREAM_LIST_H
 #define AUBURN_UPSTREAM_LIST_H
 
@@ -12,7 +12,8 @@
 	http_client_t *http;
 	const char *addr; /* ip:port */
 	void *ctx;
-	/** Receives a whole list. The callback may take its contents over and then clears *v. */
+	/** Receives a complete list, in v->upstreams. To keep the list, the callback moves it out
+	 * of *v; what is left in *v is freed. */
 	void (*list)(void *ctx, link_view_t *v);
 } upstream_list_options_t;
 
