--- a/src/client/control_client.h
+++ b/src/client/control_client.h
@@ -46,7 +46,7 @@
 				deadline_t deadline);
 /** Appends to out the status, as JSON, of the control process with index i in addrs. */
 status_t control_client_status(control_client_t *c, size_t i, buf_t *out, deadline_t deadline);
-/** Appends to out the newest lines of its log that contain needle, at most max. */
+/** Appends to out the newest log lines of control process i that contain needle, at most max. */
 status_t control_client_events(control_client_t *c, size_t i, str_t needle, unsigned max,
 			       buf_t *out, deadline_t deadline);
 /** RPC address with index i in addrs. */
--- a/src/client/delta.c
+++ b/src/client/delta.c
@@ -190,7 +190,7 @@
 }
 
 /* Marks the routes of base that the delta removes or replaces. */
-static void mark_replaced(const route_table_t *base, const link_routes_t *m, bool *replaced)
+static void mark_dropped(const route_table_t *base, const link_routes_t *m, bool *dropped)
 {
 	const route_spec_t *t;
 
@@ -198,13 +198,13 @@
 		t = route_table_find(base, wire_str(m->removed.removed_val[i].host),
 				     wire_str(m->removed.removed_val[i].prefix));
 		if (t)
-			replaced[t - base->routes] = true;
+			dropped[t - base->routes] = true;
 	}
 	for (u_int i = 0; i < m->put.put_len; i++) {
 		t = route_table_find(base, wire_str(m->put.put_val[i].host),
 				     wire_str(m->put.put_val[i].prefix));
 		if (t)
-			replaced[t - base->routes] = true;
+			dropped[t - base->routes] = true;
 	}
 }
 
@@ -212,13 +212,13 @@
 static void decode_routes(const route_table_t *base, const link_routes_t *m, route_table_t *r)
 {
 	size_t n = base ? base->nroutes : 0;
-	AUTO_FREE bool *replaced = mem_new((n + 1) * sizeof(*replaced));
+	AUTO_FREE bool *dropped = mem_new((n + 1) * sizeof(*dropped));
 
 	if (base)
-		mark_replaced(base, m, replaced);
+		mark_dropped(base, m, dropped);
 	r->routes = mem_new((n + m->put.put_len + 1) * sizeof(*r->routes));
 	for (size_t i = 0; i < n; i++) {
-		if (!replaced[i])
+		if (!dropped[i])
 			copy_route(&r->routes[r->nroutes++], &base->routes[i]);
 	}
 	for (u_int i = 0; i < m->put.put_len; i++)
--- a/src/client/leader_link.h
+++ b/src/client/leader_link.h
@@ -77,7 +77,8 @@
 size_t leader_link_controls(const leader_link_t *l, str_t *out, size_t max);
 /** Idle: drops the link and does not search for a leader. For a process that leads itself. */
 void leader_link_set_idle(leader_link_t *l, bool idle);
-/** Calls the leader. The callback runs exactly once, before the return if the link is down. */
+/** Calls the leader. reply, which must not be NULL, runs exactly once, before the return if the
+ * link is down. */
 void leader_link_call(leader_link_t *l, link_call_arg_t *arg, deadline_t deadline,
 		      leader_link_reply_t reply, void *ctx);
 
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -43,7 +43,8 @@
 	char *http; /* ip:port for /metrics, /healthz and /readyz; may be NULL */
 	char *data; /* data folder */
 	char *platform; /* URL of the list of VMs that become the upstreams; may be NULL */
-	toml_strs_t controls; /* RPC addresses of the founding control processes */
+	toml_strs_t controls; /* RPC addresses of the founding control processes, with which the
+				 search for the leader begins */
 	toml_strs_t addr_routes; /* "addr=via": connections to addr go to via */
 	toml_strs_t spares; /* RPC addresses of further control processes; without a hub, they are
 			       the candidates for voters */
@@ -52,7 +53,8 @@
 	char *upstream_list; /* ip:port of the platform's list of replicas, which the hub reads for
 				its dispatcher; may be NULL */
 	int64_t rpc_port; /* replaces the ports in `controls`; 0: as given there */
-	int64_t link_port; /* on which all control processes accept links; 0: no hub */
+	int64_t link_port; /* on which all control processes accept links; 0: no hub, and operators,
+				directory and upstream_list have no effect */
 	int64_t tolerate; /* number of control processes whose disks may be lost at once, which
 			     gives the number of voters; 0: as many voters as `controls` */
 	int64_t memory_mib; /* memory of the process, of which lots may fill a part; 0: no limit */
--- a/src/control/control_leader.c
+++ b/src/control/control_leader.c
@@ -82,8 +82,9 @@
 		  LOG_INT("first", lost->ids[0]));
 }
 
-/* Reports closed sessions to the ledger groups, which then release the requests and items of these
- * sessions. Group 0 forgets the sessions only once all ledger groups have recorded them. */
+/* Reports closed sessions to the ledger groups as lost, which then hand the work of these sessions
+ * to other entries or end it as failed. Group 0 forgets the sessions only once all ledger groups
+ * have recorded them. */
 static void report_lost_sessions(control_t *ctl)
 {
 	static session_list_t closed;
--- a/src/control/control_repair.c
+++ b/src/control/control_repair.c
@@ -82,8 +82,9 @@
 	return r.retired;
 }
 
-/* Lists the processes that could become voters: those linked to the hub or, without a hub, the
- * spares of the settings that answer. */
+/* Lists the processes that could become voters, with the ids of their replicas: those linked to the
+ * hub or, without a hub, the spares of the settings that answer. With a hub, the ids are those of
+ * group 0 even if g is another group. */
 static unsigned list_candidates(control_t *ctl, control_group_t *g,
 				group_peer_t out[CONTROL_CANDIDATES_MAX])
 {
@@ -103,7 +104,8 @@
 }
 
 /* Returns the id of the replica that is now at a voter's address; 0 if unknown. An id other than
- * the voter's means that the process has lost the voter's disk or set its damaged folder aside. */
+ * the voter's means that the process has lost the voter's disk or set its damaged folder aside.
+ * With a hub, the id is that of group 0 even if g is another group. */
 static uint64_t find_replica_id(control_t *ctl, control_group_t *g, const char *addr, char zone[32])
 {
 	group_peer_t v[CONTROL_CANDIDATES_MAX];
@@ -172,8 +174,7 @@
 }
 
 /* Promotes the learner once it has caught up. Returns true while there is a learner: the group
- * changes one member at a time, so other changes wait until the
- * learner is promoted or removed. */
+ * changes one member at a time, so other changes wait. */
 static bool promote_learner(control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
--- a/src/control/control_status.c
+++ b/src/control/control_status.c
@@ -2,8 +2,9 @@
 #include <jansson.h>
 #include "control/control.h"
 
-/* A group whose commit index is above this has been used since it was founded, so it must not be
- * founded again. */
+/* Log entries of a founded group before its first command: the first members and the no-op of the
+ * first leader. A group that has committed more counts as used, even if it was only the no-op of
+ * another leader. */
 #define FOUNDING_ENTRIES 2
 
 static json_t *peers_json(const group_status_t *st)
@@ -62,7 +63,7 @@
 	json_object_set_new(o, "bytes", json_integer((json_int_t)s.bytes));
 }
 
-/* Adds the groups to root. Returns true if one of them has been used. */
+/* Adds the groups to root. Returns true if one of them is used, see FOUNDING_ENTRIES. */
 static bool add_groups(control_t *ctl, json_t *root)
 {
 	json_t *groups = json_array();
@@ -90,8 +91,9 @@
 	const char *state = "fresh";
 	char *text;
 
-	/* "fresh": the groups are not open yet. "seeded": they are open, but none has been used.
-	 * "member": a group has been used, so this process holds state. */
+	/* "fresh": the groups are not open yet. "seeded": they are open, and none is used.
+	 * "member": a group is used, so this process may hold state and no new fleet must be
+	 * founded. */
 	if (ctl->ready)
 		state = add_groups(ctl, root) ? "member" : "seeded";
 	json_object_set_new(root, "state", json_string(state));
--- a/src/control/hub.h
+++ b/src/control/hub.h
@@ -148,7 +148,7 @@
 	worker_pool_t *commit_worker; /* one thread: commits are sequential */
 	worker_pool_t *call_workers; /* for work that would block the loop */
 	hub_role_t role;
-	uint64_t term; /* Raft term in which this process leads */
+	uint64_t term; /* Raft term in which this process leads or last led */
 	hub_peer_t *peers;
 	uint64_t peer_id; /* last one assigned */
 	dispatch_t *dispatch; /* NULL while this process does not lead */
@@ -219,8 +219,8 @@
 void hub_routes_stop_leading(hub_t *h);
 /** Starts to decode a newer config if there is one, and sends the deltas that may be sent now. */
 void hub_routes_tick(hub_t *h, deadline_t now);
-/** Adds an entry to the fan-out; ignores control processes. holds: the config whose routes the
- * entry has. */
+/** Adds an entry to the fan-out or updates it; ignores control processes. holds: the config whose
+ * routes the entry has. */
 void hub_routes_add_peer(hub_t *h, const hub_peer_t *p, const link_config_id_t *holds);
 void hub_routes_remove_peer(hub_t *h, const hub_peer_t *p);
 /** Handles an entry's report of the config whose routes it has. */
@@ -230,8 +230,8 @@
 
 void hub_dispatch_start_leading(hub_t *h);
 void hub_dispatch_stop_leading(hub_t *h);
-/** Handles the hello of an entry: adds the entry to the dispatcher, records the leaving replicas
- * and adopts the runs that the hello lists. Ignores control processes. */
+/** Handles a hello of an entry: adds or updates the entry in the dispatcher, records the leaving
+ * replicas and adopts the runs that the hello lists. Ignores control processes. */
 void hub_dispatch_hello(hub_t *h, hub_peer_t *p, const link_hello_t *hello);
 void hub_dispatch_message(hub_t *h, hub_peer_t *p, const link_msg_t *m);
 /** Routes the items again after a change of the config. */
--- a/src/control/hub_dispatch.c
+++ b/src/control/hub_dispatch.c
@@ -7,8 +7,8 @@
 #include "control/hub.h"
 
 /** A new leader starts no items for this long, in ms, so that entries can first report the items
- * that they run: longer than an entry searches for the leader, shorter than the time after which an
- * entry without a leader stops its items. */
+ * that they run. Longer than an entry searches for the leader; shorter than the time after which an
+ * entry without a leader stops its items (STOP_ITEMS_AFTER_MS), as then it has none to report. */
 #define ADOPT_HOLD_MS 800
 
 /* ---- callbacks of the dispatcher ---- */
@@ -208,15 +208,15 @@
 static void finish_item(hub_item_t *it, bool ended)
 {
 	hub_lot_t *lot = it->lot;
-	dispatch_item_t *run = it->dispatch_ref;
+	dispatch_item_t *ref = it->dispatch_ref;
 
-	if (!run)
+	if (!ref)
 		return;
 	it->dispatch_ref = NULL;
 	buf_free(&it->text);
 	it->text = (buf_t){0};
 	lot->unfinished--;
-	dispatch_item_remove(lot->hub->dispatch, run, ended, clock_now_ms());
+	dispatch_item_remove(lot->hub->dispatch, ref, ended, clock_now_ms());
 }
 
 static void lot_free(hub_t *h, hub_lot_t *lot)
--- a/src/control/hub_lots.c
+++ b/src/control/hub_lots.c
@@ -154,8 +154,8 @@
 	}
 }
 
-/* Replies to a read of results. Returns false, without a reply, if the lot is unknown here, or if
- * `wait` is set, there is no new result and more may come. */
+/* Replies to a read of results. Returns false, without a reply, if the lot is unknown here. If
+ * `wait` is set, also returns false while there is no new result but more can come. */
 static bool try_answer_read(hub_t *h, const hub_origin_t *from, str_t lot, uint32_t after,
 			    bool wait)
 {
@@ -178,7 +178,7 @@
 }
 
 /* Replies to the waiting reads that have new results, whose lot is over, or that are past their
- * deadline. A read of a lot that has been removed gets no reply. */
+ * deadline. A read of a lot that has been removed stays queued until this process stops leading. */
 static void wake_waiters(hub_t *h, deadline_t now)
 {
 	hub_waiter_t *w;
--- a/src/control/hub_retire.c
+++ b/src/control/hub_retire.c
@@ -8,7 +8,8 @@
 
 /** Time limit of a call, in ms. After it the outcome is unclear; operators may repeat the call. */
 #define RETIRE_MS 2000
-/** Time in ms in which the other control processes link to a new leader; the slowest took 1.8 s. */
+/** Time in ms in which the other control processes link to a new leader; the slowest measured took
+ * 1.8 s. */
 #define PEERS_LINK_MS 3000
 
 typedef struct {
@@ -35,7 +36,7 @@
 }
 
 /* Checks whether a retired process is empty: its replica is no longer a member of group 0. The VM
- * can be removed then, as the members hold all of its data, synced. */
+ * can be removed then, as the members hold all of its data, synced. Checks no ledger group. */
 static void check_empty(retire_task_t *o)
 {
 	control_group_t *g = &o->h->control->groups[0];
--- a/src/control/main.c
+++ b/src/control/main.c
@@ -1,5 +1,5 @@
-/* auburn-control: starts the servers, opens the groups, and runs the leader's periodic work until a
- * signal. */
+/* auburn-control: starts the servers, opens the groups, and runs the leader's periodic work until
+ * SIGTERM or SIGINT. */
 #include <curl/curl.h>
 #include <errno.h>
 #include <signal.h>
