--- a/src/client/control_client.c
+++ b/src/client/control_client.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include "base/rpc.h"
 
-/* Time limit of a call to one control process, in ms; then the next one is tried. */
+/* Time limit of a call to one control process, in ms. Commands, queries and heartbeats then try
+ * another one. */
 #define ATTEMPT_MAX_MS 700
 #define RETRY_PAUSE_MS 20
 /* For this long, in ms, after the leader could not be reached directly, calls ask other processes
--- a/src/client/control_client.h
+++ b/src/client/control_client.h
@@ -40,7 +40,8 @@
 status_t control_client_heartbeat(control_client_t *c, const wire_heartbeat_arg_t *arg,
 				  wire_heartbeat_res_t *res, deadline_t deadline);
 /** Calls the control process at addr once, without retries; returns the status of rpc_client_call.
- * STATUS_UNAVAILABLE also if addr was not given to control_client_new. */
+ * STATUS_UNAVAILABLE also if addr was not given to control_client_new. Like the next two functions,
+ * waits 700 ms at most, even if the deadline is later. */
 status_t control_client_call_at(control_client_t *c, const char *addr, unsigned proc,
 				xdrproc_t xdr_arg, const void *arg, xdrproc_t xdr_res, void *res,
 				deadline_t deadline);
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -106,7 +106,7 @@
 status_t control_fleet_propose(control_t *ctl, const wire_fleet_cmd_t *cmd, wire_fleet_res_t *res,
 			       deadline_t deadline);
 
-/* control_peer.c: a sending thread for each of the other control processes */
+/* control_peer.c: a queue and a sending thread for each of the other control processes */
 struct control_peers *control_peers_new(control_t *ctl);
 /** Queues a Raft message to the process at addr; drops the oldest one when the queue is full. */
 void control_peer_send(control_t *ctl, const char *addr, unsigned group, str_t msg);
--- a/src/control/control_group.c
+++ b/src/control/control_group.c
@@ -12,7 +12,7 @@
 /* Used by on_send, which gets only the group. */
 static control_t *this_process;
 
-static void apply_fleet(control_group_t *g, str_t cmd, buf_t *result)
+static void apply_group_0(control_group_t *g, str_t cmd, buf_t *result)
 {
 	wire_fleet_cmd_t c;
 	wire_fleet_res_t res = {0};
@@ -48,7 +48,7 @@
 
 	pthread_rwlock_wrlock(&g->lock);
 	if (g->fleet)
-		apply_fleet(g, cmd, result);
+		apply_group_0(g, cmd, result);
 	else
 		apply_ledger(g, cmd, result);
 	pthread_rwlock_unlock(&g->lock);
@@ -57,7 +57,7 @@
 /* First number in a snapshot of group 0 that holds the fleet state and the lots. */
 #define LOTS_SNAPSHOT_MAGIC 0x4730U
 
-static void snapshot_fleet(control_group_t *g, buf_t *out)
+static void snapshot_group_0(control_group_t *g, buf_t *out)
 {
 	AUTO_BUF fleet = {0};
 	size_t lots;
@@ -72,7 +72,7 @@
 	pack_end_str(out, lots);
 }
 
-static status_t restore_fleet(control_group_t *g, str_t snap)
+static status_t restore_group_0(control_group_t *g, str_t snap)
 {
 	unpacker_t in = {snap, false};
 	str_t fleet;
@@ -98,7 +98,7 @@
 
 	pthread_rwlock_rdlock(&g->lock);
 	if (g->fleet)
-		snapshot_fleet(g, out);
+		snapshot_group_0(g, out);
 	else
 		ledger_snapshot(g->ledger, out);
 	pthread_rwlock_unlock(&g->lock);
@@ -112,7 +112,7 @@
 	status_t st;
 
 	pthread_rwlock_wrlock(&g->lock);
-	st = g->fleet ? restore_fleet(g, snap) : ledger_restore(g->ledger, snap);
+	st = g->fleet ? restore_group_0(g, snap) : ledger_restore(g->ledger, snap);
 	pthread_rwlock_unlock(&g->lock);
 	log_event(LOG_LEVEL_INFO, "snapshot_restored", LOG_INT("group", g->number),
 		  LOG_INT("bytes", snap.n), LOG_CSTR("status", status_name(st)));
--- a/src/control/hub.h
+++ b/src/control/hub.h
@@ -153,14 +153,14 @@
 	uint64_t peer_id; /* last one assigned */
 	dispatch_t *dispatch; /* NULL while this process does not lead */
 	deadline_t next_list_read;
-	deadline_t last_list_read; /* by this process or the previous leader; 0: never */
+	deadline_t last_list_read; /* here or, as of the last view, by a leader; 0: never */
 	link_view_t view; /* made here while this process leads; else copied from the leader */
 	leaving_t *leaving_replicas; /* as reported by entries */
 	ring_point_t *upstream_ring; /* of the view's lists, to select the shares of entries */
 	ring_point_t *entry_ring;
 	bool rings_stale; /* the lists have changed since the rings were built */
 	bool view_changed; /* since the last view was sent */
-	deadline_t next_view; /* earliest time of the next view */
+	deadline_t next_view; /* earliest time of the next view to all peers */
 	hub_routes_t recent_routes[HUB_RECENT_ROUTES]; /* newest first */
 	route_table_t *routes; /* in force: recent_routes[0]; NULL: none yet */
 	bool decoding; /* a worker is decoding a newer config */
@@ -188,7 +188,7 @@
 hub_peer_t *hub_find_peer(hub_t *h, uint64_t id);
 /** Replies to a call; sets r->id. */
 void hub_reply(hub_t *h, const hub_origin_t *to, link_reply_t *r);
-/** Replies with a status and, unless it is STATUS_OK, the message of status_fail. */
+/** Replies with a status and, unless it is STATUS_OK, the calling thread's status_message. */
 void hub_reply_status(hub_t *h, const hub_origin_t *to, status_t st);
 /** Executes a call. Replies STATUS_UNAVAILABLE unless this process leads. */
 void hub_handle_call(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg);
@@ -207,7 +207,9 @@
 void hub_view_tick(hub_t *h, deadline_t now);
 /** Sends the view to one peer; an entry gets only its share. */
 void hub_view_send(hub_t *h, hub_peer_t *p);
-/** Time since the upstream list was last read, by this process or a former leader; -1: never. */
+/** Age of the upstream list: time since this process read it or, if later, since the read that the
+ * last view from a leader reported. Reads of an unchanged list by another leader do not show here.
+ * -1: never read. */
 int64_t hub_list_age_ms(const hub_t *h);
 /** Copies the view that the leader has sent, and adds its control processes to those that are tried
  * as the leader. */
@@ -246,7 +248,8 @@
 /** Adds an item's result to the next commit. dead: the item failed for good. */
 void hub_lots_add_result(hub_t *h, hub_item_t *it, bool dead, str_t text);
 /** Adds the item's output since the last call to the next commit, so that a later leader can resume
- * the item there. */
+ * the item there. If that commit fails, later progress of the item is ignored while this process
+ * leads. */
 void hub_lots_add_progress(hub_t *h, hub_item_t *it);
 /** Starts the next commit unless one is in progress or nothing was gathered. */
 void hub_lots_commit(hub_t *h);
--- a/src/control/hub_lots.c
+++ b/src/control/hub_lots.c
@@ -244,14 +244,14 @@
 /* Replies to a read of an item's body or of results. A read of results that may wait is queued
  * while there is no new result. Returns false, without a reply, if the lot is unknown here or the
  * item is not open. */
-static bool try_answer_or_wait(hub_t *h, const hub_origin_t *from, const link_call_arg_t *w)
+static bool try_answer_or_wait(hub_t *h, const hub_origin_t *from, const link_call_arg_t *arg)
 {
-	const link_lot_read_t *m = &w->link_call_arg_t_u.read;
+	const link_lot_read_t *m = &arg->link_call_arg_t_u.read;
 	results_read_t x = {.lot = wire_str(m->job), .after = UINT32_MAX};
 	hub_waiter_t *waiter;
 
-	if (w->kind == LINK_CALL_ITEM_BODY)
-		return try_answer_body(h, from, &w->link_call_arg_t_u.body);
+	if (arg->kind == LINK_CALL_ITEM_BODY)
+		return try_answer_body(h, from, &arg->link_call_arg_t_u.body);
 	if (try_answer_read(h, from, wire_str(m->job), m->after, m->wait_ms > 0))
 		return true;
 	control_group_read(&h->control->groups[0], read_results, &x);
@@ -341,8 +341,8 @@
 	}
 }
 
-/* Adds the results of a failed commit to the next one. They may have been committed after all,
- * which does no harm: the first result of an item counts. */
+/* Adds the results of a failed commit to the next one; its progress is dropped. The results may
+ * have been committed after all, which does no harm: the first result of an item counts. */
 static void requeue_results(hub_t *h, commit_t *c)
 {
 	for (u_int i = 0; i < c->batch.cmd.results.results_len; i++) {
--- a/src/control/hub_view.c
+++ b/src/control/hub_view.c
@@ -208,8 +208,8 @@
 	h->rings_stale = false;
 }
 
-/* Selects an entry's share of the replicas. self: hash of the entry's address. Returns the digest
- * of the share, which is never 0. */
+/* Selects an entry's share of the replicas. self: hash of the entry's address. Returns a digest of
+ * the share, without slots and zones; never 0. */
 static uint64_t select_upstreams(const hub_t *h, uint64_t self, link_upstream_t *out, u_int *n)
 {
 	size_t at[HUB_SHARE_MAX];
@@ -249,11 +249,11 @@
 }
 
 /*
- * Sends an entry its share of the view, without the lists that have not changed since the last
- * time. A share is enough: a grant contains the replica's address, so an entry needs the list of
- * replicas only while it has no leader, and a caller is given no more than HUB_SHARE_MAX entries.
- * With hundreds of entries and thousands of replicas, sending whole or unchanged lists would be
- * most of the leader's traffic.
+ * Sends an entry its share of the view, without the lists whose digest has not changed since the
+ * last time. A share is enough: a grant contains the replica's address, so an entry needs the list
+ * of replicas only while it has no leader, and a caller is given no more than HUB_SHARE_MAX
+ * entries. With hundreds of entries and thousands of replicas, sending whole or unchanged lists
+ * would be most of the leader's traffic.
  */
 static void send_share(hub_t *h, hub_peer_t *p)
 {
