--- a/src/client/delta.c
+++ b/src/client/delta.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include "proto/wire.h"
 
-/** Output space for deflate's overhead on incompressible input. */
+/** Bytes by which n bytes of incompressible input can grow, with a margin. */
 #define DEFLATE_MARGIN(n) ((n) / 16 + 1024)
 
 /* ---- compression ---- */
@@ -46,7 +46,7 @@
 	return STATUS_OK;
 }
 
-/* ---- encoding: route tables to a delta; the message borrows their strings ---- */
+/* ---- encoding: two route tables to a delta, whose message borrows their strings ---- */
 
 static link_route_t encode_route(const route_spec_t *t, link_share_t *shares)
 {
@@ -81,7 +81,7 @@
 	return n;
 }
 
-/* Adds the routes of r that base lacks, or has with other contents. */
+/* Adds the routes of r that base does not have, or has with other contents. */
 static void encode_changed(const route_table_t *base, const route_table_t *r, link_routes_t *m,
 			   link_share_t *shares)
 {
@@ -97,7 +97,7 @@
 	}
 }
 
-/* Adds the keys of the routes of base that r lacks. */
+/* Adds the keys of the routes of base that r does not have. */
 static void encode_removed(const route_table_t *base, const route_table_t *r, link_routes_t *m)
 {
 	for (size_t i = 0; base && i < base->nroutes; i++) {
@@ -190,7 +190,7 @@
 }
 
 /* Marks the routes of base that the delta removes or replaces. */
-static void mark_replaced(const route_table_t *base, const link_routes_t *m, bool *replaced)
+static void mark_dropped(const route_table_t *base, const link_routes_t *m, bool *dropped)
 {
 	const route_spec_t *t;
 
@@ -198,13 +198,13 @@
 		t = route_table_find(base, wire_str(m->removed.removed_val[i].host),
 				     wire_str(m->removed.removed_val[i].prefix));
 		if (t)
-			replaced[t - base->routes] = true;
+			dropped[t - base->routes] = true;
 	}
 	for (u_int i = 0; i < m->put.put_len; i++) {
 		t = route_table_find(base, wire_str(m->put.put_val[i].host),
 				     wire_str(m->put.put_val[i].prefix));
 		if (t)
-			replaced[t - base->routes] = true;
+			dropped[t - base->routes] = true;
 	}
 }
 
@@ -212,13 +212,13 @@
 static void decode_routes(const route_table_t *base, const link_routes_t *m, route_table_t *r)
 {
 	size_t n = base ? base->nroutes : 0;
-	AUTO_FREE bool *replaced = mem_new((n + 1) * sizeof(*replaced));
+	AUTO_FREE bool *dropped = mem_new((n + 1) * sizeof(*dropped));
 
 	if (base)
-		mark_replaced(base, m, replaced);
+		mark_dropped(base, m, dropped);
 	r->routes = mem_new((n + m->put.put_len + 1) * sizeof(*r->routes));
 	for (size_t i = 0; i < n; i++) {
-		if (!replaced[i])
+		if (!dropped[i])
 			copy_route(&r->routes[r->nroutes++], &base->routes[i]);
 	}
 	for (u_int i = 0; i < m->put.put_len; i++)
--- a/src/control/control_group.c
+++ b/src/control/control_group.c
@@ -1,4 +1,4 @@
-/* The replicated groups: apply commands, take and restore snapshots, open replicas. */
+/* Opens the replicated groups and supplies their state machines: commands and snapshots. */
 #include <assert.h>
 #include <stdio.h>
 #include <string.h>
@@ -9,10 +9,10 @@
 
 #define MIB (1024 * 1024)
 
-/* For on_send, whose context is the group. */
+/* Used by on_send, which gets only the group. */
 static control_t *this_process;
 
-static void apply_fleet(control_group_t *g, str_t cmd, buf_t *result)
+static void apply_group_0(control_group_t *g, str_t cmd, buf_t *result)
 {
 	wire_fleet_cmd_t c;
 	wire_fleet_res_t res = {0};
@@ -48,16 +48,16 @@
 
 	pthread_rwlock_wrlock(&g->lock);
 	if (g->fleet)
-		apply_fleet(g, cmd, result);
+		apply_group_0(g, cmd, result);
 	else
 		apply_ledger(g, cmd, result);
 	pthread_rwlock_unlock(&g->lock);
 }
 
-/* Marks a snapshot of group 0 that holds the lots after the fleet state. */
+/* First number in a snapshot of group 0 that holds the fleet state and the lots. */
 #define LOTS_SNAPSHOT_MAGIC 0x4730U
 
-static void snapshot_fleet(control_group_t *g, buf_t *out)
+static void snapshot_group_0(control_group_t *g, buf_t *out)
 {
 	AUTO_BUF fleet = {0};
 	size_t lots;
@@ -65,13 +65,14 @@
 	pack_u64(out, LOTS_SNAPSHOT_MAGIC);
 	fleet_snapshot(g->fleet, &fleet);
 	pack_str(out, str_buf(&fleet));
-	/* Encoded in place: lots take most of the memory, and a copy would take as much again. */
+	/* The lots are encoded in place: they take most of the memory, and a copy would take as
+	 * much again. */
 	lots = pack_begin_str(out);
 	lots_snapshot(g->lots, out);
 	pack_end_str(out, lots);
 }
 
-static status_t restore_fleet(control_group_t *g, str_t snap)
+static status_t restore_group_0(control_group_t *g, str_t snap)
 {
 	unpacker_t in = {snap, false};
 	str_t fleet;
@@ -97,7 +98,7 @@
 
 	pthread_rwlock_rdlock(&g->lock);
 	if (g->fleet)
-		snapshot_fleet(g, out);
+		snapshot_group_0(g, out);
 	else
 		ledger_snapshot(g->ledger, out);
 	pthread_rwlock_unlock(&g->lock);
@@ -111,7 +112,7 @@
 	status_t st;
 
 	pthread_rwlock_wrlock(&g->lock);
-	st = g->fleet ? restore_fleet(g, snap) : ledger_restore(g->ledger, snap);
+	st = g->fleet ? restore_group_0(g, snap) : ledger_restore(g->ledger, snap);
 	pthread_rwlock_unlock(&g->lock);
 	log_event(LOG_LEVEL_INFO, "snapshot_restored", LOG_INT("group", g->number),
 		  LOG_INT("bytes", snap.n), LOG_CSTR("status", status_name(st)));
@@ -158,8 +159,8 @@
 }
 
 /* Renames the folder of a damaged replica. The replica must not continue under its old id: the
- * process joins again as a learner with a new one. */
-static status_t set_folder_aside(const char *dir)
+ * process joins the group again as a learner with a new id. */
+static status_t rename_damaged_folder(const char *dir)
 {
 	AUTO_BUF aside = {0};
 
@@ -194,7 +195,7 @@
 		return st;
 	log_event(LOG_LEVEL_ERROR, "replica_damaged", LOG_INT("group", n),
 		  LOG_CSTR("what", status_message()));
-	st = set_folder_aside(dir.p);
+	st = rename_damaged_folder(dir.p);
 	if (st != STATUS_OK)
 		return st;
 	o.bootstrap = false;
