--- a/tests/proc/fleet.py
+++ b/tests/proc/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes on loopback addresses, for tests, the demo and the bench."""
+"""Starts a small fleet of real processes on loopback addresses, for tests, the demo and the bench."""
 import http.client
 import json
 import os
@@ -38,15 +38,15 @@
 
 
 def net(offset=0):
-    """A loopback prefix of this process's own."""
+    """Prefix of loopback addresses, derived from the process id so that tests can run side by side."""
     pid = os.getpid() + offset * 7919
     return "127.%d.%d." % (10 + pid // 250 % 200, pid % 250)
 
 
 def wait_for(what, fn, seconds=WAIT_S, pause=0.05):
-    """Polls fn until it gives something true; fails loudly after a wide bound."""
+    """Polls fn until it returns a true value, and returns that; raises AssertionError after `seconds`."""
     end = time.monotonic() + seconds
-    last = None
+    last = None  # value or exception of the last poll
     while time.monotonic() < end:
         try:
             last = fn()
@@ -59,7 +59,7 @@
 
 
 def toml(values):
-    """Settings text from a dict of plain values, lists of strings and lists of dicts."""
+    """Formats settings as TOML; a list of dicts becomes an array of tables."""
     out, tables = [], []
     for k, v in values.items():
         if isinstance(v, list) and v and isinstance(v[0], dict):
@@ -73,7 +73,7 @@
 
 
 def call(addr, method, path, body=None, headers=None, timeout=30):
-    """One HTTP request; gives (status, headers, body bytes)."""
+    """Sends an HTTP request; returns (status, headers, body bytes)."""
     host, port = addr.rsplit(":", 1)
     c = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -84,11 +84,12 @@
         c.close()
 
 
-def bearer(key, idem=None, **more):
+def bearer(key, idempotency_key=None, **headers):
+    """Request headers with a bearer key; `_` in the name of a further header stands for `-`."""
     h = {"Authorization": "Bearer " + key}
-    if idem:
-        h["Idempotency-Key"] = idem
-    h.update({k.replace("_", "-"): str(v) for k, v in more.items()})
+    if idempotency_key:
+        h["Idempotency-Key"] = idempotency_key
+    h.update({k.replace("_", "-"): str(v) for k, v in headers.items()})
     return h
 
 
@@ -100,7 +101,7 @@
 
 
 def sse_texts(body):
-    """(texts by index, done?, error or None) of an event stream."""
+    """Parses an event stream: (list of texts by token index, whether [DONE] was received, error event or None)."""
     texts, done, error, event = {}, False, None, None
     for line in body.decode().split("\n"):
         if line.startswith("event: "):
@@ -120,13 +121,13 @@
 
 
 def sse_text(body):
-    """The whole answer of an event stream."""
+    """The concatenated text of an event stream."""
     texts = sse_texts(body)[0]
     return "".join(t for i in sorted(texts) for t in texts[i])
 
 
 class Proc:
-    """One process with its settings file and log."""
+    """A process with its settings file and log."""
 
     def __init__(self, fleet, program, name, settings, args=()):
         self.fleet, self.program, self.name, self.settings = fleet, program, name, settings
@@ -153,7 +154,7 @@
             self.p.wait()
 
     def stop(self, seconds=WAIT_S):
-        """A planned stop; gives the exit code."""
+        """Sends SIGTERM and waits; returns the exit code."""
         if self.alive():
             self.p.send_signal(signal.SIGTERM)
         return self.p.wait(seconds)
@@ -164,13 +165,17 @@
     def thaw(self):
         self.p.send_signal(signal.SIGCONT)
 
-    def lines(self, needle=""):
+    def log_lines(self, needle=""):
+        """The log lines that contain `needle`."""
         with open(self.log, errors="replace") as f:
             return [x.rstrip("\n") for x in f if needle in x]
 
 
 class Fleet:
-    """Controls, entries, engines, a plain service and the platform; all stop with close()."""
+    """Control processes, entries, engines, plain services and a platform; close() ends all of them.
+
+    `engine`, `control` and `entry` are settings that override the defaults of these processes.
+    """
 
     def __init__(self, controls=3, entries=3, engines=2, plain=1, spares=0, text=TEXT, zones=3, engine=None,
                  control=None, entry=None, offset=0, groups=2):
@@ -195,33 +200,33 @@
         self.procs.append(p)
         return p
 
-    def make_engine(self, i, more):
+    def make_engine(self, i, overrides):
         s = {"listen": self.net + "%d:7700" % (100 + i), "name": "engine-%d" % (i + 1), "slots": 8, "step_base_us": 5000,
              "step_per_stream_us": 200, "prefill_us_per_token": 20, "report_lag_ms": 200, "seed": i + 1}
-        s.update(more or {})
+        s.update(overrides or {})
         return self.add("auburn-fake-engine", "engine-%d" % (i + 1), s)
 
-    def make_control(self, i, addr, more):
+    def make_control(self, i, addr, overrides):
         s = {"name": "control-%d" % (i + 1), "zone": self.zone(i), "listen": addr, "http": addr.replace(":7100", ":7180"),
              "data": os.path.join(self.dir, "control-%d.data" % (i + 1)), "controls": self.control_addrs,
              "spares": self.spare_addrs, "ledger_groups": self.groups,
              "platform": "http://%s/v1/vms" % self.platform.settings["listen"], "lease_ms": 2000,
              "platform_poll_ms": 200}
-        s.update(more or {})
+        s.update(overrides or {})
         return self.add("auburn-control", "control-%d" % (i + 1), s,
                         ["--bootstrap"] if addr in self.control_addrs else [])
 
-    def make_entry(self, i, more):
+    def make_entry(self, i, overrides):
         ip = self.net + "%d" % (51 + i)
         s = {"name": "entry-%d" % (i + 1), "zone": self.zone(i), "listen": ip + ":7000", "peer": ip + ":7001",
              "peer_key": PEER_KEY, "controls": self.control_addrs + self.spare_addrs, "ledger_groups": self.groups,
              "caller": [{"name": "desk", "key": CALLER_KEY}, {"name": "paper", "key": CALLER2_KEY}],
              "operator": [{"name": "ops", "key": OPERATOR_KEY}]}
-        s.update(more or {})
+        s.update(overrides or {})
         return self.add("auburn-entry", "entry-%d" % (i + 1), s)
 
     def vms(self, leaving=()):
-        """The platform's list of all upstreams."""
+        """The platform's list of all engines and plain services."""
         out = []
         for i, e in enumerate(self.engines):
             out.append({"id": e.name, "addr": e.settings["listen"], "zone": self.zone(i), "service": "sammandrag-llm",
@@ -236,6 +241,7 @@
         assert status == 200, body
 
     def start(self, submit=True):
+        """Starts all processes and, with `submit`, brings the first config into force."""
         for p in [self.platform] + self.engines + self.plain:
             p.start()
         wait_for("platform", lambda: call(self.platform.settings["listen"], "GET", "/v1/vms")[0] == 200)
@@ -250,9 +256,11 @@
         return self
 
     def addr(self, i=0):
+        """Address of entry i for callers."""
         return self.entries[i].settings["listen"]
 
     def status(self, i=0):
+        """Status of entry i, as operators read it."""
         return get_json(self.addr(i), "/v1/status", bearer(OPERATOR_KEY))
 
     def wait_sessions(self):
@@ -261,34 +269,36 @@
                 wait_for("session of " + e.name, lambda i=i: self.status(i)["session"] > 0)
 
     def submit(self, number, text, entry=0):
-        return wait_for("answer to submit", lambda: self.try_submit(number, text, entry))
+        """Submits a config until the answer is final; returns (status, answer)."""
+        return wait_for("final answer to the config", lambda: self.try_submit(number, text, entry))
 
     def try_submit(self, number, text, entry=0):
+        """Submits a config once; returns None if the answer leaves the outcome open."""
         status, _, body = call(self.addr(entry), "PUT", "/v1/config?number=%d" % number, text, bearer(OPERATOR_KEY))
         return (status, json.loads(body)) if status in (200, 400, 409, 422) else None
 
     def wait_in_force(self, number):
         for i, e in enumerate(self.entries):
             if e.alive():
-                wait_for("number %d at %s" % (number, e.name), lambda i=i: self.status(i)["conf_number"] >= number)
+                wait_for("config %d at %s" % (number, e.name), lambda i=i: self.status(i)["conf_number"] >= number)
 
     def wait_owned(self):
-        """Every live engine has an owner that knows it."""
+        """Waits until each running engine is owned by a running entry."""
         def owned():
-            seen = set()
+            owned_ids = set()
             for i, e in enumerate(self.entries):
                 if e.alive():
-                    seen |= {u["id"] for u in self.status(i)["upstreams"] if u["owned_here"]}
-            return {e.name for e in self.engines if e.alive()} <= seen
-        wait_for("owners", owned)
+                    owned_ids |= {u["id"] for u in self.status(i)["upstreams"] if u["owned_here"]}
+            return {e.name for e in self.engines if e.alive()} <= owned_ids
+        wait_for("owners of all engines", owned)
 
     def control_status(self):
-        """Status of each control process by name, from auburnctl; unreached ones are left out."""
+        """Status of each control process by name, from auburnctl; unreachable ones are omitted."""
         out = self.ctl("status", "--json")
         return {c["name"]: c for c in json.loads(out)["controls"] if c.get("name")}
 
     def leader(self, group=0):
-        """The control process that leads the group with the highest term, or None."""
+        """The control process that leads the group in the highest term, or None."""
         best = None
         for name, c in self.control_status().items():
             for g in c.get("groups", []):
@@ -297,6 +307,7 @@
         return next((p for p in self.controls if best and p.name == best[0]), None)
 
     def ctl_settings(self):
+        """Writes auburnctl's settings file; returns its path."""
         path = os.path.join(self.dir, "ctl.toml")
         with open(path, "w") as f:
             f.write(toml({"entries": [e.settings["listen"] for e in self.entries],
@@ -305,16 +316,19 @@
         return path
 
     def ctl_run(self, *args, stdin=None):
+        """Runs auburnctl; returns the CompletedProcess."""
         return subprocess.run([os.path.join(BIN, "auburnctl"), "--config", self.ctl_settings()] + list(args),
                               capture_output=True, text=True, input=stdin, timeout=120)
 
     def ctl(self, *args, stdin=None):
+        """Runs auburnctl, which must succeed; returns its output."""
         p = self.ctl_run(*args, stdin=stdin)
         if p.returncode != 0:
             raise ValueError("auburnctl %s: exit %d: %s" % (" ".join(args), p.returncode, p.stderr))
         return p.stdout
 
     def complete(self, key, prompt="en vers", tokens=8, entry=0, caller=CALLER_KEY, timeout=60, **headers):
+        """Sends a completion under an idempotency key; returns (status, headers, body)."""
         body = json.dumps({"model": "sammandrag-llm", "prompt": prompt, "max_tokens": tokens, "stream": True})
         return call(self.addr(entry), "POST", "/v1/completions", body, bearer(caller, key, **headers), timeout)
 
@@ -326,20 +340,20 @@
     def job(self, job, entry=0, caller=CALLER_KEY):
         return get_json(self.addr(entry), "/v1/jobs/" + job, bearer(caller))
 
-    def relay(self, name, listen, target, port=7990):
-        """Starts a relay; its mode is set with relay_mode."""
+    def start_relay(self, name, listen, target, port=7990):
+        """Starts a TCP relay in front of `target`; set_relay_mode sets its mode."""
         control = "%s:%d" % (listen.rsplit(":", 1)[0], port)
         p = self.add("auburn-relay", name, {"listen": listen, "target": target, "control": control})
         p.start()
         wait_for("relay", lambda: call(control, "GET", "/mode")[0] == 200)
         return p
 
-    def relay_mode(self, relay, mode, ms=0):
+    def set_relay_mode(self, relay, mode, ms=0):
         status, _, body = call(relay.settings["control"], "POST", "/mode", json.dumps({"mode": mode, "ms": ms}))
         assert status == 200, body
 
     def route_controls(self):
-        """Puts a relay on each link between controls and on each control's link from the entries, before start."""
+        """Puts a relay on each link between control processes, and from the entries to each; call before start()."""
         port = 7200
         for b in self.controls:
             target = b.settings["listen"]
@@ -348,25 +362,26 @@
                     continue
                 name = "relay-%s-%s" % (a.name if a else "entries", b.name)
                 port += 1
-                r = self.relay(name, self.net + "200:%d" % port, target, port + 700)
+                r = self.start_relay(name, self.net + "200:%d" % port, target, port + 700)
                 self.links[(a.name if a else None, b.name)] = r
                 if a:
                     a.settings.setdefault("routes", []).append("%s=%s" % (target, r.settings["listen"]))
-            inside = self.links[(None, b.name)].settings["listen"]
+            entry_side = self.links[(None, b.name)].settings["listen"]
             for e in self.entries:
-                e.settings["controls"] = [inside if x == target else x for x in e.settings["controls"]]
+                e.settings["controls"] = [entry_side if x == target else x for x in e.settings["controls"]]
 
     def set_link(self, a, b, mode):
-        """Link from a to b, each a control's name; a is None for all entries."""
-        self.relay_mode(self.links[(a, b)], mode)
+        """Sets the mode of the link from a to b, names of control processes; a is None for all entries."""
+        self.set_relay_mode(self.links[(a, b)], mode)
 
     def cut(self, name, mode="cut"):
-        """Cuts a control off silently, in both directions."""
+        """Partitions a control process from the others and the entries: bytes are dropped in both directions."""
         for (a, b) in self.links:
             if name in (a, b):
                 self.set_link(a, b, mode)
 
     def heal(self, name):
+        """Ends the partition of a control process."""
         self.cut(name, "pass")
 
     def close(self, keep=False):
--- a/tests/proc/test_bad_input.py
+++ b/tests/proc/test_bad_input.py
@@ -1,4 +1,8 @@
-"""Bad input: settings with each key wrong in turn, and what no client should send to any port."""
+"""Invalid input: wrong settings for every program, and malformed, huge or slow input on every port of a fleet.
+
+Guards against programs that start with settings they misread, and against processes that crash, run out of memory,
+block other clients or lose accepted work because of input that no proper client sends.
+"""
 import json
 import os
 import random
@@ -19,7 +23,7 @@
 ADDR, ADDR2, ADDR3 = "127.0.40.1:4101", "127.0.40.2:4102", "127.0.40.3:4103"
 KEYS = [{"name": "desk", "key": "12345678"}]
 
-# Program: valid settings, and for each key the values that must be refused.
+# Program: valid settings, and by key the values that must be refused; other keys get the values of their type.
 PROGRAMS = {
     "auburn-control": (
         {"name": "c", "zone": "z", "listen": ADDR, "http": ADDR2, "data": "/nowhere", "platform": "http://" + ADDR3,
@@ -63,7 +67,7 @@
 
 
 def variants(settings, special):
-    """(key, settings with that key wrong) for each key of each table."""
+    """Yields (key, settings in which this key is invalid, unknown or missing) for each key of each table."""
     yield "unknown_key", dict(settings, unknown_key=1)
     for k, v in settings.items():
         if isinstance(v, dict) or (isinstance(v, list) and isinstance(v[0], dict)):
@@ -79,6 +83,8 @@
 
 
 class Settings(unittest.TestCase):
+    """A program must refuse invalid settings with one line that names file, line and key."""
+
     def check(self, program, text):
         with tempfile.NamedTemporaryFile("wb", suffix=".toml") as f:
             f.write(text)
@@ -103,19 +109,19 @@
             p, _ = self.check(program, fleet.toml(settings).encode())
             self.assertEqual((p.returncode, p.stderr), (0, ""), program)
 
-    def test_each_key_wrong_in_turn(self):
+    def test_each_key_with_invalid_values(self):
         for program, (settings, special) in PROGRAMS.items():
             for key, wrong in variants(settings, special):
                 with self.subTest(program=program, key=key):
                     self.assert_refused(program, fleet.toml(wrong).encode(), key)
 
-    def test_not_toml(self):
+    def test_invalid_toml(self):
         for program in PROGRAMS:
             for text in (b"listen = ", b"a = 1\na = 2\n", b"[[[", b"\xff\xfe\x00junk", b"x = \"" + b"y" * 100000):
                 with self.subTest(program=program, text=text[:20]):
                     self.assert_refused(program, text, None)
 
-    def test_file_missing_or_a_folder(self):
+    def test_settings_file_missing_or_a_directory(self):
         for program in PROGRAMS:
             for path in ("/nowhere/x.toml", tempfile.gettempdir()):
                 p = subprocess.run([os.path.join(fleet.BIN, program), "--config", path, "--check"],
@@ -126,11 +132,12 @@
 
 
 CONTROL_PROGRAM, PEER_PROGRAM = 0x20ab0001, 0x20ab0002
-EXEC, QUERY, BEAT, RAFT, STATUS, EVENTS = range(1, 7)
-LOAD = 1
+EXEC, QUERY, HEARTBEAT, RAFT, STATUS, EVENTS = range(1, 7)  # procedures of control processes
+LOAD = 1  # procedure of entries
 
 
 def rpc_call(program, proc, args=b"", xid=7):
+    """The bytes of an ONC RPC call in a record of its own."""
     msg = struct.pack(">IIIIII", xid, 0, 2, program, 1, proc) + struct.pack(">IIII", 0, 0, 0, 0) + args
     return struct.pack(">I", 0x80000000 | len(msg)) + msg
 
@@ -140,7 +147,7 @@
 
 
 def rpc_reply(s):
-    """Body of the next reply, or None when the peer closes."""
+    """Reads the next RPC reply; None if the peer closes the connection."""
     data = b""
     try:
         while len(data) < 4 or len(data) < 4 + (struct.unpack(">I", data[:4])[0] & 0x7fffffff):
@@ -154,7 +161,7 @@
 
 
 def rpc_status(s, proc, args):
-    """The status that a control's answer begins with; -1 for a refusal by the RPC layer."""
+    """Calls a control process; returns the status that its answer begins with, or -1 if the RPC layer refused."""
     send_all(s, rpc_call(CONTROL_PROGRAM, proc, args))
     body = rpc_reply(s)
     accept = struct.unpack(">I", body[20:24])[0]
@@ -169,7 +176,7 @@
 
 
 def send_all(s, data):
-    """Sends what the peer takes before it closes."""
+    """Sends data; ignores errors, as the peer may close the connection first."""
     try:
         s.sendall(data)
     except OSError:
@@ -177,7 +184,7 @@
 
 
 def answer(s, wait_s=10):
-    """What comes until the peer closes, stays silent for wait_s, or the head of an answer is whole."""
+    """Reads until the header of an answer is complete, the peer closes, or nothing arrives for wait_s."""
     s.settimeout(wait_s)
     data = b""
     try:
@@ -191,7 +198,7 @@
     return data
 
 
-def head(path, *lines, method="POST", key=CALLER_KEY):
+def request_head(path, *lines, method="POST", key=CALLER_KEY):
     return ("\r\n".join(["%s %s HTTP/1.1" % (method, path), "Host: x", "Authorization: Bearer " + key] + list(lines)) +
             "\r\n\r\n").encode()
 
@@ -202,14 +209,17 @@
 
 
 class Ports(unittest.TestCase):
-    """One fleet for all; after each test everything accepted is still there and all processes live."""
+    """Invalid input on the HTTP and RPC ports of one fleet.
+
+    After each test all processes must run, new work must be accepted, and all work accepted before must be finished.
+    """
 
     @classmethod
     def setUpClass(cls):
         cls.f = fleet.Fleet(controls=3, entries=2, engines=1, plain=1, zones=2, entry={"max_body_bytes": 20000})
         cls.addClassCleanup(cls.f.close)
         cls.f.start()
-        cls.n = 0
+        cls.accepted_count = 0
         cls.accepted, cls.jobs = {}, []
         cls.http = [e.settings["listen"] for e in cls.f.entries] + [c.settings["http"] for c in cls.f.controls]
         cls.rpc = ([(e.settings["peer"], PEER_PROGRAM) for e in cls.f.entries] +
@@ -229,9 +239,10 @@
             wait_for("end of " + job, lambda: self.f.job(job, entry=1)["done"] == 5)
 
     def accept_work(self):
-        type(self).n += 1
-        key, job = "key-%d" % self.n, "job-%d" % self.n
-        status, _, body = self.f.complete(key, prompt="prompt " + key, entry=self.n % 2)
+        """Completes a request, submits a job, and stores both for the check in tearDown."""
+        type(self).accepted_count += 1
+        key, job = "key-%d" % self.accepted_count, "job-%d" % self.accepted_count
+        status, _, body = self.f.complete(key, prompt="prompt " + key, entry=self.accepted_count % 2)
         texts, done, error = fleet.sse_texts(body)
         self.assertEqual((status, done, error, len(texts)), (200, True, None, 8), body)
         self.accepted[key] = "".join(t for i in sorted(texts) for t in texts[i])
@@ -240,6 +251,7 @@
         self.jobs.append(job)
 
     def all_addrs(self):
+        """The HTTP and RPC addresses of all entries and control processes."""
         return self.http + [a for a, _ in self.rpc]
 
     def test_random_bytes(self):
@@ -250,18 +262,19 @@
 
     def test_truncated_http(self):
         body = b'{"prompt":"p","max_tokens":2}\n'
-        whole = head("/v1/jobs?service=sammandrag-llm", "Idempotency-Key: cut", "Content-Length: %d" % len(body)) + body
+        full_request = request_head("/v1/jobs?service=sammandrag-llm", "Idempotency-Key: cut",
+                             "Content-Length: %d" % len(body)) + body
         for addr in self.http:
-            for n in range(1, len(whole), 7):
+            for n in range(1, len(full_request), 7):
                 with connect(addr) as s:
-                    send_all(s, whole[:n])
+                    send_all(s, full_request[:n])
         self.assertEqual(call(self.f.addr(), "GET", "/v1/jobs/cut", headers=bearer(CALLER_KEY))[0], 404)
 
-    def test_bad_rpc(self):
+    def test_invalid_rpc(self):
         rng = random.Random(7)
         for addr, program in self.rpc:
-            whole = rpc_call(program, 1, rng.randbytes(64))
-            messages = [whole[:n] for n in range(1, len(whole), 5)]
+            full_request = rpc_call(program, 1, rng.randbytes(64))
+            messages = [full_request[:n] for n in range(1, len(full_request), 5)]
             messages += [rpc_call(program, proc, rng.randbytes(4 * rng.randrange(200))) for proc in range(12)]
             messages += [rpc_call(program, proc, b"\xff" * 400) for proc in range(12)]
             messages += [rpc_call(program + 9, 1), b"\x00" * 4096, struct.pack(">I", 0xffffffff) + b"x" * 100,
@@ -272,9 +285,10 @@
                     try:
                         s.shutdown(socket.SHUT_WR)
                     except OSError:
-                        pass  # the peer has closed already
+                        pass  # the peer has closed the connection
 
-    def test_framed_rpc_with_bad_content(self):
+    def test_well_framed_rpc_with_invalid_content(self):
+        """Includes lengths of 128 MiB that are not sent: a decoder that allocates by such a length shows in the RSS."""
         rng = random.Random(11)
         for addr, program in self.rpc:
             before = {p.name: rss_mib(p) for p in self.f.controls + self.f.entries}
@@ -287,7 +301,7 @@
                             self.assertNotEqual(rpc_status(s, QUERY, args), 0, (group, payload))
                             send_all(s, rpc_call(program, RAFT, opaque(b"x") + struct.pack(">II", 1, group) + opaque(payload)))
                             self.assertIsNotNone(rpc_reply(s))
-                    self.assertNotEqual(rpc_status(s, BEAT, b"\0" * 60), 0)
+                    self.assertNotEqual(rpc_status(s, HEARTBEAT, b"\0" * 60), 0)
                     send_all(s, rpc_call(program, EVENTS, opaque(b"") + b"\xff" * 4))
                     self.assertIsNotNone(rpc_reply(s))
                 for proc in (RAFT, LOAD):
@@ -299,25 +313,27 @@
         members = fleet.get_json(self.f.addr(), "/v1/addresses")["addresses"]
         self.assertEqual(sorted(m["addr"] for m in members), sorted(e.settings["listen"] for e in self.f.entries))
 
-    def test_huge_bodies_are_not_kept(self):
-        """1 GiB declared; 48 MiB of it are sent. RPC records may hold 64 MiB."""
-        part = b"x" * (1 << 20)
+    def test_huge_bodies_are_not_buffered(self):
+        """Declares 1 GiB and sends 48 MiB of it. Covers only HTTP, because an RPC record may have up to 64 MiB."""
+        mebibyte = b"x" * (1 << 20)
         procs = {e.settings["listen"]: e for e in self.f.entries}
         procs.update({c.settings["http"]: c for c in self.f.controls})
         for addr, proc in procs.items():
             before = rss_mib(proc)
             for path in ("/v1/jobs?service=sammandrag-llm", "/v1/completions", "/internal/v1/run", "/none"):
                 with connect(addr) as s:
-                    send_all(s, head(path, "Idempotency-Key: big", "Content-Length: %d" % (1 << 30)))
+                    send_all(s, request_head(path, "Idempotency-Key: big", "Content-Length: %d" % (1 << 30)))
                     for _ in range(48):
-                        send_all(s, part)
+                        send_all(s, mebibyte)
                     self.assertLess(rss_mib(proc) - before, 32, (addr, path))
 
-    def test_body_over_the_bound_is_refused_whole(self):
+    def test_body_over_the_limit_is_refused_as_a_whole(self):
+        """A chunked body has no declared length, so the limit is noticed only after some items were read."""
         items = b"".join(b'{"prompt":"%d","max_tokens":1}\n' % i for i in range(1000))
         chunked = b"".join(b"%x\r\n%s\r\n" % (len(items[i:i + 310]), items[i:i + 310]) for i in range(0, len(items), 310))
         with connect(self.f.addr()) as s:
-            send_all(s, head("/v1/jobs?service=sammandrag-llm", "Idempotency-Key: over", "Transfer-Encoding: chunked") +
+            send_all(s, request_head("/v1/jobs?service=sammandrag-llm", "Idempotency-Key: over",
+                                     "Transfer-Encoding: chunked") +
                      chunked + b"0\r\n\r\n")
             self.assertIn(b" 413 ", answer(s).split(b"\r\n")[0])
         status, _, body = self.f.submit_job("over", [{"prompt": "x" * 100, "max_tokens": 1}] * 300)
@@ -326,17 +342,18 @@
 
     def test_huge_header(self):
         for addr in self.http:
-            for data in (head("/v1/jobs", "X-Big: " + "x" * (1 << 20), method="GET"),
+            for data in (request_head("/v1/jobs", "X-Big: " + "x" * (1 << 20), method="GET"),
                          ("GET /" + "x" * (1 << 20) + " HTTP/1.1\r\n\r\n").encode(),
-                         head("/v1/jobs", *["X-%d: y" % i for i in range(20000)], method="GET")):
+                         request_head("/v1/jobs", *["X-%d: y" % i for i in range(20000)], method="GET")):
                 with connect(addr) as s:
                     send_all(s, data)
                     first = answer(s).split(b"\r\n")[0]
                     self.assertTrue(first == b"" or re.match(rb"HTTP/1.1 4\d\d ", first), first)
 
-    def test_slow_clients_hold_nobody_up(self):
+    def test_slow_clients_do_not_block_others(self):
+        """Sends one byte a second on every port; a reader that blocks on one connection would stop the process."""
         body = json.dumps({"model": "sammandrag-llm", "prompt": "slow", "max_tokens": 2}).encode()
-        request = head("/v1/completions", "Idempotency-Key: slow", "Content-Length: %d" % len(body)) + body
+        request = request_head("/v1/completions", "Idempotency-Key: slow", "Content-Length: %d" % len(body)) + body
         slow = [(connect(a), request) for a in self.http] + [(connect(a), rpc_call(p, 1, b"\0" * 64)) for a, p in self.rpc]
         try:
             for i in range(5):
@@ -351,7 +368,7 @@
             for s, _ in slow:
                 s.close()
 
-    def test_500_idle_connections(self):
+    def test_500_idle_connections_on_each_port(self):
         for addr in self.all_addrs():
             idle = [connect(addr) for _ in range(500)]
             try:
@@ -360,7 +377,7 @@
                 for s in idle:
                     s.close()
 
-    def test_bad_requests_are_refused_and_not_run(self):
+    def test_invalid_requests_are_refused_and_not_run(self):
         good = {"model": "sammandrag-llm", "prompt": "p", "max_tokens": 2}
         bodies = [b"", b"{", b"[]", b"5", b"null", b"\xff\xfe", b"[" * 10000, b'{"a":' * 3000,
                   json.dumps(dict(good, max_tokens=-1)).encode(), json.dumps(dict(good, max_tokens=0)).encode(),
@@ -371,17 +388,17 @@
         for i, body in enumerate(bodies):
             for path in ("/v1/completions", "/v1/jobs?service=sammandrag-llm", "/v1/services/none/x", "/internal/v1/run"):
                 if b"none" in body and path.startswith("/v1/jobs"):
-                    continue  # an item has no model
+                    continue  # items have no field `model`
                 key = fleet.PEER_KEY if path.startswith("/internal") else CALLER_KEY
                 status, _, out = call(self.f.addr(), "POST", path, body, bearer(key, "bad-%d" % i))
                 refused = status == 503 if path.startswith("/internal") else 400 <= status < 500
                 self.assertTrue(refused or status == 400, (path, body[:60], status, out))
                 self.assertEqual(json.loads(out)["error"]["verdict"], "not_run", (path, body[:60]))
-        wait_for("end of jobs", lambda: all(self.f.job(j)["done"] == 5 for j in self.jobs))
+        wait_for("end of all jobs", lambda: all(self.f.job(j)["done"] == 5 for j in self.jobs))
         after = fleet.get_json(self.f.engines[0].settings["listen"], "/v1/counts")["started"]
         self.assertLessEqual(after - started, 5)
 
-    def test_odd_headers_and_parameters(self):
+    def test_invalid_headers_and_parameters(self):
         body = json.dumps({"model": "sammandrag-llm", "prompt": "p", "max_tokens": 2}) + "\n"
         huge = ("9223372036854775807", "-9223372036854775808", "1e9", "abc", "99999999999999999999")
         for i, v in enumerate(huge):
@@ -400,7 +417,8 @@
                 self.assertEqual(call(self.f.addr(), "POST", path, body, bearer(CALLER_KEY, key))[0], 400, (path, key))
         for length in ("abc", "-1", "99999999999999999999", "18446744073709551615"):
             with connect(self.f.addr()) as s:
-                send_all(s, head("/v1/completions", "Idempotency-Key: len", "Content-Length: " + length) + b"{}")
+                send_all(s, request_head("/v1/completions", "Idempotency-Key: len",
+                                         "Content-Length: " + length) + b"{}")
                 self.assertNotIn(b" 200 ", answer(s, 2).split(b"\r\n")[0])
 
 
--- a/tests/proc/test_bad_upstream.py
+++ b/tests/proc/test_bad_upstream.py
@@ -1,4 +1,8 @@
-"""An engine that answers nonsense: callers get their own whole answer or an error, never a wrong one."""
+"""An engine that sends malformed, truncated, reordered or foreign answers.
+
+Guards against entries that pass such an answer on as a complete one, crash on it, or buffer it without limit: a caller
+must get its own complete text, a correct prefix of it with an error, or an error.
+"""
 import json
 import re
 import socket
@@ -23,7 +27,7 @@
     return b"".join(event(rid, i, texts[i]) for i in order)
 
 
-# What the bad engine answers to a completion, given the request's id and the right texts.
+# Modes of the bad engine: its answer to a completion, given the request's id and the correct texts.
 ANSWERS = {
     "closes": lambda rid, t: b"",
     "not_http": lambda rid, t: b"\x00\xff junk \r\n\r\n" * 100,
@@ -49,17 +53,18 @@
     "error_500": lambda rid, t: b"HTTP/1.1 500 X\r\nContent-Length: 9999999\r\n\r\n" + b"x" * 100000,
     "redirect": lambda rid, t: b"HTTP/1.1 302 X\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n",
 }
+# Its answers to all other requests, which ask for its load, state and cache.
 REPORTS = [b"", b"[]", b"{", b'{"running":"x","waiting":-5,"slots":[],"step_us":1e300,"age_ms":-1}',
            b'{"events":5,"last":-1}', b'{"events":[{"seq":"x","op":5,"prefix":"zz"},5],"last":99999999999}',
            b'{"last":1,"prefixes":[5,"x"]}', b"[" * 100000, b"\xff" * 1000]
 
 
 class BadEngine(threading.Thread):
-    """Answers completions by the current mode and all else with broken reports."""
+    """Answers completions according to `mode`, and all other requests with malformed reports."""
 
     def __init__(self, addr, good):
         super().__init__(daemon=True)
-        self.good, self.mode, self.hits, self.reports = good, "closes", 0, 0
+        self.good, self.mode, self.completions, self.reports = good, "closes", 0, 0
         host, port = addr.split(":")
         self.sock = socket.create_server((host, int(port)), backlog=256)
 
@@ -89,7 +94,7 @@
             c.settimeout(10)
             head, body = self.read_request(c)
             if head.startswith(b"POST /v1/completions"):
-                self.hits += 1
+                self.completions += 1
                 want = json.loads(body)
                 _, _, answer = call(self.good, "POST", "/v1/completions", json.dumps(
                     dict(want, request_id="direct", fence=None, resume_from=0, max_tokens=TOKENS)))
@@ -105,7 +110,7 @@
             c.close()
 
 
-class Upstream(unittest.TestCase):
+class BadUpstream(unittest.TestCase):
     def setUp(self):
         self.f = fleet.Fleet(controls=3, entries=2, engines=2, plain=0, zones=2)
         self.addCleanup(self.f.close)
@@ -119,29 +124,30 @@
         wait_for("owner of the bad engine", lambda: any(
             u["id"] == "bad-1" and u["owned_here"] for i in range(2) for u in self.f.status(i)["upstreams"]))
 
-    def right_text(self, prompt):
+    def expected_texts(self, prompt):
+        """The texts that the good engine produces for the prompt."""
         body = {"request_id": "direct", "prompt": prompt, "max_tokens": TOKENS}
         texts, _, _ = fleet.sse_texts(call(self.good, "POST", "/v1/completions", json.dumps(body))[2])
         return [texts[i] for i in range(TOKENS)]
 
-    def test_answers(self):
+    def test_no_caller_gets_a_wrong_answer(self):
         n, seen = 0, {}
         for mode in ANSWERS:
-            self.bad.mode, hits = mode, self.bad.hits
+            self.bad.mode, before = mode, self.bad.completions
             for _ in range(40):
                 n += 1
                 key, prompt = "bad-%d" % n, "%s prompt %d" % (mode, n)
                 status, _, body = self.f.complete(key, prompt=prompt, tokens=TOKENS, entry=n % 2)
                 texts, done, error = fleet.sse_texts(body) if status == 200 else ({}, False, body)
-                want = self.right_text(prompt)
+                want = self.expected_texts(prompt)
                 got = [texts[i] for i in sorted(texts)]
                 self.assertTrue(done != bool(error), (mode, status, body[-300:]))
                 self.assertEqual(got, want[:len(got)], mode)
                 if done:
                     self.assertEqual(got, want, mode)
-                if self.bad.hits >= hits + 2:
+                if self.bad.completions >= before + 2:
                     break
-            seen[mode] = self.bad.hits - hits
+            seen[mode] = self.bad.completions - before
         self.assertEqual([m for m in ANSWERS if not seen[m]], [])
         self.assertGreater(self.bad.reports, 0)
         self.assertEqual([p.name for p in self.f.procs if not p.alive()], [])
--- a/tests/proc/test_config.py
+++ b/tests/proc/test_config.py
@@ -1,4 +1,8 @@
-"""The operators' text: races under one number, lost answers, restarts after many changes."""
+"""The operators' config: races under one number, lost answers, restarts, and time to reach all entries.
+
+Guards against two configs that are both accepted under one number, which happens if a new leader or a restarted process
+doesn't have the decision that an earlier one acknowledged.
+"""
 import json
 import socket
 import threading
@@ -8,8 +12,8 @@
 import fleet as fl
 
 
-def send_and_hang_up(addr, number, text):
-    """Submits and closes the connection without reading the answer."""
+def submit_without_answer(addr, number, text):
+    """Submits a config and closes the connection without reading the answer."""
     host, port = addr.rsplit(":", 1)
     body = text.encode()
     head = "PUT /v1/config?number=%d HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n" % (
@@ -19,19 +23,20 @@
 
 
 class Config(unittest.TestCase):
-    def outcome(self, f, texts, number):
-        """Status of a resend of each text under the number, each through its own entry."""
+    def resend_statuses(self, f, texts, number):
+        """Submits each text again under the number, each through another entry; returns the statuses."""
         out = []
         for i, t in enumerate(texts):
             out.append(f.submit(number, t, i)[0])
         return out
 
     def test_two_operators_race_lose_their_answers_and_resend(self):
+        """One of two texts wins a number, and stays the winner when the leader or all control processes are killed."""
         with fl.Fleet() as f:
             f.start()
             for number in range(2, 8):
                 texts = [f.text + "\n# operator %d wants %d\n" % (i, number) for i in range(2)]
-                threads = [threading.Thread(target=send_and_hang_up, args=(f.addr(i), number, t))
+                threads = [threading.Thread(target=submit_without_answer, args=(f.addr(i), number, t))
                            for i, t in enumerate(texts)]
                 for t in threads:
                     t.start()
@@ -39,7 +44,7 @@
                     t.join()
                 if number == 4:
                     f.leader().kill()
-                first = self.outcome(f, texts, number)
+                first = self.resend_statuses(f, texts, number)
                 self.assertEqual(sorted(first), [200, 409])
                 if number == 4:
                     dead = [c for c in f.controls if not c.alive()][0]
@@ -49,12 +54,13 @@
                         c.kill()
                     for c in f.controls:
                         c.start()
-                self.assertEqual(self.outcome(f, texts, number), first)
+                self.assertEqual(self.resend_statuses(f, texts, number), first)
                 winner = texts[first.index(200)]
-                got = fl.wait_for("the text", lambda: fl.get_json(f.addr(2), "/v1/config", fl.bearer(fl.OPERATOR_KEY)))
+                got = fl.wait_for("config", lambda: fl.get_json(f.addr(2), "/v1/config", fl.bearer(fl.OPERATOR_KEY)))
                 self.assertEqual((got["number"], got["text"]), (number, winner))
 
-    def test_restart_after_500_changes_comes_from_a_snapshot(self):
+    def test_restart_after_500_changes_loads_a_snapshot(self):
+        """The answer to a resend of an old number must not depend on log entries that compaction removed."""
         with fl.Fleet(entries=2, control={"snapshot_entries": 100}) as f:
             f.start()
             for n in range(2, 502):
@@ -63,7 +69,8 @@
                 c.kill()
             for c in f.controls:
                 c.start()
-            fl.wait_for("number 501", lambda: fl.get_json(f.addr(), "/v1/config", fl.bearer(fl.OPERATOR_KEY))["number"] == 501)
+            fl.wait_for("config 501", lambda: fl.get_json(
+                f.addr(), "/v1/config", fl.bearer(fl.OPERATOR_KEY))["number"] == 501)
             for c in f.control_status().values():
                 g = c["groups"][0]
                 self.assertGreater(g["snapshot"], 300)
@@ -84,13 +91,14 @@
             f.wait_in_force(2)
 
     def test_job_resent_five_times_during_a_leader_change_is_one_job(self):
+        """Each entry repeats the submission to the new leader, which may have committed it already."""
         with fl.Fleet() as f:
             f.start()
             items = [{"prompt": "lot item %d" % i, "max_tokens": 1} for i in range(10000)]
             got = []
 
             def send(i):
-                got.append(fl.wait_for("acceptance", lambda: (lambda a: a if a[0] == 202 else None)(
+                got.append(fl.wait_for("acceptance of the job", lambda: (lambda a: a if a[0] == 202 else None)(
                     f.submit_job("lot", items, entry=i % 3))))
 
             threads = [threading.Thread(target=send, args=(i,)) for i in range(5)]
@@ -101,7 +109,7 @@
                 t.join()
             self.assertEqual([json.loads(g[2])["count"] for g in got], [10000] * 5)
             f.wait_sessions()
-            jobs = fl.wait_for("list", lambda: fl.get_json(f.addr(), "/v1/jobs", fl.bearer(fl.CALLER_KEY)))
+            jobs = fl.wait_for("list of jobs", lambda: fl.get_json(f.addr(), "/v1/jobs", fl.bearer(fl.CALLER_KEY)))
             self.assertEqual(len(jobs["jobs"]), 1)
             self.assertEqual(jobs["jobs"][0]["count"], 10000)
 
--- a/tests/proc/test_entry_stop.py
+++ b/tests/proc/test_entry_stop.py
@@ -1,4 +1,8 @@
-"""Process tests of auburn-entry: planned stops under load, upstreams that leave, lost entries."""
+"""Entries under load: rolling restarts, a killed entry, and an upstream that leaves.
+
+Guards against requests that fail because an entry exits before it has handed over its work, against accepted work that
+is lost with an entry, and against new work on an upstream that is being drained.
+"""
 import http.client
 import json
 import os
@@ -14,16 +18,17 @@
 
 
 class Caller(threading.Thread):
-    """Asks for addresses, keeps the answer as long as it may, sends one request after another."""
+    """Sends one request after another; reads the entries' addresses again when they are no longer valid."""
 
-    def __init__(self, f, name, ask):
+    def __init__(self, f, name, directory):
         super().__init__()
-        self.f, self.name_, self.ask = f, name, ask
+        self.f, self.caller_name, self.directory = f, name, directory
         self.stop = threading.Event()
-        self.done, self.refused, self.bad = [], [], []
+        self.done, self.refused, self.failed = [], [], []
 
     def addresses(self):
-        for a in self.ask:
+        """Reads them from the first entry that answers; returns (addresses, Unix time until which they are valid)."""
+        for a in self.directory:
             try:
                 got = fl.get_json(a, "/v1/addresses")
                 return [x["addr"] for x in got["addresses"]], got["valid_until_wall_ms"] / 1000
@@ -33,13 +38,13 @@
 
     def run(self):
         import time
-        addrs, until, n = [], 0, 0
+        addrs, valid_until, n = [], 0, 0
         while not self.stop.is_set():
-            if time.time() >= until or not addrs:
-                addrs, until = self.addresses()
+            if time.time() >= valid_until or not addrs:
+                addrs, valid_until = self.addresses()
                 if not addrs:
                     continue
-            key, n = "%s-%d" % (self.name_, n), n + 1
+            key, n = "%s-%d" % (self.caller_name, n), n + 1
             body = json.dumps({"model": "sammandrag-llm", "prompt": key, "max_tokens": TOKENS, "stream": True})
             try:
                 status, _, out = fl.call(addrs[0], "POST", "/v1/completions", body, fl.bearer(fl.CALLER_KEY, key))
@@ -49,15 +54,17 @@
                 elif status == 503 and json.loads(out)["error"]["verdict"] == "not_run":
                     self.refused.append(key)
                 else:
-                    self.bad.append((key, status, out[-200:]))
+                    self.failed.append((key, status, out[-200:]))
             except (OSError, http.client.HTTPException) as e:
-                self.bad.append((key, repr(e)))
+                self.failed.append((key, repr(e)))
 
 
 class Callers:
+    """Context manager that runs n callers; each starts with another entry."""
+
     def __init__(self, f, n):
-        ask = [f.addr(i) for i in range(len(f.entries))]
-        self.all = [Caller(f, "c%d" % i, ask[i % len(ask):] + ask[:i % len(ask)]) for i in range(n)]
+        addrs = [f.addr(i) for i in range(len(f.entries))]
+        self.all = [Caller(f, "c%d" % i, addrs[i % len(addrs):] + addrs[:i % len(addrs)]) for i in range(n)]
 
     def __enter__(self):
         for c in self.all:
@@ -71,19 +78,21 @@
             c.join()
 
     def done(self):
+        """Number of requests that were served."""
         return sum(len(c.done) for c in self.all)
 
-    def bad(self):
-        return [b for c in self.all for b in c.bad] + [r for c in self.all for r in c.refused]
+    def not_served(self):
+        """Requests that failed or were refused."""
+        return [b for c in self.all for b in c.failed] + [r for c in self.all for r in c.refused]
 
 
 class EntryStop(unittest.TestCase):
-    def fleet(self, **more):
-        f = fl.Fleet(**dict({"controls": 1, "entries": 3, "engines": 3, "engine": ENGINE}, **more))
+    def fleet(self, **options):
+        f = fl.Fleet(**dict({"controls": 1, "entries": 3, "engines": 3, "engine": ENGINE}, **options))
         self.addCleanup(f.close)
         return f.start()
 
-    def test_planned_stop_and_rolling_restart_interrupt_no_request(self):
+    def test_rolling_restart_interrupts_no_request(self):
         f = self.fleet()
         f.submit_job("batch", [{"prompt": "b%d" % i, "max_tokens": 60} for i in range(400)])
         with Callers(f, 6) as callers:
@@ -93,9 +102,9 @@
                 e.start()
                 fl.wait_for("return of " + e.name, lambda i=i: fl.call(f.addr(i), "GET", "/readyz")[0] == 200)
                 f.wait_owned()
-                more = callers.done() + 20
-                fl.wait_for("load", lambda more=more: callers.done() > more)
-        self.assertEqual(callers.bad(), [])
+                target = callers.done() + 20
+                fl.wait_for("load", lambda target=target: callers.done() > target)
+        self.assertEqual(callers.not_served(), [])
         job = fl.wait_for("end of the job", lambda: (lambda j: j if j["state"] == "done" else None)(f.job("batch")))
         self.assertEqual((job["done"], job["failed"]), (400, 0))
 
@@ -103,7 +112,7 @@
         f = self.fleet()
         f.submit_job("batch", [{"prompt": "b%d" % i, "max_tokens": 60} for i in range(200)])
         keys = ["kill-%d" % i for i in range(6)]
-        threads = [threading.Thread(target=self.lost_call, args=(f, k)) for k in keys]
+        threads = [threading.Thread(target=self.complete_ignoring_errors, args=(f, k)) for k in keys]
         for t in threads:
             t.start()
         fl.wait_for("accepted requests", lambda: f.status(0)["requests"] >= len(keys))
@@ -121,7 +130,7 @@
         self.assertEqual((job["done"], job["failed"]), (200, 0))
 
     @staticmethod
-    def lost_call(f, key):
+    def complete_ignoring_errors(f, key):
         try:
             f.complete(key, key, 300)
         except (OSError, http.client.HTTPException):
@@ -134,14 +143,14 @@
         def started():
             return fl.get_json(leaving.settings["listen"], "/v1/counts")["started"]
         with Callers(f, 6) as callers:
-            fl.wait_for("load there", lambda: started() > 5)
+            fl.wait_for("load on the upstream", lambda: started() > 5)
             f.set_vms(f.vms(leaving=[leaving.name]))
-            fl.wait_for("leaving", lambda: all(
+            fl.wait_for("state of the leaving upstream at all entries", lambda: all(
                 u["state"] != "live" for i in range(3) for u in f.status(i)["upstreams"] if u["id"] == leaving.name))
-            last, more = started(), callers.done() + 60
-            fl.wait_for("load elsewhere", lambda: callers.done() > more)
-            self.assertEqual(started(), last)
-        self.assertEqual(callers.bad(), [])
+            started_before, target = started(), callers.done() + 60
+            fl.wait_for("load on the other upstreams", lambda: callers.done() > target)
+            self.assertEqual(started(), started_before)
+        self.assertEqual(callers.not_served(), [])
 
 
 if __name__ == "__main__":
--- a/tests/proc/test_entry_upstreams.py
+++ b/tests/proc/test_entry_upstreams.py
@@ -1,4 +1,8 @@
-"""Process tests of auburn-entry: engines that die, entries that freeze or are cut off, orders."""
+"""Entries with engines that crash, entries that freeze or lose the control processes, and orders to load weights.
+
+Guards against an item that crashes every engine it runs on and so stops its job for ever, against replicas that keep an
+owner that no longer runs, and against weights that several owners load again and again.
+"""
 import json
 import os
 import sys
@@ -8,26 +12,27 @@
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 import fleet as fl  # noqa: E402
 
-MODEL = 'checks_fencing = true\nmodel = "svenska"\nversion = "%s"\n'
+MODEL_KEYS = 'checks_fencing = true\nmodel = "svenska"\nversion = "%s"\n'
 
 
 class EntryUpstreams(unittest.TestCase):
-    def fleet(self, **more):
-        f = fl.Fleet(**dict({"controls": 1, "entries": 2, "engines": 3}, **more))
+    def fleet(self, **options):
+        f = fl.Fleet(**dict({"controls": 1, "entries": 2, "engines": 3}, **options))
         self.addCleanup(f.close)
         return f.start()
 
-    def revive(self, f, stop):
-        """Starts engines again that died, as an outside supplier would."""
+    def restart_engines(self, f, stop):
+        """Restarts engines that exited, as their platform would, until `stop` is set."""
         while not stop.wait(0.1):
             for e in f.engines:
                 if not e.alive():
                     e.start()
 
     def test_items_that_can_never_be_completed_end_as_failed(self):
+        """One item is rejected and one crashes its engine each time; the job's other items must still be done."""
         f = self.fleet()
         stop = threading.Event()
-        t = threading.Thread(target=self.revive, args=(f, stop))
+        t = threading.Thread(target=self.restart_engines, args=(f, stop))
         t.start()
         self.addCleanup(t.join)
         self.addCleanup(stop.set)
@@ -44,7 +49,7 @@
         states = {r["index"]: r["state"] for r in map(json.loads, body.splitlines())}
         self.assertEqual(sorted(i for i, s in states.items() if s == "failed"), [7, 33])
 
-    def test_replicas_of_a_frozen_entry_get_new_owners(self):
+    def test_replicas_of_a_frozen_entry_get_a_new_owner(self):
         f = self.fleet()
         f.complete("warm", "warm")
         frozen, session = f.entries[0], f.status(0)["session"]
@@ -53,17 +58,17 @@
         frozen.freeze()
         self.addCleanup(frozen.thaw)
 
-        def taken():
+        def taken_over():
             now = {u["id"]: u for u in f.status(1)["upstreams"]}
             return all(now[i]["owned_here"] and now[i]["fence"] > n for i, n in fence.items())
-        fl.wait_for("new owner", taken)
+        fl.wait_for("new owner with a higher fence", taken_over)
         self.assertEqual(f.complete("while", "while", entry=1)[0], 200)
         frozen.thaw()
         fl.wait_for("new session", lambda: f.status(0)["session"] > session and f.status(0)["lease_left_ms"] > 0)
-        self.assertTrue(frozen.lines("event=lease_lost") or frozen.lines("event=session_opened"))
+        self.assertTrue(frozen.log_lines("event=lease_lost") or frozen.log_lines("event=session_opened"))
         self.assertEqual(f.complete("after", "after", entry=0)[0], 200)
 
-    def test_entry_that_is_cut_off_refuses_as_not_run(self):
+    def test_entry_without_a_control_process_refuses_as_not_run(self):
         f = self.fleet()
         f.complete("warm", "warm")
         f.controls[0].freeze()
@@ -77,10 +82,10 @@
         self.assertGreaterEqual(int(headers["Retry-After"]), 1)
         self.assertIn(f.addr(1), headers["X-Auburn-Addresses"])
         f.controls[0].thaw()
-        fl.wait_for("service", lambda: f.complete("cut-after", "cut")[0] == 200)
+        fl.wait_for("completion", lambda: f.complete("cut-after", "cut")[0] == 200)
 
-    def test_one_load_for_a_replica_and_version(self):
-        text = fl.TEXT.replace("checks_fencing = true\n", MODEL % "1")
+    def test_each_replica_loads_each_version_once(self):
+        text = fl.TEXT.replace("checks_fencing = true\n", MODEL_KEYS % "1")
         f = self.fleet(text=text, engine={"load_ms": 1500})
 
         def loaded(version):
@@ -91,11 +96,11 @@
             return True
         f.submit(2, text.replace("[[service]]", "weight_loads_per_min = 6000\n\n[[service]]", 1))
         f.wait_in_force(2)
-        fl.wait_for("version 1", lambda: loaded("1"))
+        fl.wait_for("version 1 on all engines", lambda: loaded("1"))
         f.submit(3, text.replace("[[service]]", "weight_loads_per_min = 6000\n\n[[service]]", 1).replace(
             'version = "1"', 'version = "2"'))
-        fl.wait_for("version 2", lambda: loaded("2"))
-        fl.wait_for("two more rounds", lambda: f.complete("x", "x")[0] == 200)
+        fl.wait_for("version 2 on all engines", lambda: loaded("2"))
+        fl.wait_for("completion", lambda: f.complete("x", "x")[0] == 200)
         for e in f.engines:
             self.assertEqual(fl.get_json(e.settings["listen"], "/v1/state")["loads_total"], 2)
 
--- a/tests/proc/test_fakes.py
+++ b/tests/proc/test_fakes.py
@@ -1,4 +1,8 @@
-"""Process tests of the stand-ins: engine, plain service, platform and relay."""
+"""Tests of the fake engine, plain service, platform and relay that the other process tests rely on.
+
+Guards against a fake that doesn't inject the requested fault, or counts wrongly: the tests that use it would then pass
+without having tested anything.
+"""
 import http.client
 import json
 import os
@@ -26,15 +30,15 @@
 
 
 class Stream:
-    """A completion in progress; its connection is open."""
+    """A completion in progress on an open connection."""
 
-    def __init__(self, addr, rid, prompt, tokens, **more):
+    def __init__(self, addr, rid, prompt, tokens, **options):
         self.c = open_request(addr, "POST", "/v1/completions",
-                              dict(request_id=rid, prompt=prompt, max_tokens=tokens, stream=True, **more))
+                              dict(request_id=rid, prompt=prompt, max_tokens=tokens, stream=True, **options))
         self.r = None
 
     def event(self):
-        """The next event, "[DONE]", or None when the connection was closed before."""
+        """Reads the next event; returns "[DONE]" at the end of the stream, None if the connection was closed."""
         try:
             self.r = self.r or self.c.getresponse()
             line = self.r.readline()
@@ -51,8 +55,8 @@
             self.r.close()
         self.c.close()
 
-    def rest(self):
-        """All texts, and whether the stream ended whole."""
+    def read_rest(self):
+        """Reads to the end; returns the texts, and whether the stream ended with [DONE]."""
         texts = []
         while True:
             e = self.event()
@@ -62,9 +66,9 @@
             texts.append(e["choices"][0]["text"])
 
 
-class Case(unittest.TestCase):
-    def open(self, addr, path, body):
-        """A POST whose answer isn't awaited."""
+class FakeCase(unittest.TestCase):
+    def post(self, addr, path, body):
+        """Sends a POST without waiting for its answer; returns the connection."""
         c = open_request(addr, "POST", path, body)
         self.addCleanup(c.close)
         return c
@@ -91,22 +95,22 @@
     def cancel(self, rid):
         return call(ENGINE, "POST", "/v1/cancel", {"request_id": rid})[1]["cancelled"]
 
-    def fault(self, **what):
-        self.assertEqual(call(ENGINE, "POST", "/fault", what)[0], 200)
+    def inject_fault(self, **fault):
+        self.assertEqual(call(ENGINE, "POST", "/fault", fault)[0], 200)
 
 
-class EngineStreams(Case):
-    def test_resume_gives_the_missing_tokens(self):
+class EngineStreams(FakeCase):
+    def test_resume_produces_the_missing_tokens(self):
         self.engine()
-        whole, done = Stream(ENGINE, "a", "the prompt", 12).rest()
-        again, _ = Stream(ENGINE, "b", "the prompt", 12).rest()
-        part, _ = Stream(ENGINE, "c", "the prompt", 12, resume_from=5).rest()
-        none, ended = Stream(ENGINE, "d", "the prompt", 12, resume_from=12).rest()
-        other, _ = Stream(ENGINE, "e", "another prompt", 12).rest()
+        full, done = Stream(ENGINE, "a", "the prompt", 12).read_rest()
+        again, _ = Stream(ENGINE, "b", "the prompt", 12).read_rest()
+        part, _ = Stream(ENGINE, "c", "the prompt", 12, resume_from=5).read_rest()
+        none, ended = Stream(ENGINE, "d", "the prompt", 12, resume_from=12).read_rest()
+        other, _ = Stream(ENGINE, "e", "another prompt", 12).read_rest()
         self.assertTrue(done and ended)
-        self.assertEqual(len(set(whole)), 12)
-        self.assertEqual((again, part, none), (whole, whole[5:], []))
-        self.assertNotEqual(other, whole)
+        self.assertEqual(len(set(full)), 12)
+        self.assertEqual((again, part, none), (full, full[5:], []))
+        self.assertNotEqual(other, full)
 
     def test_event_carries_id_and_index(self):
         self.engine()
@@ -115,7 +119,7 @@
         self.assertEqual(s.event(), "[DONE]")
         s.close()
 
-    def test_cancel_breaks_off_running_and_waiting(self):
+    def test_cancel_ends_running_and_waiting_streams(self):
         self.engine(slots=1)
         running = Stream(ENGINE, "a", "p", 100000)
         running.event()
@@ -124,32 +128,33 @@
         for rid in ("b", "a"):
             self.assertTrue(self.cancel(rid))
         self.assertFalse(self.cancel("a"))
-        self.assertEqual(waiting.rest(), ([], False))
-        self.assertFalse(running.rest()[1])
+        self.assertEqual(waiting.read_rest(), ([], False))
+        self.assertFalse(running.read_rest()[1])
         c = self.counts()
         self.assertEqual((c["started"], c["cancelled"], c["finished"], c["max_waiting"]), (2, 2, 0, 1))
 
-    def test_client_that_leaves_cancels(self):
+    def test_disconnect_of_a_client_cancels_its_stream(self):
         self.engine(slots=1)
         running = Stream(ENGINE, "a", "p", 100000)
         running.event()
         waiting = Stream(ENGINE, "b", "p", 10)
         wait_for("second start", lambda: self.counts()["started"] == 2)
         waiting.close()
-        wait_for("cancel of the waiting one", lambda: self.counts()["cancelled"] == 1)
+        wait_for("cancel of the waiting stream", lambda: self.counts()["cancelled"] == 1)
         running.close()
-        wait_for("cancel of the running one", lambda: self.counts()["cancelled"] == 2)
+        wait_for("cancel of the running stream", lambda: self.counts()["cancelled"] == 2)
 
-    def added(self):
+    def added_prefixes(self):
+        """The prefixes that the engine has added to its cache, in order."""
         events = call(ENGINE, "GET", "/v1/cache_events?after=0")[1]["events"]
         return [e["prefix"] for e in events if e["op"] == "add"]
 
     def test_admits_in_order_of_arrival(self):
-        """A cache of one prefix notes each admission of another prompt."""
+        """With a cache of one prefix, each admission of another prompt produces an event: the events show the order."""
         self.engine(slots=1, cache_prefixes=1)
         for i in range(4):
-            Stream(ENGINE, "alone", "prompt %d" % i, 1).rest()
-        prefixes = self.added()
+            Stream(ENGINE, "alone", "prompt %d" % i, 1).read_rest()
+        prefixes = self.added_prefixes()
         first = Stream(ENGINE, "first", "long", 100000)
         first.event()
         order, streams = [2, 0, 3, 1], []
@@ -158,22 +163,22 @@
             wait_for("start", lambda: self.counts()["started"] == 6 + n)
         self.cancel("first")
         for s in streams:
-            self.assertEqual(s.rest()[1], True)
+            self.assertEqual(s.read_rest()[1], True)
         first.close()
-        self.assertEqual(self.added()[5:], [prefixes[i] for i in order])
+        self.assertEqual(self.added_prefixes()[5:], [prefixes[i] for i in order])
         self.assertEqual(self.counts()["max_running"], 1)
 
     def test_many_streams_at_once(self):
         self.engine(slots=300, step_base_us=20000)
         streams = [Stream(ENGINE, "s%d" % i, "p%d" % i, 20) for i in range(300)]
-        ended = [s.rest() for s in streams]
+        ended = [s.read_rest() for s in streams]
         self.assertTrue(all(done and len(t) == 20 for t, done in ended))
         self.assertEqual(self.counts()["finished"], 300)
 
-    def test_by_request_counts_starts(self):
+    def test_counts_starts_by_request(self):
         self.engine()
         for _ in range(2):
-            Stream(ENGINE, "a", "p", 1).rest()
+            Stream(ENGINE, "a", "p", 1).read_rest()
         self.assertEqual(self.counts("/v1/counts?by_request=1")["by_request"], {"a": 2})
 
     def test_bad_requests(self):
@@ -186,38 +191,40 @@
         self.assertEqual(self.counts()["started"], 0)
 
 
-class EngineCache(Case):
-    def test_known_prefix_saves_prefill_until_dropped(self):
+class EngineCache(FakeCase):
+    def test_cached_prefix_saves_prefill_until_evicted(self):
         self.engine(cache_prefixes=2, prefix_bytes=100)
         prompts = [c * 100 for c in "abc"]
 
-        def cost(prompt):
+        def prefill_tokens(prompt):
             before = self.counts()["prefill_tokens"]
-            Stream(ENGINE, "r", prompt, 1).rest()
+            Stream(ENGINE, "r", prompt, 1).read_rest()
             return self.counts()["prefill_tokens"] - before
 
-        self.assertEqual([cost(prompts[0]), cost(prompts[0]), cost(prompts[0] + "x" * 40)], [25, 0, 10])
-        self.assertEqual([cost(prompts[1]), cost(prompts[2]), cost(prompts[1])], [25, 25, 0])
-        self.assertEqual(cost(prompts[0]), 25)
+        self.assertEqual([prefill_tokens(prompts[0]), prefill_tokens(prompts[0]),
+                          prefill_tokens(prompts[0] + "x" * 40)], [25, 0, 10])
+        self.assertEqual([prefill_tokens(prompts[1]), prefill_tokens(prompts[2]), prefill_tokens(prompts[1])],
+                         [25, 25, 0])
+        self.assertEqual(prefill_tokens(prompts[0]), 25)
         self.assertEqual(self.counts()["prefix_hits"], 3)
         events = call(ENGINE, "GET", "/v1/cache_events?after=0")[1]
-        whole = call(ENGINE, "GET", "/v1/cache")[1]
-        held = set()
+        full = call(ENGINE, "GET", "/v1/cache")[1]
+        cached = set()
         for e in events["events"]:
-            (held.add if e["op"] == "add" else held.remove)(e["prefix"])
-        self.assertEqual(held, set(whole["prefixes"]))
-        self.assertEqual(events["last"], whole["last"])
+            (cached.add if e["op"] == "add" else cached.remove)(e["prefix"])
+        self.assertEqual(cached, set(full["prefixes"]))
+        self.assertEqual(events["last"], full["last"])
         self.assertEqual(call(ENGINE, "GET", "/v1/cache_events?after=5")[1]["events"], events["events"][5:])
 
-    def test_events_have_gaps(self):
+    def test_cache_events_have_gaps(self):
         self.engine(event_gap_percent=50, seed=7)
         for i in range(40):
-            Stream(ENGINE, "r", "prompt %d" % i, 1).rest()
+            Stream(ENGINE, "r", "prompt %d" % i, 1).read_rest()
         e = call(ENGINE, "GET", "/v1/cache_events?after=0")[1]
         self.assertEqual(e["last"], 40)
         self.assertTrue(0 < len(e["events"]) < 40)
 
-    def test_events_and_load_lag(self):
+    def test_cache_events_and_load_reports_lag(self):
         self.engine(event_lag_ms=3600000, report_lag_ms=3600000)
         s = Stream(ENGINE, "r", "prompt", 100000)
         s.event()
@@ -227,29 +234,29 @@
         s.close()
 
 
-class EngineOrders(Case):
-    def order(self, fence, **more):
-        return call(ENGINE, "POST", "/v1/orders", dict(fence=fence, **more))
+class EngineOrders(FakeCase):
+    def order(self, fence, **options):
+        return call(ENGINE, "POST", "/v1/orders", dict(fence=fence, **options))
 
-    def test_fencing_refuses_old_numbers(self):
+    def test_fencing_refuses_old_tokens(self):
         self.engine(load_ms=0)
         self.assertEqual(self.order(5, op="role", role="prefill")[0], 202)
         self.assertEqual(self.order(4, op="role", role="decode"), (409, {"error": "old fence", "fence": 5}))
         body = {"request_id": "a", "prompt": "p", "max_tokens": 1, "fence": 4}
         self.assertEqual(call(ENGINE, "POST", "/v1/completions", body)[0], 409)
-        self.assertTrue(Stream(ENGINE, "b", "p", 1, fence=6).rest()[1])
+        self.assertTrue(Stream(ENGINE, "b", "p", 1, fence=6).read_rest()[1])
         self.assertEqual(self.order(5, op="load", model="m")[0], 409)
         state = call(ENGINE, "GET", "/v1/state")[1]
         self.assertEqual((state["fence"], state["role"], state["loads_total"]), (6, "prefill", 0))
         self.assertEqual(self.order(9, op="other")[0], 400)
 
-    def test_fencing_off_takes_old_numbers(self):
+    def test_without_fencing_old_tokens_are_accepted(self):
         self.engine(fencing=False)
         self.order(5, op="role", role="prefill")
         self.assertEqual(self.order(4, op="role", role="decode")[0], 202)
         self.assertEqual(call(ENGINE, "GET", "/v1/state")[1]["role"], "decode")
 
-    def test_load_gets_weight(self):
+    def test_load_order_fetches_weights(self):
         self.start("auburn-fake-platform", PLATFORM, listen=PLATFORM, weight_ms=0)
         self.engine(load_ms=1, weight_store="http://" + PLATFORM)
         for version in ("1", "2"):
@@ -261,22 +268,22 @@
         self.assertEqual(call(PLATFORM, "GET", "/v1/counts")[1]["weights"], 2)
 
 
-class EngineFaults(Case):
-    def test_poison_and_die_end_the_process(self):
+class EngineFaults(FakeCase):
+    def test_poisoned_prompt_and_die_fault_end_the_process(self):
         p = self.engine()
-        Stream(ENGINE, "a", "{poison}", 5).rest()
+        Stream(ENGINE, "a", "{poison}", 5).read_rest()
         self.assertEqual(p.wait(WAIT_S), 9)
         p = self.engine()
         with self.assertRaises((OSError, http.client.HTTPException)):
             call(ENGINE, "POST", "/fault", {"die": True})
         self.assertEqual(p.wait(WAIT_S), 9)
 
-    def test_lose_and_cross_hit_as_many_streams_as_named(self):
+    def test_lose_and_cross_faults_hit_the_given_number_of_streams(self):
         self.engine()
-        self.fault(lose=1)
-        self.assertEqual([(len(t), d) for t, d in (Stream(ENGINE, "a", "p", 9).rest() for _ in range(2))],
+        self.inject_fault(lose=1)
+        self.assertEqual([(len(t), d) for t, d in (Stream(ENGINE, "a", "p", 9).read_rest() for _ in range(2))],
                          [(3, False), (9, True)])
-        self.fault(cross=1)
+        self.inject_fault(cross=1)
         for rid, same in (("b", False), ("c", True)):
             s = Stream(ENGINE, rid, "p", 1)
             self.assertEqual(s.event()["id"] == rid, same)
@@ -284,57 +291,57 @@
 
     def test_stalled_stream_stays_silent(self):
         self.engine()
-        self.fault(stall=1)
+        self.inject_fault(stall=1)
         s = Stream(ENGINE, "a", "p", 50)
         self.assertEqual([s.event()["index"], s.event()["index"]], [0, 1])
         for _ in range(3):
-            self.assertTrue(Stream(ENGINE, "b", "p", 50).rest()[1])
+            self.assertTrue(Stream(ENGINE, "b", "p", 50).read_rest()[1])
         self.assertTrue(self.cancel("a"))
         self.assertIsNone(s.event())
         s.close()
 
-    def test_freeze_and_late_hold_tokens_back(self):
+    def test_freeze_and_late_faults_delay_tokens(self):
         self.engine()
-        self.fault(freeze_ms=3600000)
+        self.inject_fault(freeze_ms=3600000)
         s = Stream(ENGINE, "a", "p", 5)
         wait_for("start", lambda: self.counts()["started"] == 1)
         self.assertEqual(self.counts()["tokens"], 0)
-        self.fault(freeze_ms=0)
-        self.assertTrue(s.rest()[1])
-        self.fault(late_ms=3600000)
+        self.inject_fault(freeze_ms=0)
+        self.assertTrue(s.read_rest()[1])
+        self.inject_fault(late_ms=3600000)
         late = Stream(ENGINE, "b", "p", 5)
         wait_for("admission", lambda: call(ENGINE, "GET", "/v1/load")[1]["running"] == 1)
-        self.fault(late_ms=0)
-        self.assertTrue(Stream(ENGINE, "c", "p", 5).rest()[1])
+        self.inject_fault(late_ms=0)
+        self.assertTrue(Stream(ENGINE, "c", "p", 5).read_rest()[1])
         self.assertEqual(self.counts()["tokens"], 10)
         late.close()
 
 
-class PlainService(Case):
-    def run_once(self, key):
+class PlainService(FakeCase):
+    def call_service(self, key):
         return call(SERVICE, "POST", "/quote", {}, {"Idempotency-Key": key})
 
-    def test_counts_runs_also_without_answer(self):
+    def test_counts_runs_whose_answer_is_lost(self):
         self.start("auburn-fake-service", SERVICE, listen=SERVICE, delay_ms=0)
-        self.assertEqual(self.run_once("k"), (200, {"ok": True, "run": 1, "key": "k"}))
+        self.assertEqual(self.call_service("k"), (200, {"ok": True, "run": 1, "key": "k"}))
         call(SERVICE, "POST", "/fault", {"lose": 1})
         with self.assertRaises((OSError, http.client.HTTPException)):
-            self.run_once("k")
+            self.call_service("k")
         call(SERVICE, "POST", "/fault", {"fail": 1})
-        self.assertEqual(self.run_once("x")[0], 503)
-        self.assertEqual(self.run_once("y")[1]["run"], 1)
+        self.assertEqual(self.call_service("x")[0], 503)
+        self.assertEqual(self.call_service("y")[1]["run"], 1)
         self.assertEqual(call(SERVICE, "GET", "/runs")[1], {"total": 3, "keys": {"k": 2, "y": 1}})
 
 
-class Platform(Case):
+class Platform(FakeCase):
     VMS = {"vms": [{"id": "v1", "addr": ENGINE, "zone": "a", "service": "s", "state": "live"}]}
 
-    def test_list_lags(self):
+    def test_list_shows_a_change_after_its_lag(self):
         self.start("auburn-fake-platform", PLATFORM, listen=PLATFORM, lag_ms=300)
         self.assertEqual(call(PLATFORM, "PUT", "/v1/vms", self.VMS)[0], 200)
-        wait_for("change", lambda: call(PLATFORM, "GET", "/v1/vms")[1] == self.VMS)
+        wait_for("changed list", lambda: call(PLATFORM, "GET", "/v1/vms")[1] == self.VMS)
 
-    def test_list_shows_the_past(self):
+    def test_list_shows_the_old_state_during_its_lag(self):
         self.start("auburn-fake-platform", PLATFORM, listen=PLATFORM, lag_ms=3600000)
         call(PLATFORM, "PUT", "/v1/vms", self.VMS)
         self.assertEqual(call(PLATFORM, "GET", "/v1/vms")[1], {"vms": []})
@@ -346,7 +353,7 @@
         self.assertEqual(call(PLATFORM, "GET", "/v1/counts")[1], {"weights": 2, "refused": 1})
 
 
-class Relay(Case):
+class Relay(FakeCase):
     def setUp(self):
         self.start("auburn-fake-service", SERVICE, listen=SERVICE, delay_ms=0)
         self.start("auburn-relay", CONTROL, listen=RELAY, target=SERVICE, control=CONTROL)
@@ -364,9 +371,9 @@
         self.assertEqual(call(CONTROL, "GET", "/mode")[1]["mode"], "delay")
         self.assertEqual(call(CONTROL, "POST", "/mode", {"mode": "other"})[0], 400)
 
-    def test_hold_passes_the_bytes_on_later(self):
+    def test_hold_delivers_the_bytes_later(self):
         self.mode("hold")
-        c = self.open(RELAY, "/a", {})
+        c = self.post(RELAY, "/a", {})
         wait_for("connection", lambda: call(CONTROL, "GET", "/mode")[1]["connections"] >= 1)
         self.assertEqual(self.runs(), 0)
         self.mode("pass")
@@ -374,18 +381,18 @@
         self.assertEqual(self.runs(), 1)
 
     def test_cut_drops_the_bytes(self):
-        c = self.open(RELAY, "/a", {})
+        c = self.post(RELAY, "/a", {})
         c.getresponse().read()
         self.mode("cut")
         c.request("POST", "/a", "{}")
-        hung = self.open(RELAY, "/a", {})
+        unanswered = self.post(RELAY, "/a", {})
         c.sock.settimeout(0.3)
-        hung.sock.settimeout(0.3)
-        for x in (c, hung):
+        unanswered.sock.settimeout(0.3)
+        for x in (c, unanswered):
             with self.assertRaises(TimeoutError):
                 x.getresponse()
         self.mode("pass")
-        wait_for("end of the broken ones", lambda: call(CONTROL, "GET", "/mode")[1]["connections"] == 0)
+        wait_for("end of the connections that lost bytes", lambda: call(CONTROL, "GET", "/mode")[1]["connections"] == 0)
         self.assertEqual(self.runs(), 1)
         self.assertEqual(call(RELAY, "POST", "/a", {})[0], 200)
 
--- a/tests/proc/test_recovery.py
+++ b/tests/proc/test_recovery.py
@@ -1,4 +1,8 @@
-"""bench/recovery.py against a log whose times are known."""
+"""bench/recovery.py on a log with known times.
+
+Guards against recovery times that are wrong because the start and the end of an outage are paired wrongly, for instance
+a loss seen by one process with the recovery of another.
+"""
 import os
 import subprocess
 import sys
@@ -28,7 +32,7 @@
 
 
 class Recovery(unittest.TestCase):
-    def test_times_by_kind(self):
+    def test_recovery_times_by_kind(self):
         with tempfile.NamedTemporaryFile("w", suffix=".log") as f:
             f.write(LOG)
             f.flush()
