--- a/tests/platform_soak.py
+++ b/tests/platform_soak.py
@@ -5,9 +5,9 @@
 
 Prints a line for each seed and `N passed, N failed` last. Logs of a failed seed are kept.
 
-Guards against faults that need several failures at once: callers, operators and batch lots go on while control
-processes, entries, replicas, their connections and the upstream list fail. A seed doesn't repeat a run exactly, because
-concurrent tasks draw from the same generator in the order in which they happen to run.
+Guards against defects that show only when several things fail at once: callers, operators and batch lots go on while
+control processes, entries, replicas, their connections and the upstream list fail. A seed doesn't repeat a run exactly,
+because concurrent tasks draw from the same generator in the order in which they happen to run.
 """
 import argparse
 import asyncio
@@ -25,7 +25,7 @@
 from platform_kit import HOST, Kit, event_text, read_message  # noqa: E402
 
 APPLY_S = 2.0       # a config must be in force everywhere this long after its acknowledgement
-DRAIN_S = 3.0       # a leaving replica must get no requests this long after its first announcement to an entry
+DRAIN_S = 3.0       # a leaving replica gets no request later than this after the first complete answer that says so
 SETTLE_S = 25.0     # lots must be finished this long after the last fault
 
 
@@ -94,7 +94,7 @@
         self.refused = set()
         self.stop = False
         self.faulted = set()        # ids of replicas that had a fault
-        self.left = []              # (replica id, time when a request with its announcement ended)
+        self.announcements = []     # (id of a leaving replica, time when the first answer that announces it ended)
         self.last_wipe = 0.0
         self.faults_begun = []
 
@@ -159,7 +159,7 @@
             await asyncio.sleep(0.3)
 
     async def read_lot(self, lot):
-        """Reads the results again and again; those listed once must stay in their positions."""
+        """Reads the results repeatedly; a result must not change its position or content once it is listed."""
         x = self.lots[lot]
         while not self.stop or len(x["seen"]) < len(x["items"]) and not x["ended"]:
             s, b = await self.kit.read_lot(self.rng.choice(self.kit.fronts), lot, 0, 500)
@@ -293,7 +293,7 @@
         announced = [x["ended"] for x in self.kit.runs
                      if x["replica"] == rid and x["at"] > started and x["end"] == "done"]
         if announced:
-            self.left.append((rid, min(announced)))
+            self.announcements.append((rid, min(announced)))
         r.announces_leaving = False
         await self.crash_replica(i)
 
@@ -384,7 +384,7 @@
 
     def check_leaving(self):
         """Leaving replicas got no requests once their announcement had time to reach all entries."""
-        for rid, at in self.left:
+        for rid, at in self.announcements:
             late = [x["at"] - at for x in self.kit.runs if x["replica"] == rid and x["at"] > at + DRAIN_S]
             if late:
                 self.fail("%s: got %d requests up to %.1f s after it announced that it leaves" % (
@@ -433,7 +433,8 @@
             self.fail("read config %s at the end after version %d was acknowledged" % (
                 got and got["version"], self.kit.acked_version))
 
-    async def run_all(self):
+    async def run_load_and_faults(self):
+        """Runs the load with the faults until all lots are finished, then checks what was observed."""
         k = self.kit
         await k.submit()
         await k.wait_ready()
@@ -457,7 +458,7 @@
 
     def run(self):
         try:
-            self.kit.loop.run(self.run_all(), self.seconds + 120)
+            self.kit.loop.run(self.run_load_and_faults(), self.seconds + 120)
         except Exception as e:  # a run that hangs is a failure of this seed
             self.fail("run did not finish: %s %s" % (type(e).__name__, e))
         if self.failures:
--- a/tests/proc/fleet.py
+++ b/tests/proc/fleet.py
@@ -101,7 +101,7 @@
 
 
 def sse_texts(body):
-    """Parses an event stream: (list of texts by token index, whether [DONE] was received, error event or None)."""
+    """Parses an event stream: ({token index: texts}, whether [DONE] was received, error event or None)."""
     texts, done, error, event = {}, False, None, None
     for line in body.decode().split("\n"):
         if line.startswith("event: "):
@@ -375,7 +375,7 @@
         self.set_relay_mode(self.links[(a, b)], mode)
 
     def cut(self, name, mode="cut"):
-        """Partitions a control process from the others and the entries: bytes are dropped in both directions."""
+        """Sets the mode of all links of a control process; by default cuts them, so that no bytes pass."""
         for (a, b) in self.links:
             if name in (a, b):
                 self.set_link(a, b, mode)
--- a/tests/proc/platform_kit.py
+++ b/tests/proc/platform_kit.py
@@ -243,7 +243,7 @@
         self.upstream_list_down = False
         self.zones = ["za", "zb", "zc"]
         self.list_addr = self.next_addr()
-        self.loop.run(self.start_list())
+        self.loop.run(self.start_upstream_list())
         self.replicas = [Replica(self, "r%d" % i, self.zones[i % 3], slots) for i in range(replicas)]
         for r in self.replicas:
             self.loop.run(r.start())
@@ -279,7 +279,8 @@
             "metrics": "%s:%d" % (ip, self.port + 4), "upstream_list": self.list_addr,
             "controls": self.seeds, "rpc_port": self.port, "link_port": self.port + 1, "grace_s": 4})
 
-    async def start_list(self):
+    async def start_upstream_list(self):
+        """Serves the list of all replicas, with a malformed entry without address, which its readers must skip."""
         async def serve(reader, writer):
             try:
                 while await read_message(reader):
--- a/tests/proc/test_bad_input.py
+++ b/tests/proc/test_bad_input.py
@@ -1,4 +1,5 @@
-"""Invalid input: wrong settings for every program, and malformed, huge or slow input on every port of a fleet.
+"""Invalid input: wrong settings for each program except auburn-front (see test_platform.py), and malformed, huge or
+slow input on the HTTP and RPC ports of entries and control processes.
 
 Guards against programs that start with settings they misread, and against processes that crash, run out of memory,
 block other clients or lose accepted work because of input that no proper client sends.
@@ -261,9 +262,10 @@
                 send_all(s, rng.randbytes(rng.randrange(1, 4096)))
 
     def test_truncated_http(self):
+        """A job must not be accepted from the part of its items that arrived before the connection was closed."""
         body = b'{"prompt":"p","max_tokens":2}\n'
         full_request = request_head("/v1/jobs?service=sammandrag-llm", "Idempotency-Key: cut",
-                             "Content-Length: %d" % len(body)) + body
+                                    "Content-Length: %d" % len(body)) + body
         for addr in self.http:
             for n in range(1, len(full_request), 7):
                 with connect(addr) as s:
@@ -341,6 +343,7 @@
         self.assertEqual(call(self.f.addr(), "GET", "/v1/jobs/over", headers=bearer(CALLER_KEY))[0], 404)
 
     def test_huge_header(self):
+        """One long line, a long path, and many lines: each must be refused, or its connection closed."""
         for addr in self.http:
             for data in (request_head("/v1/jobs", "X-Big: " + "x" * (1 << 20), method="GET"),
                          ("GET /" + "x" * (1 << 20) + " HTTP/1.1\r\n\r\n").encode(),
@@ -351,7 +354,7 @@
                     self.assertTrue(first == b"" or re.match(rb"HTTP/1.1 4\d\d ", first), first)
 
     def test_slow_clients_do_not_block_others(self):
-        """Sends one byte a second on every port; a reader that blocks on one connection would stop the process."""
+        """Sends one byte a second on every port; a reader that blocks on one connection would block all others."""
         body = json.dumps({"model": "sammandrag-llm", "prompt": "slow", "max_tokens": 2}).encode()
         request = request_head("/v1/completions", "Idempotency-Key: slow", "Content-Length: %d" % len(body)) + body
         slow = [(connect(a), request) for a in self.http] + [(connect(a), rpc_call(p, 1, b"\0" * 64)) for a, p in self.rpc]
@@ -369,6 +372,7 @@
                 s.close()
 
     def test_500_idle_connections_on_each_port(self):
+        """Each connection occupies a thread while it is open; idle ones must not use up what other clients need."""
         for addr in self.all_addrs():
             idle = [connect(addr) for _ in range(500)]
             try:
@@ -378,6 +382,7 @@
                     s.close()
 
     def test_invalid_requests_are_refused_and_not_run(self):
+        """The refusal says `not_run`, so an invalid request must not reach an engine before it is refused."""
         good = {"model": "sammandrag-llm", "prompt": "p", "max_tokens": 2}
         bodies = [b"", b"{", b"[]", b"5", b"null", b"\xff\xfe", b"[" * 10000, b'{"a":' * 3000,
                   json.dumps(dict(good, max_tokens=-1)).encode(), json.dumps(dict(good, max_tokens=0)).encode(),
@@ -391,8 +396,8 @@
                     continue  # items have no field `model`
                 key = fleet.PEER_KEY if path.startswith("/internal") else CALLER_KEY
                 status, _, out = call(self.f.addr(), "POST", path, body, bearer(key, "bad-%d" % i))
-                refused = status == 503 if path.startswith("/internal") else 400 <= status < 500
-                self.assertTrue(refused or status == 400, (path, body[:60], status, out))
+                is_expected = status == 503 if path.startswith("/internal") else 400 <= status < 500
+                self.assertTrue(is_expected or status == 400, (path, body[:60], status, out))
                 self.assertEqual(json.loads(out)["error"]["verdict"], "not_run", (path, body[:60]))
         wait_for("end of all jobs", lambda: all(self.f.job(j)["done"] == 5 for j in self.jobs))
         after = fleet.get_json(self.f.engines[0].settings["listen"], "/v1/counts")["started"]
@@ -400,8 +405,8 @@
 
     def test_invalid_headers_and_parameters(self):
         body = json.dumps({"model": "sammandrag-llm", "prompt": "p", "max_tokens": 2}) + "\n"
-        huge = ("9223372036854775807", "-9223372036854775808", "1e9", "abc", "99999999999999999999")
-        for i, v in enumerate(huge):
+        bad_numbers = ("9223372036854775807", "-9223372036854775808", "1e9", "abc", "99999999999999999999")
+        for i, v in enumerate(bad_numbers):
             more = dict(bearer(CALLER_KEY, "odd-%d" % i), **{"X-Deadline-Ms": v, "traceparent": v})
             for path in ("/v1/completions", "/v1/jobs?service=sammandrag-llm&deadline_ms=" + v):
                 self.assertLess(call(self.f.addr(), "POST", path, body, more)[0], 600)
--- a/tests/proc/test_config.py
+++ b/tests/proc/test_config.py
@@ -82,6 +82,7 @@
             self.assertEqual(f.submit(502, f.text)[0], 200)
 
     def test_change_is_in_force_everywhere_within_seconds(self):
+        """Prints the time from the submission until all entries have the config."""
         with fl.Fleet(entries=6) as f:
             f.start()
             start = time.monotonic()
--- a/tests/proc/test_fakes.py
+++ b/tests/proc/test_fakes.py
@@ -358,7 +358,7 @@
         self.start("auburn-fake-service", SERVICE, listen=SERVICE, delay_ms=0)
         self.start("auburn-relay", CONTROL, listen=RELAY, target=SERVICE, control=CONTROL)
 
-    def mode(self, mode, ms=0):
+    def set_mode(self, mode, ms=0):
         self.assertEqual(call(CONTROL, "POST", "/mode", {"mode": mode, "ms": ms})[0], 200)
 
     def runs(self):
@@ -366,24 +366,24 @@
 
     def test_pass_and_delay(self):
         self.assertEqual(call(RELAY, "POST", "/a", {})[0], 200)
-        self.mode("delay", 30)
+        self.set_mode("delay", 30)
         self.assertEqual(call(RELAY, "POST", "/a", {})[0], 200)
         self.assertEqual(call(CONTROL, "GET", "/mode")[1]["mode"], "delay")
         self.assertEqual(call(CONTROL, "POST", "/mode", {"mode": "other"})[0], 400)
 
     def test_hold_delivers_the_bytes_later(self):
-        self.mode("hold")
+        self.set_mode("hold")
         c = self.post(RELAY, "/a", {})
         wait_for("connection", lambda: call(CONTROL, "GET", "/mode")[1]["connections"] >= 1)
         self.assertEqual(self.runs(), 0)
-        self.mode("pass")
+        self.set_mode("pass")
         self.assertEqual(c.getresponse().status, 200)
         self.assertEqual(self.runs(), 1)
 
     def test_cut_drops_the_bytes(self):
         c = self.post(RELAY, "/a", {})
         c.getresponse().read()
-        self.mode("cut")
+        self.set_mode("cut")
         c.request("POST", "/a", "{}")
         unanswered = self.post(RELAY, "/a", {})
         c.sock.settimeout(0.3)
@@ -391,7 +391,7 @@
         for x in (c, unanswered):
             with self.assertRaises(TimeoutError):
                 x.getresponse()
-        self.mode("pass")
+        self.set_mode("pass")
         wait_for("end of the connections that lost bytes", lambda: call(CONTROL, "GET", "/mode")[1]["connections"] == 0)
         self.assertEqual(self.runs(), 1)
         self.assertEqual(call(RELAY, "POST", "/a", {})[0], 200)
--- a/tests/proc/test_platform.py
+++ b/tests/proc/test_platform.py
@@ -1,8 +1,9 @@
-"""End-to-end tests of the code for the platform: real control processes and fronts (the entries), simulated replicas,
-upstream list and callers.
+"""End-to-end tests of auburn-control and auburn-front (called entries here) with simulated replicas, upstream list and
+callers, in the formats that platform/ converts.
 
-The groups cover online requests, faults, leaving replicas, duplicate answers, planned stops, paused entries, memory,
-configs, lots and retirement. Requests to /brief/ may be resumed on another replica; those to /alert/ run at most once.
+The test classes cover online requests, faults, leaving replicas, duplicate answers, planned stops, paused entries,
+memory, configs, lots, retirement and settings. Requests to /brief/ may be resumed on another replica; those to /alert/
+run at most once.
 """
 import asyncio
 import os
@@ -136,6 +137,7 @@
         self.assertEqual(self.kit.runs_of(rid), [])
 
     def test_requests_that_replicas_reject_release_their_slots(self):
+        """If rejected requests kept their slots, the requests after them would find none free."""
         k = self.kit
         slots = sum(r.slots for r in k.replicas)
 
@@ -170,6 +172,7 @@
         self.assertNotIn(draining.id, [r["replica"] for r in self.kit.runs[n:]])
 
     def test_requests_are_served_although_another_replica_reuses_an_address(self):
+        """The list showed the old replica; the new one answers 421 to requests that are addressed to the old id."""
         self.kit.replicas[0].id = "i-other"
         for _ in range(6):
             s, _, _ = self.run_one(self.kit.stream(self.kit.fronts[0], "/brief/1", self.rid()))
@@ -398,6 +401,7 @@
         self.assertEqual(self.runs_since(leaving, t), [])
 
     def test_new_leader_learns_of_it_from_the_entries(self):
+        """Only the lost leader and the entries had the announcement; the list that the new leader reads lacks it."""
         leaving = self.kit.replicas[0]
         t = self.announce_leaving(leaving)
         leader = self.kit.leader()
@@ -410,6 +414,7 @@
         self.assertEqual(self.runs_since(leaving, t), [])
 
     def test_restarted_entries_do_not_use_it_again(self):
+        """Each entry loses the announcement with its restart, so the leader must still have it."""
         leaving = self.kit.replicas[0]
         t = self.announce_leaving(leaving)
         for f in self.kit.fronts:
@@ -546,6 +551,7 @@
             self.assert_complete_answer(answer)
 
     def test_slow_request_body_is_read_and_answered(self):
+        """The rest of the body arrives 2.6 s after its beginning, while the entry is stopping."""
         async def go():
             slow = [asyncio.ensure_future(self.post("/brief/1", self.rid(), 150 + i, 2.6)) for i in range(20)]
             await asyncio.sleep(0.1)
@@ -556,6 +562,7 @@
             self.assert_complete_answer(answer)
 
     def test_lot_that_waits_for_its_commit_is_answered(self):
+        """The control processes are frozen, so the outcome is open while the entry stops."""
         async def go():
             for c in self.kit.controls:
                 c.signal(signal.SIGSTOP)
@@ -570,6 +577,7 @@
         self.assertIn(self.kit.loop.run(go(), 30), (202, 503, 504))
 
     def test_requests_on_400_idle_connections_during_the_stop(self):
+        """Connections that were idle when the stop began may already have a request in their socket buffer."""
         async def go():
             conns = [await asyncio.open_connection(self.front.ip, self.kit.port) for _ in range(400)]
             rids = [self.rid() for _ in conns]
@@ -588,6 +596,7 @@
             self.assertTrue(a.startswith(b"HTTP/1.1 404"), a)
 
     def test_operator_call_to_a_stopping_follower_of_a_frozen_leader_is_answered(self):
+        """The follower can't complete the call without the leader, but must answer before it exits."""
         leader = self.kit.leader()
         other = next(c for c in self.kit.controls if c is not leader)
 
@@ -948,7 +957,7 @@
                 time.sleep(0.05)
             return got
 
-        async def state(node):
+        async def retirement_status(node):
             return (await k.call(k.controls[3].ip, k.port + 2, "GET", "/retire/%s/get" % node))[2]
         self.assertEqual(retire("nobody"), 404)
         lot, items = k.lot(4)
@@ -956,7 +965,7 @@
         leader = k.leader()
         self.assertEqual(retire(leader.name), 200)
         end = time.time() + 8
-        while b"completed" not in self.run_one(state(leader.name)):
+        while b"completed" not in self.run_one(retirement_status(leader.name)):
             self.assertLess(time.time(), end)
             time.sleep(0.1)
         leader.stop()
--- a/tests/proc/test_soak.py
+++ b/tests/proc/test_soak.py
@@ -1,7 +1,7 @@
 """A short run of tests/platform_soak.py with two fixed seeds, and with the seeds of tests/soak_seeds.txt.
 
-Guards against faults that need a particular interleaving of failures, and against the return of those that were found
-before. Run more seeds by hand with tests/platform_soak.py --seeds.
+Guards against defects that show only when several failures coincide, and against the return of the defects that these
+seeds found. Run more seeds by hand with tests/platform_soak.py --seeds.
 """
 import os
 import subprocess
