--- a/src/control/hub_dispatch.c
+++ b/src/control/hub_dispatch.c
@@ -39,7 +39,7 @@
 		  LOG_INT("number", number), LOG_CSTR("reason", dispatch_refusal_name(reason)),
 		  LOG_INT("retry_ms", retry_ms), LOG_INT("replicas", st.replicas),
 		  LOG_INT("places", st.slots), LOG_INT("online", st.online),
-		  LOG_INT("items", st.items), LOG_INT("waiting", st.asks_waiting),
+		  LOG_INT("items", st.items), LOG_INT("waiting", st.requests_waiting),
 		  LOG_INT("list_age_ms", hub_list_age_ms(h)));
 }
 
--- a/src/control/hub_view.c
+++ b/src/control/hub_view.c
@@ -88,8 +88,8 @@
 	for (u_int i = 0; i < v->upstreams.upstreams_len; i++) {
 		link_upstream_t *u = &v->upstreams.upstreams_val[i];
 
-		if (leaving_check(h->leaving_replicas,
-				  (leaving_replica_t){wire_str(u->id), u->start_time}))
+		if (leaving_contains(h->leaving_replicas,
+				     (replica_ref_t){wire_str(u->id), u->start_time}))
 			u->leaving = true;
 	}
 }
@@ -101,7 +101,7 @@
 
 	/* A replica that has restarted since is not leaving. */
 	if ((u && m->start_time && u->start_time > m->start_time) ||
-	    !leaving_add(h->leaving_replicas, (leaving_replica_t){id, m->start_time}))
+	    !leaving_add(h->leaving_replicas, (replica_ref_t){id, m->start_time}))
 		return;
 	log_event(LOG_LEVEL_INFO, "replica_leaves", LOG_STR("replica", id),
 		  LOG_INT("born", m->start_time), LOG_CSTR("entry", p->name));
--- a/src/front/front_item.c
+++ b/src/front/front_item.c
@@ -174,7 +174,7 @@
 			 addr[0] ? DISPATCH_CANCELLED : DISPATCH_UNREACHABLE);
 		return;
 	}
-	if (leaving_check(f->leaving_replicas, replica)) {
+	if (leaving_contains(f->leaving_replicas, replica)) {
 		end_item(it, LINK_ITEM_END_UNFINISHED, DISPATCH_REPLICA_LEAVING);
 		return;
 	}
--- a/src/front/front_request.c
+++ b/src/front/front_request.c
@@ -333,7 +333,7 @@
 	q->granted_at = clock_now_ms();
 	q->slot_wait_ms += q->granted_at - q->requested_at;
 	q->attempts++;
-	if (addr.n == 0 || leaving_check(q->f->leaving_replicas, replica)) {
+	if (addr.n == 0 || leaving_contains(q->f->leaving_replicas, replica)) {
 		retry_elsewhere(q, addr.n ? DISPATCH_REPLICA_LEAVING : DISPATCH_UNREACHABLE);
 		return;
 	}
--- a/src/front/front_slot.c
+++ b/src/front/front_slot.c
@@ -34,7 +34,7 @@
 		  LOG_INT("number", request), LOG_CSTR("reason", dispatch_refusal_name(why)),
 		  LOG_INT("retry_ms", retry_ms), LOG_INT("replicas", st.replicas),
 		  LOG_INT("places", st.slots), LOG_INT("online", st.online),
-		  LOG_INT("waiting", st.asks_waiting));
+		  LOG_INT("waiting", st.requests_waiting));
 	front_request_refused(q, retry_ms);
 }
 
@@ -143,9 +143,9 @@
 			.zone = str_c(f->settings.zone),
 			.service = wire_str(u->service),
 			.slots = u->slots,
-			.leaving = u->leaving ||
-				   leaving_check(f->leaving_replicas,
-						 (replica_ref_t){wire_str(u->id), u->start_time}),
+			.leaving = u->leaving || leaving_contains(f->leaving_replicas,
+								  (replica_ref_t){wire_str(u->id),
+										  u->start_time}),
 			.start_time = u->start_time,
 		};
 	}
--- a/src/policy/dispatch.c
+++ b/src/policy/dispatch.c
@@ -528,7 +528,7 @@
 
 void dispatch_stats(const dispatch_t *d, dispatch_stats_t *out)
 {
-	*out = (dispatch_stats_t){.asks_waiting = d->nwaiters,
+	*out = (dispatch_stats_t){.requests_waiting = d->nwaiters,
 				  .items_waiting = d->nwaiting_items,
 				  .preempted = d->preempted};
 	for (const replica_t *r = d->replicas; r; r = r->hh.next) {
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -152,7 +152,7 @@
 	unsigned slots; /* of these replicas */
 	unsigned online; /* running online requests */
 	unsigned items; /* running batch items */
-	unsigned asks_waiting; /* waiting online requests */
+	unsigned requests_waiting; /* waiting online requests */
 	unsigned items_waiting;
 	uint64_t preempted; /* items preempted so far */
 } dispatch_stats_t;
--- a/src/policy/leaving.c
+++ b/src/policy/leaving.c
@@ -68,7 +68,7 @@
 	return true;
 }
 
-bool leaving_check(leaving_t *l, replica_ref_t r)
+bool leaving_contains(leaving_t *l, replica_ref_t r)
 {
 	member_t *x = find_member(l, r.id);
 
--- a/src/policy/leaving.h
+++ b/src/policy/leaving.h
@@ -27,9 +27,6 @@
 	uint64_t start_time; /* Unix ms, 0 if unknown */
 } replica_ref_t;
 
-/** Old name, used outside of src/policy and src/front. */
-typedef replica_ref_t leaving_replica_t;
-
 leaving_t *leaving_new(void);
 void leaving_free(leaving_t *l);
 /** Adds a replica or raises its start time; false if the set already has it with this start time or
@@ -37,7 +34,7 @@
 bool leaving_add(leaving_t *l, replica_ref_t r);
 /** True if the replica is in the set. A replica that was added with an unknown start time takes
  * that of r. If r has a later start time, the replica was restarted and is removed from the set. */
-bool leaving_check(leaving_t *l, replica_ref_t r);
+bool leaving_contains(leaving_t *l, replica_ref_t r);
 /** Lists up to max replicas, returns their number. The ids are valid until the next call on l. */
 size_t leaving_list(const leaving_t *l, replica_ref_t *out, size_t max);
 
--- a/tests/unit/test_dispatch.c
+++ b/tests/unit/test_dispatch.c
@@ -194,7 +194,7 @@
 		for (int i = 0; i < neffects; i++)
 			refused_s += effects[i].what == 'r' && effects[i].request % 2;
 		ck_assert_int_eq(refused_s, 10 - 1 - 4);
-		ck_assert_uint_eq(st.asks_waiting, 4 + 6);
+		ck_assert_uint_eq(st.requests_waiting, 4 + 6);
 	}
 	dispatch_free(d);
 }
@@ -405,20 +405,20 @@
 START_TEST(leavers_are_known_by_id_and_start)
 {
 	leaving_t *l = leaving_new();
-	leaving_replica_t known[4];
-
-	ck_assert(leaving_add(l, (leaving_replica_t){STR("i-1"), 1000}));
-	ck_assert(!leaving_add(l, (leaving_replica_t){STR("i-1"), 1000}));
-	ck_assert(leaving_add(l, (leaving_replica_t){STR("i-2"), 0}));
-	ck_assert(leaving_check(l, (leaving_replica_t){STR("i-1"), 1000}));
-	ck_assert(leaving_check(l, (leaving_replica_t){STR("i-1"), 0}));
-	ck_assert(leaving_check(l, (leaving_replica_t){STR("i-2"), 700}));
-	ck_assert(!leaving_check(l, (leaving_replica_t){STR("i-3"), 1000}));
+	replica_ref_t known[4];
+
+	ck_assert(leaving_add(l, (replica_ref_t){STR("i-1"), 1000}));
+	ck_assert(!leaving_add(l, (replica_ref_t){STR("i-1"), 1000}));
+	ck_assert(leaving_add(l, (replica_ref_t){STR("i-2"), 0}));
+	ck_assert(leaving_contains(l, (replica_ref_t){STR("i-1"), 1000}));
+	ck_assert(leaving_contains(l, (replica_ref_t){STR("i-1"), 0}));
+	ck_assert(leaving_contains(l, (replica_ref_t){STR("i-2"), 700}));
+	ck_assert(!leaving_contains(l, (replica_ref_t){STR("i-3"), 1000}));
 	ck_assert_uint_eq(leaving_list(l, known, 4), 2);
 	/* It started again: the one that left isn't remembered. */
-	ck_assert(!leaving_check(l, (leaving_replica_t){STR("i-1"), 1001}));
-	ck_assert(!leaving_check(l, (leaving_replica_t){STR("i-1"), 1000}));
-	ck_assert(!leaving_check(l, (leaving_replica_t){STR("i-2"), 701}));
+	ck_assert(!leaving_contains(l, (replica_ref_t){STR("i-1"), 1001}));
+	ck_assert(!leaving_contains(l, (replica_ref_t){STR("i-1"), 1000}));
+	ck_assert(!leaving_contains(l, (replica_ref_t){STR("i-2"), 701}));
 	ck_assert_uint_eq(leaving_list(l, known, 4), 0);
 	leaving_free(l);
 }
@@ -427,16 +427,16 @@
 START_TEST(leavers_are_bounded_in_number)
 {
 	leaving_t *l = leaving_new();
-	static leaving_replica_t known[LEAVING_MAX + 1];
+	static replica_ref_t known[LEAVING_MAX + 1];
 
 	for (unsigned i = 0; i < 3 * LEAVING_MAX; i++) {
 		char id[16];
 
 		snprintf(id, sizeof(id), "i-%u", i);
-		leaving_add(l, (leaving_replica_t){str_c(id), 1});
+		leaving_add(l, (replica_ref_t){str_c(id), 1});
 	}
 	ck_assert_uint_eq(leaving_list(l, known, LEAVING_MAX + 1), LEAVING_MAX);
-	ck_assert(leaving_check(l, (leaving_replica_t){STR("i-3071"), 1}));
+	ck_assert(leaving_contains(l, (replica_ref_t){STR("i-3071"), 1}));
 	leaving_free(l);
 }
 END_TEST
