--- a/src/policy/balance.c
+++ b/src/policy/balance.c
@@ -3,12 +3,13 @@
 
 #include <assert.h>
 
-/* Costs by which candidates are compared; a replica without free slots costs COST_FULL or more. */
+/* Costs by which candidates are compared. The share of slots in use is weighted with COST_FULL, so
+ * a replica without free slots costs COST_FULL or more; its queued requests add to the load. */
 #define COST_FULL	1000
 #define COST_OTHER_ZONE 60
-#define COST_HOP	30 /* another entry owns the replica */
-#define GAIN_PREFIX	150 /* subtracted if the request's prefix is cached */
-#define COST_STALE	500 /* the last report is older than STALE_MS, or there is none */
+#define COST_HOP	30 /* the request goes through another entry, the replica's owner */
+#define GAIN_PREFIX	150 /* subtracted if the prefix is probably cached and a slot is free */
+#define COST_STALE	500 /* another entry's replica without a report in the last STALE_MS */
 #define STALE_MS	3000
 #define RANDOM_BITS	32 /* bits of rnd for the first of two choices; the rest is for the second */
 
@@ -58,8 +59,8 @@
 	return -1;
 }
 
-static int pick_two(const balance_candidate_t *c, size_t n, size_t usable, uint64_t rnd,
-		    int64_t now_ms)
+static int pick_better_of_two(const balance_candidate_t *c, size_t n, size_t usable, uint64_t rnd,
+			      int64_t now_ms)
 {
 	size_t first = (uint32_t)rnd % usable;
 	size_t second;
@@ -71,8 +72,8 @@
 	return cheaper(c, usable_at(c, n, first), usable_at(c, n, second), now_ms);
 }
 
-static int pick_least(const balance_candidate_t *c, size_t n, size_t usable, uint64_t rnd,
-		      int64_t now_ms)
+static int pick_least_loaded(const balance_candidate_t *c, size_t n, size_t usable, uint64_t rnd,
+			     int64_t now_ms)
 {
 	size_t first = rnd % usable;
 	int best = usable_at(c, n, first);
@@ -94,8 +95,8 @@
 	case BALANCE_RANDOM:
 		return usable_at(c, n, rnd % usable);
 	case BALANCE_LEAST_LOADED:
-		return pick_least(c, n, usable, rnd, now_ms);
+		return pick_least_loaded(c, n, usable, rnd, now_ms);
 	default:
-		return pick_two(c, n, usable, rnd, now_ms);
+		return pick_better_of_two(c, n, usable, rnd, now_ms);
 	}
 }
--- a/src/policy/bucket.c
+++ b/src/policy/bucket.c
@@ -6,7 +6,7 @@
 #include <uthash.h>
 #include "base/str.h"
 
-#define MILLI 1000 /* thousandths of a token */
+#define MILLI 1000 /* millitokens in a token */
 
 typedef struct {
 	uint64_t caller;
@@ -65,7 +65,7 @@
 	return m;
 }
 
-static void evict_least_recent(bucket_map_t *m)
+static void evict_least_recently_used(bucket_map_t *m)
 {
 	node_t *e = m->by_caller;
 
@@ -79,7 +79,7 @@
 	if (!m)
 		return;
 	while (m->by_caller)
-		evict_least_recent(m);
+		evict_least_recently_used(m);
 	free(m);
 }
 
@@ -99,7 +99,7 @@
 		return &e->bucket;
 	}
 	if (HASH_COUNT(m->by_caller) >= m->max)
-		evict_least_recent(m);
+		evict_least_recently_used(m);
 	e = mem_new(sizeof(*e));
 	e->caller = caller;
 	append_most_recent(m, e);
--- a/src/policy/bucket.h
+++ b/src/policy/bucket.h
@@ -8,11 +8,12 @@
 
 typedef struct {
 	int64_t millitokens; /* thousandths of a token */
-	int64_t refilled_ms; /* time of the last refill; 0: never, so the first one fills it up */
+	int64_t refilled_ms; /* time of the last refill; 0: none yet, the first fills the bucket */
 } bucket_t;
 
 /** Takes one token. If there is none, returns false and sets *retry_after_ms to the time until
- * there is one. A zeroed bucket starts full. */
+ * there is one, INT64_MAX if the rate or the burst is 0. burst: the bucket's capacity in tokens. A
+ * zeroed bucket starts full. */
 bool bucket_take(bucket_t *t, int64_t rate_per_s, int64_t burst, int64_t now_ms,
 		 int64_t *retry_after_ms);
 
@@ -20,7 +21,7 @@
 typedef struct bucket_map bucket_map_t;
 bucket_map_t *bucket_map_new(size_t max);
 void bucket_map_free(bucket_map_t *m);
-/** Returns the caller's bucket, adding it if needed. */
+/** Returns the bucket of a caller (the hash of its name), adding it if needed. now_ms is unused. */
 bucket_t *bucket_map_get(bucket_map_t *m, uint64_t caller, int64_t now_ms);
 /** Memory used by the map, in bytes; for tests. */
 size_t bucket_map_bytes(const bucket_map_t *m);
--- a/src/policy/dispatch.c
+++ b/src/policy/dispatch.c
@@ -11,15 +11,16 @@
 /** A new sample moves a running mean by 1/HOLD_WEIGHT (requests) or 1/ITEM_WEIGHT (items). */
 #define HOLD_WEIGHT 16
 #define ITEM_WEIGHT 32
-/** Back-off of a failed replica, doubled with each consecutive failure. Needed because a crashed
- * replica stays on the replica list for some seconds. */
+/** Back-off of a failed replica, doubled with each consecutive failure up to the maximum. Needed
+ * because a crashed replica stays on the replica list for some seconds. */
 #define SUSPECT_MS	    250
 #define SUSPECT_MAX_MS	    2000
 #define SUSPECT_MAX_DOUBLES 3
-/** After most replicas of a service were silent at the same time, silence is not counted as a
- * failure for this long: about the time that a request holds its slot. */
+/** Once most replicas of a service are in back-off when another one is silent, silence does not
+ * count as a failure for this long: about the time that a request holds its slot. */
 #define IGNORE_SILENCE_MS 700
-/** Back-off of a replica that rejected a run as full: a few token steps of its engine. */
+/** Back-off of a replica that rejected a run as full: its engine produces a few tokens in this
+ * time. */
 #define FULL_MS 40
 
 const char *dispatch_outcome_name(dispatch_outcome_t how)
@@ -135,7 +136,8 @@
 	return r;
 }
 
-/* Finds a replica, or adds one that is not listed: runs may be reported before the list arrives. */
+/* Finds a replica, or adds one that is not listed: an entry may report a run before the replica
+ * list arrives. */
 static replica_t *get_replica(dispatch_t *d, str_t id)
 {
 	replica_t *r = find_replica(d, id);
@@ -159,7 +161,7 @@
 	*p = str_dup(s);
 }
 
-/* Frees the replicas that are off the list and have no runs left. */
+/* Frees the replicas that are not in the replica list and have no runs left. */
 static void free_unlisted_replicas(dispatch_t *d)
 {
 	replica_t *r;
@@ -284,8 +286,8 @@
 	return run;
 }
 
-/* Queue order: by priority, then by the caller's give-up time. dispatch_place_all() serves the
- * queue once for each rank, in this order within a rank. */
+/* Queue order: by priority, then by the caller's give-up time. dispatch_place_all() goes through
+ * the queue once for each request_rank_t, so the order holds within a rank. */
 static bool queued_before(const waiter_t *a, const waiter_t *b)
 {
 	if (a->req.priority != b->req.priority)
@@ -328,11 +330,12 @@
 }
 
 /*
- * True if more than half of the service's replicas are suspect, counting the one that has just gone
- * silent. This happens when all VMs lost power: their old runs occupy the replicas until the
- * replicas notice. Backing off from all of them would leave no slot for new work.
+ * True if more than half of the service's replicas, and more than one, are in back-off, counting
+ * the one that has just been silent. This happens after all VMs of the entries lost power: the old
+ * runs occupy the replicas until the replicas notice that the callers are gone, and new runs get no
+ * answer. A back-off from all replicas would leave no slot for new work.
  */
-static bool most_replicas_silent(const dispatch_t *d, const replica_t *silent, deadline_t now)
+static bool most_replicas_suspect(const dispatch_t *d, const replica_t *silent, deadline_t now)
 {
 	unsigned suspects = 1;
 	unsigned all = 0;
@@ -346,8 +349,8 @@
 	return suspects * 2 > all && all > 1;
 }
 
-/* Clears the failures and the back-off of all replicas of the service, whatever their cause, and
- * ignores silence for a while. */
+/* Ends the failure back-off of all replicas of the service, whatever caused it, and ignores silence
+ * for a while. */
 static void reset_service_health(dispatch_t *d, const service_t *s, deadline_t now)
 {
 	for (replica_t *r = d->replicas; r; r = r->hh.next) {
@@ -359,8 +362,8 @@
 	}
 }
 
-/* Updates the health of a replica after a run ended there. Several runs that break together count
- * as one failure: while the replica is suspect, further failures are ignored. */
+/* Starts or ends the back-off of a replica after a run ended there. Several runs that break
+ * together count as one failure: during the back-off, further failures are ignored. */
 static void update_health(dispatch_t *d, replica_t *r, dispatch_outcome_t how, deadline_t now)
 {
 	int64_t ms;
@@ -381,7 +384,7 @@
 	case DISPATCH_SILENT:
 		if (now < r->ignore_silence_until)
 			return;
-		if (now >= r->suspect_until && most_replicas_silent(d, r, now)) {
+		if (now >= r->suspect_until && most_replicas_suspect(d, r, now)) {
 			reset_service_health(d, r->service, now);
 			return;
 		}
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -1,17 +1,20 @@
 /**
- * Dispatcher: assigns online requests and batch items to replicas. The model engines have no notion
- * of priority, so the dispatcher enforces it.
+ * Dispatcher: assigns online requests and batch items to the slots of replicas; a slot is one unit
+ * of a replica's concurrency. The model engines have no notion of priority, so the dispatcher gives
+ * online requests priority over items. Entries, the processes that answer callers, request slots
+ * for online requests and run the items that the dispatcher starts.
  *
- * One dispatcher tracks all runs on all replicas and never puts more runs on a replica than the
- * replica has slots, so no request queues inside an engine behind batch work. The expected load:
- * online requests arrive in peaks of several seconds at up to twice their mean rate, and batch
- * items use the remaining slots.
+ * The leader of the control processes has one dispatcher, which tracks the runs on all replicas and
+ * starts a run only in a slot that is free or taken from an item, so that no request queues inside
+ * an engine behind batch work. An entry without a leader uses a dispatcher of its own for its
+ * requests. The expected load: online requests arrive in peaks of several seconds at up to twice
+ * their mean rate, and batch items use the remaining slots.
  *
- * An online request that finds no free slot preempts a batch item, preferably one that can still
- * finish by its due time. The preempted item resumes on another replica after the events it has
- * already produced. An online request waits only when online requests alone need more slots than
- * there are, and is refused with a retry time if waiting would not help. During a peak, freed slots
- * are reserved for online requests, because an item started in one would be preempted within
+ * An online request that finds no free slot preempts a batch item, preferably one that can wait out
+ * a peak and still finish by its due time. The preempted item runs again later, on any replica,
+ * from after the events it has already produced. A request that finds no item to preempt waits, or
+ * is refused with a retry time if waiting would not help. During a peak, some free slots are
+ * reserved for online requests, because an item started in one would be preempted within
  * milliseconds.
  *
  * Pure: time is an argument, effects are callbacks. Not thread-safe.
@@ -25,15 +28,18 @@
 typedef struct dispatch dispatch_t;
 typedef struct dispatch_item dispatch_item_t;
 
-/** How a run on a replica ended; used to judge the health of the replica. */
+/** How a run on a replica ended. Updates the health of the replica: its back-off, or that it
+ * leaves. */
 typedef enum {
 	DISPATCH_OK,
-	DISPATCH_FULL, /* the replica rejected the run for lack of capacity */
-	DISPATCH_UNREACHABLE, /* connection failed, or another replica answers at the address */
-	DISPATCH_BROKEN, /* the answer ended early, was malformed or not signed */
+	DISPATCH_FULL, /* the replica rejected the run unstarted, usually for lack of capacity */
+	DISPATCH_UNREACHABLE, /* the connection failed, the address is unknown or now belongs to
+				 another replica */
+	DISPATCH_BROKEN, /* the answer ended early, or was malformed, unsigned or too long */
 	DISPATCH_SILENT, /* no event within the silence timeout */
 	DISPATCH_FAILED, /* the replica answered with an error */
-	DISPATCH_CANCELLED, /* the caller left, or the run was stopped */
+	DISPATCH_CANCELLED, /* ended for a reason other than the replica: the caller left, the run
+			       was stopped, the request was invalid, or the item failed */
 	DISPATCH_REPLICA_LEAVING /* the replica had announced that it leaves; nothing was sent */
 } dispatch_outcome_t;
 
@@ -41,10 +47,11 @@
 
 /** Why a request is refused. */
 typedef enum {
-	DISPATCH_NO_REPLICA_LIST, /* no replica list has arrived */
-	DISPATCH_PAST_DEADLINE, /* the request could not complete by its deadline */
+	DISPATCH_NO_REPLICA_LIST, /* no list with a replica has arrived in time */
+	DISPATCH_PAST_DEADLINE, /* even if started now, it would not complete by its deadline */
 	DISPATCH_CALLER_GIVES_UP, /* the caller would give up before the next event */
-	DISPATCH_PAST_OBJECTIVE /* a new request whose first event would miss its objective */
+	DISPATCH_PAST_OBJECTIVE /* the first event would come after the objective; not used for a
+				   request that is resumed, returning or already past it */
 } dispatch_refusal_t;
 
 const char *dispatch_refusal_name(dispatch_refusal_t why);
@@ -53,10 +60,14 @@
 	void *ctx;
 	/** Gives the request a slot on the replica. */
 	void (*grant)(void *ctx, uint64_t entry, uint64_t request, str_t replica);
+	/** Refuses and forgets a request. retry_ms: time until the caller may retry. */
 	void (*refuse)(void *ctx, uint64_t entry, uint64_t request, int64_t retry_ms,
 		       dispatch_refusal_t why);
-	/** Starts an item on the replica; data is the pointer passed to dispatch_item_add. */
+	/** Makes the entry start an item on the replica; data: the pointer passed to
+	 * dispatch_item_add. */
 	void (*start_item)(void *ctx, void *data, uint64_t entry, str_t replica);
+	/** Makes the entry stop an item, because it was preempted or removed. A preempted item is
+	 * queued again only by dispatch_item_requeue. */
 	void (*stop_item)(void *ctx, void *data, uint64_t entry);
 } dispatch_callbacks_t;
 
@@ -78,14 +89,15 @@
 	uint64_t request;
 	str_t service;
 	unsigned priority; /* 0 is the highest */
-	bool resumed; /* the caller is already reading the stream; goes before all others */
-	bool returning; /* the caller waited at another entry before, or an attempt failed: counts
-			   as past its objective and is not refused for that */
+	bool resumed; /* the caller is already reading the stream; served before all requests that
+			 are not resumed */
+	bool returning; /* the caller waited at another entry before, or the request may have run
+			   already: it counts as past its objective and is not refused for that */
 	deadline_t objective; /* when the first byte is due */
-	deadline_t deadline; /* end of the caller's total timeout */
+	deadline_t deadline; /* when the whole answer is due */
 	deadline_t give_up_at; /* when the caller leaves unless it gets another event first */
 	uint64_t prefix; /* hash of the prompt's shared prefix, 0 if none */
-	str_t avoid[DISPATCH_AVOID_MAX]; /* replicas that already failed this request */
+	str_t avoid[DISPATCH_AVOID_MAX]; /* never chosen: earlier attempts failed on them */
 	unsigned navoid;
 } dispatch_request_t;
 
@@ -101,27 +113,31 @@
 /** Adds an entry, or updates its zone and takes_items. Only an entry with takes_items set is given
  * batch items. */
 void dispatch_entry_add(dispatch_t *d, uint64_t entry, str_t zone, bool takes_items);
-/** Removes an entry and its requests. Its items stay assigned for DISPATCH_ADOPT_MS in case the
- * entry reconnects; after that they are queued again. */
+/** Removes an entry and its requests, waiting or running. Its items stay assigned for
+ * DISPATCH_ADOPT_MS, for the entry may reconnect; after that they are queued again. */
 void dispatch_entry_remove(dispatch_t *d, uint64_t entry, deadline_t now);
 
-/** Queues an online request. The callback grant or refuse follows, maybe before the return. */
+/** Queues an online request. The callback grant or refuse follows, maybe before the return, unless
+ * the request is withdrawn or its entry removed. */
 void dispatch_request_add(dispatch_t *d, const dispatch_request_t *req, deadline_t now);
 /** Removes a waiting request whose caller left. */
 void dispatch_request_withdraw(dispatch_t *d, uint64_t entry, uint64_t request);
-/** Releases the slot of a granted request. */
+/** Releases the slot of a granted request. how: updates the health of the replica. */
 void dispatch_request_ended(dispatch_t *d, uint64_t entry, uint64_t request, dispatch_outcome_t how,
 			    deadline_t now);
-/** Registers a running request that another dispatcher, such as a former leader, granted. */
+/** Registers a running request that another dispatcher granted, such as that of a former leader.
+ * Does nothing if the request is registered already. */
 void dispatch_request_adopt(dispatch_t *d, uint64_t entry, uint64_t request, str_t replica,
 			    deadline_t now);
 
-/** Queues a batch item. due: when the item should be finished, on the clock of `now`. */
+/** Queues a batch item without starting it yet. due: when it should be finished, on the clock of
+ * the `now` arguments. */
 dispatch_item_t *dispatch_item_add(dispatch_t *d, str_t service, deadline_t due, void *data);
 /** Registers that an entry is already running the item. */
 void dispatch_item_adopt(dispatch_t *d, dispatch_item_t *it, uint64_t entry, str_t replica,
 			 deadline_t now);
-/** Queues an item again after a run that ended without completing it. */
+/** Queues an item again after a run that ended without completing it, or was preempted. Does
+ * nothing if the item is waiting. */
 void dispatch_item_requeue(dispatch_t *d, dispatch_item_t *it, dispatch_outcome_t how,
 			   deadline_t now);
 /** Sets the service for later runs of the item. If empty, the item is not run. */
@@ -133,28 +149,30 @@
 /** True if dispatch_item_adopt may be called: the item waits, or its entry disconnected less than
  * DISPATCH_ADOPT_MS ago. */
 bool dispatch_item_is_adoptable(const dispatch_item_t *it, deadline_t now);
-/** Removes an item. Its current run is stopped unless `ended` says that the run is over. */
+/** Removes an item. ended: its run is over, and counts as a success of the replica. Otherwise the
+ * item is stopped if an entry runs it. */
 void dispatch_item_remove(dispatch_t *d, dispatch_item_t *it, bool ended, deadline_t now);
 
 /** Starts no items until this time, so that entries can first report the items they run. */
 void dispatch_hold_items(dispatch_t *d, deadline_t until);
 /** Assigns waiting requests and items to slots. To be called periodically and after
- * dispatch_item_add. These functions also do so themselves: dispatch_set_replicas, _entry_remove,
- * _request_add, _request_ended, _item_adopt, _item_requeue and _item_remove. */
+ * dispatch_item_add. These functions do the same before they return: dispatch_set_replicas,
+ * dispatch_entry_remove, dispatch_request_add, dispatch_request_ended, dispatch_item_adopt,
+ * dispatch_item_requeue and dispatch_item_remove. */
 void dispatch_tick(dispatch_t *d, deadline_t now);
 
-/** How long the items of a disconnected entry stay assigned to it, in ms. An entry that loses its
- * dispatcher stops its items earlier than this, so that no item runs twice. */
+/** How long the items of a disconnected entry stay assigned to it, in ms. An entry that loses the
+ * leader stops its items sooner, so that an item does not run at two entries at once. */
 #define DISPATCH_ADOPT_MS 1500
 
 typedef struct {
-	unsigned replicas; /* listed and not leaving */
+	unsigned replicas; /* in the replica list and not leaving */
 	unsigned slots; /* of these replicas */
-	unsigned online; /* running online requests */
-	unsigned items; /* running batch items */
-	unsigned requests_waiting; /* waiting online requests */
+	unsigned online; /* running online requests, on any replica */
+	unsigned items; /* running batch items, on any replica; without those being stopped */
+	unsigned requests_waiting; /* online requests */
 	unsigned items_waiting;
-	uint64_t preempted; /* items preempted so far */
+	uint64_t preempted; /* preemptions of items so far */
 } dispatch_stats_t;
 void dispatch_stats(const dispatch_t *d, dispatch_stats_t *out);
 
--- a/src/policy/dispatch_internal.h
+++ b/src/policy/dispatch_internal.h
@@ -8,19 +8,19 @@
 
 typedef struct replica replica_t;
 
-/** Statistics of a service; never removed before the dispatcher itself. */
+/** State of a service; freed only with the dispatcher. */
 typedef struct {
 	char *name;
 	int64_t mean_hold_us; /* mean time that an online request holds its slot */
 	int64_t mean_item_ms; /* mean slot time of a whole item; 0 until the first one ends */
-	unsigned reserved_slots; /* free slots that items leave to online requests */
+	unsigned reserved_slots; /* free slots that items with slack leave to online requests */
 	deadline_t reserve_decay_at; /* when reserved_slots is next reduced */
 	/* The fields below are recomputed in each placement pass. */
-	uint64_t pass; /* the pass they belong to */
+	uint64_t pass; /* the pass in which they were computed */
 	unsigned slots; /* slots of its usable replicas */
 	unsigned waiting_ahead; /* requests handled earlier in this pass that go on waiting */
 	bool no_slot_for_requests; /* a request with an empty avoid list found no slot */
-	bool no_slot_for_items; /* an item found no slot */
+	bool no_slot_for_items; /* an item found no slot, or no entry to run it */
 	bool only_reserved_left; /* all free slots are reserved for online requests */
 	UT_hash_handle hh;
 } service_t;
@@ -36,9 +36,10 @@
 	unsigned online; /* running online requests */
 	unsigned items; /* running items */
 	unsigned failures; /* consecutive failures */
-	deadline_t suspect_until; /* gets no work until then because it failed */
+	deadline_t suspect_until; /* back-off after a failure: gets no work until then */
 	deadline_t ignore_silence_until; /* silence until then does not count as a failure */
-	deadline_t full_until; /* gets no work until then because it rejected a run */
+	deadline_t full_until; /* back-off after it rejected a run: until then, its free slots are
+				  not used, but its items may be preempted for requests */
 	UT_hash_handle hh;
 };
 
@@ -46,7 +47,7 @@
 	uint64_t id;
 	char *zone;
 	bool takes_items;
-	unsigned items; /* items that it runs */
+	unsigned items; /* items that it runs or is stopping */
 	UT_hash_handle hh;
 } entry_t;
 
@@ -81,12 +82,12 @@
 	void *data;
 	item_state_t state;
 	replica_t *replica; /* whose slot it holds, or NULL */
-	uint64_t entry; /* that runs the item, or has been asked to stop it */
-	deadline_t adopt_until; /* its entry disconnected: until then the item stays assigned, in
-				   case an entry reports that it runs the item; then it is queued
-				   again. 0 while the entry is connected */
-	deadline_t placed_at; /* start of its slot time, or the last update of ran_ms */
-	int64_t ran_ms; /* slot time so far; a later run resumes after its events */
+	uint64_t entry; /* that runs the item, or has been ordered to stop it */
+	deadline_t adopt_until; /* 0 while its entry is connected. After a disconnection: the item
+				   stays assigned until then, because an entry may report that it
+				   still runs the item, and is queued again afterwards */
+	deadline_t placed_at; /* when it got its slot, or ran_ms was last updated */
+	int64_t ran_ms; /* slot time of all its runs; each resumes after the earlier events */
 	dispatch_item_t *prev; /* in waiting_items, sorted by due time, or in running_items */
 	dispatch_item_t *next;
 };
@@ -100,7 +101,7 @@
 
 struct dispatch {
 	dispatch_callbacks_t cb;
-	uint64_t random;
+	uint64_t random; /* state of prng_next() */
 	replica_t *replicas;
 	entry_t *entries;
 	run_t *runs;
@@ -113,8 +114,8 @@
 	uint64_t pass; /* number of the current placement pass */
 	bool had_replicas; /* a replica list that was not empty has arrived */
 	deadline_t list_deadline; /* requests wait until then for the first replica list */
-	bool placing; /* in dispatch_place_all */
-	bool place_again; /* a callback called in; another pass is needed */
+	bool placing; /* dispatch_place_all is running */
+	bool place_again; /* a callback called dispatch_place_all: another pass is needed */
 	unsigned nwaiters;
 	unsigned nwaiting_items;
 	uint64_t preempted;
@@ -122,23 +123,27 @@
 
 /* dispatch_pick.c */
 
-/** Picks a replica with a free slot for a request, or NULL. */
+/** Picks the replica with a free slot that costs a request least, or NULL. zone: that of the
+ * request's entry. */
 replica_t *dispatch_pick_free(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now);
 /** Picks a running item to preempt for a request, or NULL. */
 dispatch_item_t *dispatch_pick_victim(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now);
-/** Picks a replica with a free slot for an item, or NULL. */
+/** Picks the least loaded replica with a free slot for an item, or NULL. The replica on which the
+ * item last failed is picked only if there is no other. */
 replica_t *dispatch_pick_for_item(dispatch_t *d, const dispatch_item_t *it, deadline_t now);
-/** Picks a running item that will miss its due time anyway, to preempt for this item; or NULL. */
+/** Picks a running item to preempt for this item, one that is expected to miss its due time anyway;
+ * NULL if there is none. */
 dispatch_item_t *dispatch_pick_late_victim(dispatch_t *d, const dispatch_item_t *it,
 					   deadline_t now);
-/** Picks the entry that runs an item on this replica, or NULL. */
+/** Picks the entry to run an item on this replica, or NULL: among those that take items, one in the
+ * replica's zone if possible, then the one with the fewest items. */
 entry_t *dispatch_pick_entry(dispatch_t *d, const replica_t *r);
 /** Records that a prompt with this prefix was granted to the replica. */
 void dispatch_prefix_record(dispatch_t *d, uint64_t prefix, replica_t *r);
 /** Drops the recorded prefixes of a replica, or of all replicas if r is NULL. */
 void dispatch_prefix_forget(dispatch_t *d, const replica_t *r);
-/** Counts all slots, used or free, of the service's usable replicas. A replica whose last runs
- * failed counts as one slot. */
+/** Counts the slots, used or free, of the service's usable replicas. A replica that has not
+ * completed a run since its last failure counts as one slot. */
 unsigned dispatch_count_slots(const dispatch_t *d, const service_t *s, deadline_t now);
 unsigned dispatch_count_free_slots(const dispatch_t *d, const service_t *s, deadline_t now);
 /** True if the item could wait out a peak of online requests and still finish by its due time. */
@@ -152,7 +157,7 @@
 void dispatch_item_detach(dispatch_t *d, dispatch_item_t *it);
 /** Inserts the item into waiting_items by its due time. */
 void dispatch_item_enqueue(dispatch_t *d, dispatch_item_t *it);
-/** Adds the time since placed_at to ran_ms. */
+/** Adds the time since placed_at to ran_ms if the item holds a slot; sets placed_at to now. */
 void dispatch_item_add_run_time(dispatch_item_t *it, deadline_t now);
 /** Estimates how much longer the item needs a slot, in ms. */
 int64_t dispatch_item_remaining_ms(const dispatch_item_t *it, deadline_t now);
--- a/src/policy/dispatch_pick.c
+++ b/src/policy/dispatch_pick.c
@@ -4,10 +4,10 @@
 #include "base/prng.h"
 #include "policy/dispatch_internal.h"
 
-/** Costs by which replicas are ranked for a request. A replica with all slots in use costs
- * COST_SCALE, a partly used one proportionally less. Another zone costs traffic between zones. A
- * replica other than the one that was last granted the prompt prefix must process the prefix again.
- * Neither outweighs a full replica. */
+/** Costs by which replicas are ranked for a request. The share of slots in use costs up to
+ * COST_SCALE. COST_OTHER_ZONE stands for the traffic between zones, COST_OTHER_PREFIX for
+ * processing the prompt's prefix again on a replica that was not the last to be granted it. Both
+ * together weigh less than a full replica. */
 #define COST_OTHER_ZONE	  2
 #define COST_OTHER_PREFIX 1
 #define COST_SCALE	  4
@@ -21,13 +21,14 @@
 	return r->online + r->items;
 }
 
-/* Slots that may be in use. A replica that failed is limited to one run until a run succeeds. */
+/* Slots that may be in use: only one after a failure, until a run succeeds. */
 static unsigned slots_allowed(const replica_t *r)
 {
 	return r->failures > 0 ? 1 : r->slots;
 }
 
-/* True if the replica may get work of this service: listed, not leaving, not in back-off. */
+/* True if the replica may get work of this service: listed, not leaving, not in back-off after a
+ * failure. */
 static bool is_usable(const replica_t *r, const service_t *s, deadline_t now)
 {
 	return !r->leaving && r->listed && now >= r->suspect_until && r->service == s;
@@ -98,9 +99,9 @@
 
 /*
  * True if item a is a better victim for preemption than b. Items with slack (able to wait out a
- * peak and still finish by their due time) are preempted first; among them those in the zone of the
- * requesting entry, then those with the latest due time. If no item has slack, one of them will be
- * late: the one with the most remaining work is sacrificed.
+ * peak and still finish by their due time) are preempted first; among them those on replicas in the
+ * zone of the requesting entry, then those with the latest due time. If no item has slack, the
+ * preempted one will probably be late, so it is the one with the most remaining work.
  */
 static bool better_victim(const dispatch_item_t *a, const dispatch_item_t *b, str_t zone,
 			  deadline_t now)
--- a/src/policy/dispatch_place.c
+++ b/src/policy/dispatch_place.c
@@ -1,4 +1,4 @@
-/* Dispatcher: assigns waiting work to slots, online requests first, then items by due time. */
+/* Dispatcher: assigns waiting online requests to slots, then waiting items. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,10 +8,11 @@
 #define RETRY_MIN_MS 50
 /** Upper bound of Retry-After: the callers' deadlines are a few seconds. */
 #define RETRY_MAX_MS 1500
-/** Retry-After when no replica accepts work: about the time until the replica list shows one. */
+/** Retry-After when the service has no usable replica: about the time until the replica list shows
+ * one. */
 #define RETRY_NO_REPLICA_MS 500
-/** Estimated time from the grant to a stream's first event: the engine processes the prompt in a
- * few steps of some ms each. */
+/** Estimated time from the grant to a stream's first event, unless requests are shorter: the engine
+ * processes the prompt in a few steps of some ms each. */
 #define FIRST_EVENT_MS 50
 /** An item preempted sooner than this after it got its slot has not made up for the cost of the
  * start: processing its prompt and its earlier events again takes tens of ms. */
@@ -26,7 +27,8 @@
 /** How long requests wait for the first replica list: a leader reads the list within tens of ms, an
  * entry without a leader after 1.5 s. */
 #define LIST_WAIT_MS 2000
-/** Minimum estimate of an item's remaining time, for items that have outlasted the mean. */
+/** Minimum estimate of an item's remaining time, for items that ran longer than the mean and while
+ * there is no mean yet. */
 #define REMAINING_MIN_MS 500
 
 static str_t entry_zone(dispatch_t *d, uint64_t entry)
@@ -146,10 +148,9 @@
 	return it->due > now + dispatch_item_remaining_ms(it, now);
 }
 
-/* Adds a slot to the service's reserve if an item is preempted early, by a request or for another
- * item. In a peak, a free slot is
- * requested again within milliseconds: an item that takes it is preempted before it did anything
- * but process its prompt again. */
+/* Adds a slot to the service's reserve if an item is preempted early, for a request or for another
+ * item. In a peak, a free slot is requested again within milliseconds: an item that takes it is
+ * preempted before it did anything but process its prompt again. */
 static void grow_reserve(dispatch_t *d, const dispatch_item_t *it, deadline_t now)
 {
 	service_t *s = refresh_service(d, it->replica->service, now);
@@ -161,8 +162,8 @@
 	s->reserve_decay_at = now + RESERVE_DECAY_MS;
 }
 
-/* Tells the entry to stop an item. The item's slot counts as free at once, not only when the entry
- * has stopped it. */
+/* Orders the entry to stop an item. The item's slot counts as free at once, not only when the entry
+ * has stopped the item. */
 static void preempt_item(dispatch_t *d, dispatch_item_t *it, deadline_t now)
 {
 	grow_reserve(d, it, now);
@@ -174,7 +175,8 @@
 	d->cb.stop_item(d->cb.ctx, it->data, it->entry);
 }
 
-/* Grants a slot to the request, preempting an item if no slot is free; false if there is none. */
+/* Grants a slot to the request, preempting an item if no slot is free; false if neither is
+ * possible. */
 static bool place_request(dispatch_t *d, waiter_t *q, deadline_t now)
 {
 	str_t zone = entry_zone(d, q->req.entry);
@@ -193,10 +195,11 @@
 }
 
 /*
- * Order in which waiting requests are served. A fault causes a reconnect storm that takes seconds
- * to serve. A caller past its objective loses nothing more by waiting until shortly before it gives
- * up, so requests that can still meet their objective are served first: the same number of requests
- * is served in all, and more of them in time.
+ * Order in which waiting requests are served. Resumed requests are first, as their callers already
+ * read the stream. Requests in time go before late ones: a fault causes a reconnect storm that
+ * takes seconds to serve, and a caller past its objective loses nothing more by waiting until
+ * shortly before it gives up. So the same number of requests is served in all, and more of them in
+ * time.
  */
 typedef enum { RANK_RESUMED, RANK_IN_TIME, RANK_LATE, RANKS } request_rank_t;
 
@@ -207,11 +210,10 @@
 	return !q->req.returning && now <= q->req.objective ? RANK_IN_TIME : RANK_LATE;
 }
 
-/* Decides about a request that found no slot: true if it goes on waiting, false if it was refused.
- * wait_ms estimates its time to a slot from the mean hold time, as if all slots served only the
- * requests ahead of it. A request is refused if the first replica list does not arrive in time,
- * if it can't be answered before its deadline or before its caller gives up, and a new one also if
- * it would miss its objective. The refusal says when to retry. */
+/* Decides about a request that found no slot: true if it goes on waiting, false if it was refused
+ * for one of the reasons of dispatch_refusal_t. wait_ms, also the retry time of a refusal,
+ * estimates when the request gets a slot: from the mean hold time, as if all slots served only the
+ * requests ahead of it. */
 static bool wait_or_refuse(dispatch_t *d, waiter_t *q, request_rank_t rank, const service_t *s,
 			   deadline_t now)
 {
@@ -235,7 +237,8 @@
 	return false;
 }
 
-/* Serves the queue of requests rank by rank; grants, leaves waiting or refuses each of them. */
+/* Goes through the waiting requests rank by rank: each is granted a slot, goes on waiting or is
+ * refused. */
 static void place_requests(dispatch_t *d, deadline_t now)
 {
 	for (unsigned rank = 0; rank < RANKS; rank++) {
@@ -257,7 +260,9 @@
 	}
 }
 
-/* Starts a waiting item on a free slot, or on that of a running item that will be late anyway. */
+/* Starts a waiting item in a free slot or, if the item can still meet its due time, in the slot of
+ * a running item that can't. Does nothing if there is no such slot, if requests wait for the
+ * item's service, or if the item has slack and all free slots are reserved for online requests. */
 static void place_item(dispatch_t *d, dispatch_item_t *it, deadline_t now)
 {
 	service_t *s = refresh_service(d, it->service, now);
@@ -266,7 +271,6 @@
 	replica_t *r = NULL;
 	entry_t *e;
 
-	/* Items yield only to waiting requests of their own service. */
 	if (s->waiting_ahead > 0 || s->no_slot_for_items || (s->only_reserved_left && has_slack))
 		return;
 	/* An item without slack may use the slots reserved for online requests as well. */
@@ -297,9 +301,10 @@
 }
 
 /*
- * Order in which waiting items are started. Items that already ran go first: the replica time spent
- * on them is wasted if they finish late. Items that can't meet their due time go last. In overload,
- * serving strictly by due time would start each item in turn and finish none of them in time.
+ * Order in which waiting items are started; within a rank, by due time. Items that already ran go
+ * first: the replica time spent on them is wasted if they finish late. Items that are not expected
+ * to meet their due time go last: in overload, serving strictly by due time would start each item
+ * in turn and finish none of them in time.
  */
 typedef enum { ITEM_RANK_RESUMED, ITEM_RANK_NEW, ITEM_RANK_LATE, ITEM_RANKS } item_rank_t;
 
@@ -324,7 +329,8 @@
 	}
 }
 
-/* False if requests wait for every service that has slots; saves a walk over all waiting items. */
+/* False if each service that has slots has waiting requests: then no item can start, and the walk
+ * over all waiting items is saved. */
 static bool items_can_start(dispatch_t *d, deadline_t now)
 {
 	if (!d->waiters)
@@ -338,7 +344,7 @@
 	return false;
 }
 
-/* Queues the items again whose entry disconnected and did not return in time. */
+/* Queues the items again whose entry disconnected and which no entry reported in time. */
 static void requeue_orphaned_items(dispatch_t *d, deadline_t now)
 {
 	dispatch_item_t *it;
@@ -355,7 +361,7 @@
 
 void dispatch_place_all(dispatch_t *d, deadline_t now)
 {
-	/* A callback may call into the dispatcher again: the outer call then does another pass. */
+	/* Called again from a callback: the outer call then does another pass. */
 	if (d->placing) {
 		d->place_again = true;
 		return;
--- a/src/policy/fanout.c
+++ b/src/policy/fanout.c
@@ -8,9 +8,9 @@
 typedef struct {
 	uint64_t id;
 	fanout_config_id_t config;
-	size_t bytes; /* in flight to this peer, for at most FANOUT_ACK_MS after sending */
+	size_t bytes; /* in flight to this peer; 0 from FANOUT_ACK_MS after sending */
 	bool awaiting_ack;
-	deadline_t ack_by;
+	deadline_t ack_by; /* when `bytes` no longer count as in flight */
 	UT_hash_handle hh;
 } peer_t;
 
@@ -19,9 +19,9 @@
 	fanout_config_id_t newest;
 	fanout_config_id_t bases[FANOUT_BASES]; /* earlier configs, newest first */
 	deadline_t newest_since; /* when the newest config was set */
-	bool converged_reported;
+	bool converged_reported; /* for the newest config */
 	size_t in_flight;
-	size_t behind;
+	size_t behind; /* number of peers that don't have the newest config */
 	peer_t *peers;
 };
 
@@ -66,7 +66,6 @@
 	return !fanout_config_id_eq(p->config, f->newest);
 }
 
-/* The peer's bytes no longer count as in flight. */
 static void clear_in_flight(fanout_t *f, peer_t *p)
 {
 	f->in_flight -= p->bytes;
@@ -80,7 +79,8 @@
 	f->behind += is_behind(f, p);
 }
 
-/* The base of the delta for a peer with this config; none if the peer needs the whole config. */
+/* The base of the delta for a peer with this config; number 0 if the peer needs the whole config.
+ */
 static fanout_config_id_t delta_base(const fanout_t *f, fanout_config_id_t config)
 {
 	for (size_t i = 0; i < FANOUT_BASES; i++) {
@@ -98,6 +98,7 @@
 	f->in_flight += p->bytes;
 }
 
+/* Sends to the peers that are behind: those without any config, or else those with one. */
 static void send_pending(fanout_t *f, bool without_config, deadline_t now)
 {
 	for (peer_t *p = f->peers; p && f->in_flight < FANOUT_IN_FLIGHT_BYTES; p = p->hh.next) {
@@ -150,7 +151,7 @@
 	if (!p) {
 		p = mem_new(sizeof(*p));
 		p->id = peer;
-		p->config = f->newest; /* not behind, until set_peer_config() */
+		p->config = f->newest; /* counts as up to date until set_peer_config() */
 		HASH_ADD(hh, f->peers, id, sizeof(p->id), p);
 	}
 	set_peer_config(f, p, config);
--- a/src/policy/leaving.c
+++ b/src/policy/leaving.c
@@ -11,7 +11,7 @@
 } member_t;
 
 struct leaving {
-	member_t *members; /* hash by id; oldest announcement first */
+	member_t *members; /* hash by id; iterated in the order of adding */
 };
 
 leaving_t *leaving_new(void)
--- a/src/policy/leaving.h
+++ b/src/policy/leaving.h
@@ -1,9 +1,9 @@
 /**
- * Set of replicas that announced that they leave. The platform's replica list shows this too, but
- * only seconds later, and a process that is cut off from the list must also stop using such a
- * replica.
+ * Set of replicas that announced that they will stop ("leave"). The platform's replica list shows
+ * this too, but only seconds later, and a process that is cut off from the list must also stop
+ * using such a replica. A replica that is restarted under the same id has a later start time and
+ * may be used again.
  *
- * A replica that is started again has a later start time and may be used, even under the same id.
  * Pure. Not thread-safe.
  */
 #ifndef AUBURN_LEAVING_H
@@ -16,12 +16,12 @@
 
 typedef struct leaving leaving_t;
 
-/** Maximum size of the set; beyond it the oldest announcement is dropped. Several times the number
- * of replicas that leave before the list shows it. */
+/** Maximum size of the set; beyond it the replica that was added first is removed. Several times
+ * the number of replicas that leave before the list shows it. */
 #define LEAVING_MAX 1024
 
-/** Identifies a replica process, whether it leaves or not: a replica that is restarted has the same
- * id and a later start time. */
+/** Identifies a replica process, leaving or not: a replica that is restarted under the same id has
+ * a later start time. */
 typedef struct {
 	str_t id;
 	uint64_t start_time; /* Unix ms, 0 if unknown */
@@ -32,8 +32,9 @@
 /** Adds a replica or raises its start time; false if the set already has it with this start time or
  * a later one. */
 bool leaving_add(leaving_t *l, replica_ref_t r);
-/** True if the replica is in the set. A replica that was added with an unknown start time takes
- * that of r. If r has a later start time, the replica was restarted and is removed from the set. */
+/** True if the replica is in the set. May also change the set: a replica that was added with an
+ * unknown start time gets that of r; a replica is removed if r has a later start time, as this
+ * means that the replica was restarted. */
 bool leaving_contains(leaving_t *l, replica_ref_t r);
 /** Lists up to max replicas, returns their number. The ids are valid until the next call on l. */
 size_t leaving_list(const leaving_t *l, replica_ref_t *out, size_t max);
--- a/src/policy/owner.c
+++ b/src/policy/owner.c
@@ -115,8 +115,8 @@
 	w->options.cancel(w->options.ctx, r->id);
 }
 
-/** Preempts batch streams, the latest started first, until one is being cancelled for each queued
- * stream or none is left. */
+/** Preempts batch streams, the latest started first, until as many are being cancelled as streams
+ * are queued, or none is left. */
 static void preempt_for_queue(owner_t *w, int64_t now_ms)
 {
 	owner_run_t *r;
@@ -290,7 +290,8 @@
 	return owner_capacity_batch(w, now_ms);
 }
 
-/** Slots for further online streams; with preemption, batch streams don't count as using slots. */
+/** Number of slots for further online streams. With preemption, batch streams don't count as using
+ * slots. */
 static unsigned count_online_slots(const owner_t *w)
 {
 	unsigned taken = w->nqueue;
--- a/src/policy/owner_capacity.c
+++ b/src/policy/owner_capacity.c
@@ -8,14 +8,16 @@
 
 #define MEAN_SHARE 0.05 /* weight of a new sample in a running mean */
 
-/* Step times, the times between two tokens, are sampled in windows. At the end of a window, its
- * 95th percentile adjusts the limit on running batch streams: over options.step_bound_us the limit
- * shrinks by the factor STEP_SHRINK; from the near mark up to the bound it shrinks by one stream;
- * below STEP_GROW_BELOW of the near mark it grows by STEP_GROW streams. */
+/* Step times, the times between two tokens, are collected in windows. At the end of a window, their
+ * 95th percentile adjusts batch_cap, the limit on running batch streams. The near mark lies the
+ * share STEP_NEAR * latency_weight below the bound, options.step_bound_us. At or over the bound,
+ * the limit (or the number of running batch streams if lower) is multiplied by STEP_SHRINK; from
+ * the near mark up to the bound, it is reduced by one; below STEP_GROW_BELOW times the near mark,
+ * the limit grows by STEP_GROW streams. Without a bound, the limit is options.slots. */
 #define STEP_WINDOW_MS	 2000
-#define STEP_MIN_SAMPLES 16 /* a window with fewer samples is extended */
+#define STEP_MIN_SAMPLES 16 /* a window with fewer step times, but not none, is extended */
 #define STEP_QUANTILE	 0.95
-#define STEP_NEAR	 0.05 /* the near mark is this share below the bound, times latency_weight */
+#define STEP_NEAR	 0.05
 #define STEP_SHRINK	 0.75
 #define STEP_GROW	 1
 #define STEP_GROW_BELOW	 0.9
@@ -26,7 +28,7 @@
 
 #define RETRY_MIN_MS	 50
 #define RETRY_MAX_MS	 30000
-#define RETRY_UNKNOWN_MS 200 /* closed, or there is no estimate */
+#define RETRY_UNKNOWN_MS 200 /* the owner is closed, or the estimated wait is 0 */
 
 #define ALONE_PAUSE_MS 2000 /* how long other batch streams are paused for one that runs alone */
 #define ALONE_GAP_MS   4000 /* from the end of such a pause to the next */
@@ -99,7 +101,6 @@
 	return s->sample_us[(unsigned)((n - 1) * STEP_QUANTILE)];
 }
 
-/** Adjusts the limit on running batch streams to the last window's time between tokens. */
 static void adjust_batch_cap(owner_t *w)
 {
 	owner_step_t *s = &w->step;
@@ -137,7 +138,7 @@
 	adjust_batch_cap(w);
 }
 
-/** Slots whose batch stream is being cancelled, or would be preempted for an online stream. */
+/** Number of batch streams that are being cancelled or would be preempted for online streams. */
 static unsigned count_preemptible(const owner_t *w)
 {
 	if (w->options.preempt == OWNER_PREEMPT_NONE)
--- a/src/policy/owner_queue.c
+++ b/src/policy/owner_queue.c
@@ -5,11 +5,12 @@
 #include <string.h>
 #include "base/str.h"
 
-/* Spacing of the virtual deadlines of one caller's queued streams, so that callers with similar
- * deadlines take turns. */
+/* Spacing of the virtual deadlines of one caller's queued streams, so that callers whose streams
+ * have similar deadlines take turns. */
 #define CALLER_SPACING_MS 50
 
-/* The stream's deadline, or CALLER_SPACING_MS after its caller's last queued stream if later. */
+/* The stream's deadline, or CALLER_SPACING_MS after the virtual deadline of its caller's last
+ * queued stream if that is later. */
 static int64_t virtual_deadline_of(const owner_t *w, const owner_stream_t *s)
 {
 	int64_t virtual_deadline = s->deadline;
--- a/src/policy/retry.c
+++ b/src/policy/retry.c
@@ -5,18 +5,18 @@
 
 #define MILLI 1000 /* budgets are in thousandths of a retry */
 /* Initial budget, so that a service with few requests may retry. */
-#define BUDGET_FLOOR_MILLI    (10 * MILLI)
+#define BUDGET_INITIAL_MILLI  (10 * MILLI)
 #define BUDGET_MAX_MILLI      (100 * MILLI)
 #define BREAKER_FAILURES      3 /* consecutive ones that open the breaker */
 #define BREAKER_PAUSE_MS      250 /* first pause */
 #define BREAKER_PAUSE_MAX_MS  8000
-#define BREAKER_PROBE_LOST_MS 10000 /* without a result by then, another probe is allowed */
+#define BREAKER_PROBE_LOST_MS 10000 /* a probe without a result by then is repeated */
 
 void retry_budget_init(retry_budget_t *b, int percent)
 {
 	assert(percent >= 0);
 	b->percent = percent;
-	b->tokens_milli = BUDGET_FLOOR_MILLI;
+	b->tokens_milli = BUDGET_INITIAL_MILLI;
 }
 
 void retry_budget_deposit(retry_budget_t *b)
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -1,4 +1,4 @@
-/** Retry budgets and circuit breakers. Pure. */
+/** Retry budgets of services and circuit breakers of replicas. Pure. */
 #ifndef AUBURN_RETRY_H
 #define AUBURN_RETRY_H
 
@@ -6,14 +6,14 @@
 #include <stdint.h>
 #include "base/status.h"
 
-/** Limits retries to a percentage of the first attempts, plus a small constant. */
+/** Limits retries to a percentage of the first attempts, plus a small initial budget. */
 typedef struct {
 	int64_t tokens_milli; /* thousandths of a retry */
 	int percent;
 } retry_budget_t;
 
 void retry_budget_init(retry_budget_t *b, int percent);
-/** Counts a first attempt, which adds to the budget. */
+/** Counts a first attempt: adds `percent` of one retry to the budget, up to a maximum. */
 void retry_budget_deposit(retry_budget_t *b);
 /** Takes one retry from the budget; false if the budget is used up. */
 bool retry_budget_withdraw(retry_budget_t *b);
@@ -22,14 +22,16 @@
  * request may safely run more than once. */
 bool retry_allowed(verdict_t verdict, bool repeatable);
 
-/** In the half-open state, one probe request is under way. */
+/** Closed: requests are sent. Open: none are, until the next probe is due. Half-open: one request
+ * was sent as a probe and has no result yet. */
 typedef enum {
 	RETRY_BREAKER_CLOSED,
 	RETRY_BREAKER_OPEN,
 	RETRY_BREAKER_HALF_OPEN
 } retry_breaker_state_t;
 
-/** Opens after consecutive failures, then allows a probe after a pause that doubles each time. */
+/** Opens after several consecutive failures, then allows a probe after a pause. The pause doubles
+ * with each probe that fails, up to a maximum. */
 typedef struct {
 	retry_breaker_state_t state;
 	int failures; /* consecutive */
@@ -38,7 +40,7 @@
 } retry_breaker_t;
 
 void retry_breaker_init(retry_breaker_t *b);
-/** True if a request may be sent now. Unless the breaker is closed, that request is the probe. */
+/** True if a request may be sent now. Unless the breaker is closed, the request is a probe. */
 bool retry_breaker_allow(retry_breaker_t *b, int64_t now_ms);
 /** Records a success, which closes the breaker. */
 void retry_breaker_success(retry_breaker_t *b);
