--- a/src/front/front_attempt.c
+++ b/src/front/front_attempt.c
@@ -1,4 +1,4 @@
-/* One attempt to run a request or an item on a replica: sends it and passes the answer on by
+/* One attempt to run a request or an item on a replica: sends it and passes the answer to
  * callbacks. Detects answers to other requests, silence, and malformed or endless answers. */
 #include <stdlib.h>
 #include "base/log.h"
@@ -7,8 +7,8 @@
 
 /** Connect timeout; handshakes take a few ms. */
 #define CONNECT_MS 250
-/** Maximum size of one answer and everything received before it: several times the largest body
- * that callers may send. */
+/** Maximum size in bytes of one answer and of everything received before it: several times the
+ * largest body that callers may send. */
 #define ANSWER_BYTES_MAX (16U << 20)
 /** Maximum number of consecutive events without progress (repeated, or without an id) before the
  * attempt counts as broken. A replica may repeat a stream from its start, so this is more than the
@@ -20,9 +20,9 @@
 	http_call_t *call;
 	sse_parser_t sse;
 	timeout_t silence_timer;
-	bool is_stream; /* the answer is a signed event stream */
+	bool is_stream; /* the answer is a signed event stream with status 200 */
 	unsigned no_progress_events; /* since the last new one */
-	bool broken; /* found invalid; about to be ended by silence_timer */
+	bool broken; /* the answer is invalid; silence_timer is about to end the attempt */
 	char id[64];
 	char replica[64];
 };
@@ -56,8 +56,8 @@
 	end_attempt(a, a->broken ? FRONT_ATTEMPT_BROKEN : FRONT_ATTEMPT_SILENT);
 }
 
-/* Ends the attempt as broken, in the event loop's next turn: the parser that called must not find
- * the attempt freed. */
+/* Ends the attempt as broken in the event loop's next iteration: the parser that is calling still
+ * uses the attempt. */
 static void mark_broken(front_attempt_t *a)
 {
 	a->broken = true;
--- a/src/front/front_item.c
+++ b/src/front/front_item.c
@@ -1,14 +1,15 @@
-/* An item of a batch lot: runs on one replica; its progress and end are reported to the leader. */
+/* Runs of batch items. Each run uses one replica; its progress and end are reported to the leader,
+ * which decides about another run. */
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
 #include "base/log.h"
 #include "front/front.h"
 
-/** Silence timeout of an item, after which another replica runs it: many times the usual pause
- * between events, because no caller waits for the next one. */
+/** Silence timeout of a run, after which the leader starts another one: many times the usual pause
+ * between events, because no caller waits for the next event. */
 #define SILENT_MS 1500
-/** Period of progress reports; limits the work that is usually lost by a fault. */
+/** Period of progress reports: a fault usually loses at most the work of one period. */
 #define REPORT_MS 1000
 
 struct front_item {
@@ -21,14 +22,14 @@
 	deadline_t next_report;
 	front_attempt_t *attempt;
 	platform_reply_t reply;
-	bool ended; /* the end has not been reported to a leader yet */
+	bool ended; /* ended, but not reported to a leader yet */
 	link_item_end_t end;
 	dispatch_outcome_t outcome;
 	front_item_t *prev;
 	front_item_t *next;
 };
 
-/* Names in log lines. */
+/* Names of the ends in log lines. */
 static const char *const end_names[] = {[LINK_ITEM_END_DONE] = "done",
 					[LINK_ITEM_END_IMPOSSIBLE] = "impossible",
 					[LINK_ITEM_END_FAILED] = "failed",
@@ -61,7 +62,7 @@
 	item_free(it);
 }
 
-/* Records how the item ended; reports it now or when a leader connects. */
+/* Records how the run ended; reports it now or when a leader connects. */
 static void end_item(front_item_t *it, link_item_end_t end, dispatch_outcome_t outcome)
 {
 	it->ended = true;
@@ -99,13 +100,13 @@
 	return FRONT_EVENT_NEW;
 }
 
-/* The rest of the answer is not part of the item's events. */
+/* Ignores bytes that do not belong to an event. */
 static bool on_bytes(void *ctx, str_t piece)
 {
 	return true;
 }
 
-/* The answer is complete: its status decides how the item ends. */
+/* The answer is complete: its head decides how the run ends. */
 static void handle_answer(front_item_t *it)
 {
 	const platform_reply_t *r = &it->reply;
--- a/src/front/front_link.c
+++ b/src/front/front_link.c
@@ -1,15 +1,16 @@
-/* The link to the leader: handles the leader's messages; does without a leader while it is down. */
+/* The link to the leader: handles the leader's messages. While there is no leader, reads the
+ * replica list and stops items. */
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
 #include "base/metric.h"
 #include "front/front.h"
 
-/** After this long without a leader, this process reads the replica list itself. The period limits
- * the load that all entries together put on the platform. */
+/** After this long without a leader, this process reads the replica list itself, once in each
+ * period. The period limits the load that all entries together put on the platform. */
 #define LIST_AFTER_MS  1500
 #define LIST_PERIOD_MS 2000
-/** After this long without a leader, items are stopped: before a new leader runs them elsewhere. */
+/** After this long without a leader, items are stopped, before a new leader runs them elsewhere. */
 #define STOP_ITEMS_AFTER_MS (DISPATCH_ADOPT_MS - 400)
 /** Maximum number of runs that the hello to a leader reports. */
 #define RUNS_MAX 4096
@@ -37,7 +38,7 @@
 		dispatch_replica_leaving(f->local_dispatch, r.id);
 }
 
-/* Rebuilds the hash of replicas from the view. */
+/* Rebuilds the hash of replicas from the view, and updates the local dispatcher. */
 static void index_replicas(front_t *f)
 {
 	front_replica_t *r;
@@ -65,7 +66,7 @@
 	front_slot_set_replicas(f);
 }
 
-/* Takes over the lists that the message has; the other lists stay as they are. */
+/* Takes over the control processes and, if the message has them, the replicas and the entries. */
 static void update_view(front_t *f, const link_view_t *m)
 {
 	link_view_t got;
@@ -146,8 +147,8 @@
 	front_slot_leader_down(ctx);
 }
 
-/* Fills the hello that opens a link: this entry, its running requests and items, its config, and
- * the leaving replicas. */
+/* Fills the hello that opens a link: this entry, its running requests and items (RUNS_MAX at most),
+ * its config, and the leaving replicas. */
 static void fill_hello(void *ctx, link_hello_t *out)
 {
 	static link_run_t runs[RUNS_MAX];
@@ -179,7 +180,7 @@
 	out->leaving_replicas.leaving_replicas_val = leaving_replicas;
 }
 
-/* The replica list was read by this process itself; ignored if a leader connected meanwhile. */
+/* This process has read the replica list; ignored if a leader has connected meanwhile. */
 static void on_list(void *ctx, link_view_t *v)
 {
 	front_t *f = ctx;
--- a/src/front/front_lot.c
+++ b/src/front/front_lot.c
@@ -5,21 +5,20 @@
 
 /** Timeout of calls that open or end a lot: the leader's commit has failed by then. */
 #define CALL_TIMEOUT_MS 2500
-/** Timeout of reads, in addition to the time that the caller is willing to wait for results. */
+/** Timeout of reads, in addition to the time for which the caller wants to wait for results. */
 #define READ_TIMEOUT_MS 1200
 /** Retry-After while there is no leader: one is usually found by then. */
 #define RETRY_NO_LEADER_MS 300
 /** Retry-After when a lot exceeds the quota or the memory for lots: by then some items have
- * finished.
- */
+ * finished. */
 #define RETRY_LIMIT_MS 1000
 
 typedef struct {
 	front_conn_data_t data;
 	front_t *f; /* unused */
-	http_conn_t *conn; /* NULL once the caller has left */
+	http_conn_t *conn; /* NULL after the caller left */
 	link_call_kind_t kind;
-	int64_t after; /* position to read results from */
+	int64_t after; /* LINK_CALL_LOT_READ: position from which results are read */
 	char id[64];
 } lot_call_t;
 
--- a/src/front/front_request.c
+++ b/src/front/front_request.c
@@ -6,16 +6,16 @@
 #include "base/metric.h"
 #include "front/front.h"
 
-/** Number of attempts that no replica ran (rejected or unreachable) after which the request fails;
- * each costs a round trip. */
+/** A request fails after this number of attempts that a replica rejected or did not receive; each
+ * costs a round trip. */
 #define NOT_RUN_MAX 4
-/** Silence timeout of the first event, as a share of the objective; the rest of the objective is
- * left for a second replica. */
+/** Silence timeout of the first event, in percent of the route's objective; the rest of the
+ * objective is left for a second replica. */
 #define FIRST_PERCENT 60
-/** Silence timeout of later events, as a share of the route's maximum pause between events. */
+/** Silence timeout of later events, in percent of the route's maximum pause between events. */
 #define PAUSE_PERCENT 55
-/** A caller whose timeout is less than this share of the route's timeout has spent the rest of its
- * time at another entry. */
+/** A caller whose timeout is less than this percentage of the route's timeout is taken to have
+ * spent the rest of the time at another entry. */
 #define RETURNING_PERCENT 95
 /** Timeout of a caller that does not state one. */
 #define WAIT_DEFAULT_MS 30000
@@ -67,7 +67,7 @@
 	free(q);
 }
 
-/* Detaches the request from its connection, which then outlives it. */
+/* Detaches the request from its connection, which outlives the request to send the reply. */
 static void detach_conn(front_request_t *q)
 {
 	free(http_conn_data(q->conn));
@@ -119,8 +119,8 @@
 }
 
 /* When the caller gives up: give_up_ms after the last event sent to it, or after its request if
- * there was none. The slot request that follows a broken stream stands for the time of the last
- * event. */
+ * there was none, but not after the deadline. The time of the last event is not recorded; the time
+ * of the slot request that follows a broken stream stands for it. */
 static deadline_t give_up_time(const front_request_t *q)
 {
 	deadline_t since = q->head_sent ? q->requested_at : q->req.received;
@@ -138,8 +138,8 @@
 	front_slot_request(q->f, q);
 }
 
-/* An attempt ended without an answer for the caller: requests a slot on another replica, or ends
- * the request. */
+/* An attempt ended without an answer that can be passed to the caller: requests a slot on another
+ * replica, or ends the request if it may not be retried. */
 static void retry_elsewhere(front_request_t *q, dispatch_outcome_t how)
 {
 	bool was_sent = how != DISPATCH_REPLICA_LEAVING;
@@ -183,7 +183,7 @@
 	platform_reply_headers(&q->headers, h);
 }
 
-/* Buffers bytes of the answer; false if all buffers together reach their limit. */
+/* Buffers bytes of the answer; false if all buffers together would exceed their limit. */
 static bool buffer_bytes(front_request_t *q, str_t piece)
 {
 	if (q->f->buffered_bytes + piece.n > BUFFERED_BYTES_MAX) {
@@ -205,8 +205,8 @@
 		return FRONT_EVENT_NO_PROGRESS;
 	if (e->id >= 0 && e->id != q->last_event + 1)
 		return FRONT_EVENT_INVALID;
-	/* Events without an id are buffered until the next event with an id, because another
-	 * replica may resume the stream without them. */
+	/* An event without an id is buffered until the next event with an id. If the stream breaks
+	 * before, the event is dropped: another replica may resume the stream without it. */
 	if (e->id < 0)
 		return buffer_bytes(q, e->raw) ? FRONT_EVENT_NO_PROGRESS : FRONT_EVENT_INVALID;
 	if (!q->head_sent) {
@@ -228,7 +228,7 @@
 	return buffer_bytes(ctx, piece);
 }
 
-/* Sends the complete answer, or the rest of it, to the caller. */
+/* Ends the request: sends the complete answer, or the rest of it, to the caller. */
 static void end_with_answer(front_request_t *q)
 {
 	http_conn_t *c = q->conn;
@@ -256,7 +256,7 @@
 	buf_free(&body);
 }
 
-/* The answer is complete: passes it to the caller, retries on another replica, or, if the replica
+/* The answer is complete: passes it to the caller or retries on another replica. If the replica
  * rejected the request as invalid, ends the request with status 400. */
 static void handle_answer(front_request_t *q)
 {
@@ -315,7 +315,8 @@
 		end_with_status(q, 503, RETRY_MS, "deadline");
 }
 
-/* True if another replica could retry or resume the request. Only then is silence watched for. */
+/* True if the request may be retried or resumed after the current attempt. Only then are silence
+ * timeouts set. */
 static bool may_retry(const front_request_t *q)
 {
 	return is_repeatable(q) && q->attempts < q->max_attempts;
--- a/src/front/front_routes.c
+++ b/src/front/front_routes.c
@@ -1,5 +1,5 @@
 /* The route table in force. The leader sends configs, mostly as deltas; a worker thread decodes
- * them, so that the event loop goes on serving streams. */
+ * them, so that the event loop goes on serving requests. */
 #include <stdlib.h>
 #include "base/log.h"
 #include "client/delta.h"
@@ -19,7 +19,7 @@
 	return a.number == b.number && a.digest == b.digest;
 }
 
-/* Acknowledges a config that the leader sent, or tells the leader which config is in force here. */
+/* Acknowledges a config that the leader sent, or reports the config that is in force here. */
 static void report_config(front_t *f, link_config_id_t id)
 {
 	link_msg_t m = {.kind = LINK_CONFIG_IN_FORCE};
@@ -36,7 +36,7 @@
 		snprintf(d->message, sizeof(d->message), "%s", status_message());
 }
 
-/* Limits of callers' connections; kept unchanged if the config lacks one. */
+/* Sets the limits of callers' connections; keeps the old ones if the config lacks any. */
 static void set_limits(front_t *f, const route_client_limits_t *l)
 {
 	http_limits_t limits = {(size_t)l->header_bytes, (size_t)l->body_bytes, l->header_ms,
@@ -47,7 +47,7 @@
 		http_server_set_limits(f->callers, &limits);
 }
 
-/* Puts decoded routes in force. */
+/* Puts decoded routes in force and serves the requests that waited for the first ones. */
 static void install_routes(front_t *f, link_config_id_t id, route_table_t *routes)
 {
 	route_table_free(f->routes);
@@ -72,8 +72,8 @@
 		log_event(LOG_LEVEL_ERROR, "text_unreadable", LOG_INT("number", d->m.text.number),
 			  LOG_CSTR("what", d->message));
 	} else if (f->routes && d->routes->version <= f->routes_version) {
-		/* A leader that lost its disk may send an older config. It is acknowledged below,
-		 * but not put in force. */
+		/* A leader that lost its disk may send an older config. The config is acknowledged
+		 * below, but not put in force. */
 		log_event(LOG_LEVEL_WARN, "text_overtaken", LOG_INT("number", d->m.text.number),
 			  LOG_INT("version", d->routes->version),
 			  LOG_INT("in_force", f->routes_version));
@@ -98,7 +98,7 @@
 		wire_dup(XDR_PROC(link_config_t), m, &f->pending_config, sizeof(f->pending_config));
 		return;
 	}
-	/* The delta does not apply to the config of this process: asks for another. */
+	/* The delta is not based on the config in force here: requests another one. */
 	if (m->base.number && !config_id_eq(m->base, f->config_id)) {
 		report_config(f, f->config_id);
 		return;
--- a/src/front/front_slot.c
+++ b/src/front/front_slot.c
@@ -1,12 +1,12 @@
 /* Slot requests: go to the leader's dispatcher or, while there is no leader, to a dispatcher in
  * this process. The local dispatcher tracks only the runs of this process, so it may choose a
- * replica that other entries have filled; such a replica rejects the request, and another one is
- * tried. */
+ * replica that other entries have filled. Such a replica rejects the request, which is then tried
+ * on another one. */
 #include <stdlib.h>
 #include "base/log.h"
 #include "front/front.h"
 
-/** Id of this process as an entry of its local dispatcher. */
+/** Id of this process, the only entry of its local dispatcher. */
 #define LOCAL_ENTRY 1
 
 static void on_grant(void *ctx, uint64_t entry, uint64_t request, str_t replica)
@@ -153,7 +153,8 @@
 	free(v);
 }
 
-/* Requests slots again from the other dispatcher, after the leader came or went. */
+/* Requests slots for the waiting requests again: the dispatcher changed from local to leader or
+ * back. */
 static void request_all_again(front_t *f)
 {
 	front_request_t *q;
--- a/src/front/main.c
+++ b/src/front/main.c
@@ -13,17 +13,18 @@
 #define TICK_MS 50
 /** The process exits this long before the end of the grace time. */
 #define EXIT_MARGIN_MS 250
-/** A stopping process accepts connections for this share of the grace time. By then callers no
+/** A stopping process accepts connections for this percentage of the grace time. By then callers no
  * longer use its address: they cache it for 2 s, some for three times as long. The rest of the
  * grace time is left for the last streams. */
 #define ACCEPT_PERCENT 76
-/** Maximum body size on the directory, readiness and metrics listeners. */
+/** Maximum body size on the directory, readiness and metrics listeners, in bytes. */
 #define SMALL_BODY_MAX 1024
-/** A stopping process exits after this long without a request since it stopped accepting: requests
- * sent earlier have arrived by then. */
+/** A stopping process that no longer accepts connections exits after this long without an open
+ * request: requests on accepted connections have arrived by then. */
 #define IDLE_EXIT_MS 100
 
-/** Limits of callers' connections until the first config sets them: its usual values. */
+/** Limits of connections, the usual values of a config. A config replaces those of callers'
+ * connections. */
 #define HEADER_BYTES 16384
 #define BODY_BYTES   (4U << 20)
 #define HEADER_MS    3000
@@ -105,7 +106,8 @@
 	metric_set(metric_get(METRIC_GAUGE, "auburn_requests_open", NULL), HASH_COUNT(f->requests));
 	metric_set(metric_get(METRIC_GAUGE, "auburn_items_running", NULL),
 		   (int64_t)front_item_count(f));
-	/* The number of connections made since the start, not of those open now. */
+	/* The number of connections that the HTTP client has made since the start, not of those
+	 * open now. */
 	metric_set(metric_get(METRIC_GAUGE, "auburn_replica_connections", NULL),
 		   (int64_t)http_client_connects(f->http));
 	metric_set(metric_get(METRIC_GAUGE, "auburn_leader_linked", NULL),
@@ -114,7 +116,8 @@
 	http_reply(c, 200, STR("Content-Type: text/plain; version=0.0.4\r\n"), str_buf(&b));
 }
 
-/* Callers may use the address until the process exits, so it serves all that have connected. */
+/* Stops accepting connections at accept_until. Callers that are connected may use the address until
+ * the process exits, so it exits only after no request has been open for IDLE_EXIT_MS. */
 static void exit_when_idle(front_t *f, deadline_t now)
 {
 	if (now < f->accept_until)
