--- a/src/front/front.h
+++ b/src/front/front.h
@@ -71,8 +71,8 @@
 	ev_signal hup;
 	deadline_t exit_by; /* latest end of the stop that is in progress; 0 if there is none */
 	deadline_t accept_until; /* during a stop: new connections are accepted until then */
-	deadline_t idle_since; /* 0 while connections are accepted; afterwards the last time that a
-				  request was open, or the time since when none has been */
+	deadline_t idle_since; /* 0 while connections are accepted; then the last time at which a
+				  request was open, at first the time when accepting stopped */
 	const char *settings_path;
 	route_table_t *routes; /* NULL until the first config arrives */
 	uint64_t routes_version;
@@ -201,7 +201,7 @@
 	deadline_t give_up_at; /* when the caller leaves unless it gets another event first */
 	timeout_t timer; /* expires at the deadline */
 	front_attempt_t *attempt;
-	platform_reply_t reply; /* its views are valid only while the head is handled */
+	platform_reply_t reply; /* decoded head of the current answer, without the id */
 	bool head_sent; /* to the caller */
 	bool may_have_run; /* an attempt failed after the replica may have started the request */
 	bool first_seen; /* unused */
@@ -209,11 +209,11 @@
 	unsigned not_run; /* attempts that a replica rejected or did not receive, without those that
 			     were not sent because the replica leaves */
 	long long last_event; /* id of the last event that the caller has */
-	char avoid[DISPATCH_AVOID_MAX][64]; /* replicas on which an attempt failed */
+	char avoid[DISPATCH_AVOID_MAX][64]; /* replicas of the first failed attempts */
 	unsigned navoid;
 	buf_t headers; /* of the answer */
 	buf_t body; /* bytes of the answer not yet sent to the caller */
-	deadline_t requested_at; /* when the current or last slot was requested */
+	deadline_t requested_at; /* when the current or last slot was first requested */
 	deadline_t granted_at;
 	int64_t first_byte_ms; /* time until the answer to the caller began; -1: it has not */
 	int64_t slot_wait_ms; /* total time spent waiting for slots */
--- a/src/front/front_item.c
+++ b/src/front/front_item.c
@@ -21,7 +21,7 @@
 	unsigned reported_events; /* number of events already sent to a leader */
 	deadline_t next_report;
 	front_attempt_t *attempt;
-	platform_reply_t reply;
+	platform_reply_t reply; /* decoded head of the answer, without the id */
 	bool ended; /* ended, but not reported to a leader yet */
 	link_item_end_t end;
 	dispatch_outcome_t outcome;
@@ -120,8 +120,8 @@
 		end_item(it, LINK_ITEM_END_DONE, DISPATCH_OK);
 	else if (r->status == 422)
 		end_item(it, LINK_ITEM_END_IMPOSSIBLE, DISPATCH_OK);
-	/* The item failed; DISPATCH_CANCELLED does not count against the replica. */
 	else if (r->status == 500)
+		/* The item failed; DISPATCH_CANCELLED does not count against the replica. */
 		end_item(it, LINK_ITEM_END_FAILED, DISPATCH_CANCELLED);
 	else
 		end_item(it, LINK_ITEM_END_UNFINISHED, DISPATCH_FAILED);
--- a/src/front/front_link.c
+++ b/src/front/front_link.c
@@ -66,7 +66,8 @@
 	front_slot_set_replicas(f);
 }
 
-/* Takes over the control processes and, if the message has them, the replicas and the entries. */
+/* Copies the message into the view: the list of control processes and, if present, the lists of
+ * replicas and entries. */
 static void update_view(front_t *f, const link_view_t *m)
 {
 	link_view_t got;
--- a/src/front/front_lot.c
+++ b/src/front/front_lot.c
@@ -7,8 +7,9 @@
 #define CALL_TIMEOUT_MS 2500
 /** Timeout of reads, in addition to the time for which the caller wants to wait for results. */
 #define READ_TIMEOUT_MS 1200
-/** Retry-After while there is no leader: one is usually found by then. */
-#define RETRY_NO_LEADER_MS 300
+/** Retry-After of calls that were certainly not executed, mostly because there is no leader: one is
+ * usually found by then. */
+#define RETRY_NOT_EXECUTED_MS 300
 /** Retry-After when a lot exceeds the quota or the memory for lots: by then some items have
  * finished. */
 #define RETRY_LIMIT_MS 1000
@@ -64,11 +65,12 @@
 		return 404;
 	case STATUS_UNAVAILABLE:
 	case STATUS_NOT_LEADER:
-		reply_error(c, 503, RETRY_NO_LEADER_MS);
+		reply_error(c, 503, RETRY_NOT_EXECUTED_MS);
 		return 503;
 	default:
-		/* The call may have been executed. Reading or ending a lot is idempotent, so the
-		 * caller may retry it (503); opening one is not (504). */
+		/* The outcome is unknown: the call may have been executed. For an opening, this is
+		 * reported with status 504. A read or an end can be repeated without harm, so the
+		 * status is 503. */
 		reply_error(c, c->kind == LINK_CALL_LOT_OPEN ? 504 : 503, 0);
 		return c->kind == LINK_CALL_LOT_OPEN ? 504 : 503;
 	}
--- a/src/front/front_request.c
+++ b/src/front/front_request.c
@@ -31,7 +31,9 @@
 	return q->kind == ROUTE_REPEATABLE || (q->kind == ROUTE_STREAM && q->resumable);
 }
 
-static void log_end(const front_request_t *q, const char *outcome, int status)
+/* Logs the end of a request and records its times in the metrics. placed_by names the dispatcher in
+ * use now, which need not be the one that granted the last slot. */
+static void record_end(const front_request_t *q, const char *outcome, int status)
 {
 	log_event(LOG_LEVEL_INFO, "request_end", LOG_STR("request", q->call.id),
 		  LOG_INT("number", q->number), LOG_CSTR("outcome", outcome),
@@ -49,7 +51,7 @@
 			      q->first_byte_ms);
 }
 
-static void drop_buffered(front_request_t *q)
+static void clear_body(front_request_t *q)
 {
 	q->f->buffered_bytes -= q->body.n;
 	buf_free(&q->body);
@@ -60,7 +62,7 @@
 {
 	if (q->attempt)
 		front_attempt_cancel(q->attempt);
-	drop_buffered(q);
+	clear_body(q);
 	timeout_stop(&q->timer);
 	HASH_DEL(q->f->requests, q);
 	buf_free(&q->headers);
@@ -80,7 +82,7 @@
 	http_conn_t *c = q->conn;
 	AUTO_BUF headers = {0};
 
-	log_end(q, outcome, status);
+	record_end(q, outcome, status);
 	if (retry_ms > 0)
 		platform_add_retry_after(&headers, retry_ms);
 	detach_conn(q);
@@ -94,14 +96,14 @@
 {
 	http_conn_t *c = q->conn;
 
-	log_end(q, outcome, 0);
+	record_end(q, outcome, 0);
 	detach_conn(q);
 	request_free(q);
 	http_reply_abort(c);
 }
 
-/* Ends the request after the last attempt failed. Status 502 says that it may have run, 503 that it
- * has not. */
+/* Ends the request after its last attempt failed: aborts an answer that has begun. Otherwise,
+ * status 502 says that the request may have run, 503 that it has not. */
 static void end_failed(front_request_t *q, const char *outcome)
 {
 	if (q->head_sent)
@@ -157,7 +159,7 @@
 		q->attempts--;
 	q->not_run += was_sent && !ran;
 	q->headers.n = 0;
-	drop_buffered(q);
+	clear_body(q);
 	if (ran && (!is_repeatable(q) || q->attempts >= q->max_attempts)) {
 		end_failed(q, dispatch_outcome_name(how));
 		return;
@@ -217,7 +219,7 @@
 	q->last_event = e->id;
 	if (q->body.n > 0) {
 		http_reply_chunk(q->conn, str_buf(&q->body));
-		drop_buffered(q);
+		clear_body(q);
 	}
 	http_reply_chunk(q->conn, e->raw);
 	return FRONT_EVENT_NEW;
@@ -240,7 +242,7 @@
 	if (q->first_byte_ms < 0)
 		q->first_byte_ms = clock_now_ms() - q->req.received;
 	front_slot_release(q->f, q, status >= 500 ? DISPATCH_FAILED : DISPATCH_OK);
-	log_end(q, "ok", status);
+	record_end(q, "ok", status);
 	q->f->buffered_bytes -= body.n;
 	q->headers = (buf_t){0};
 	q->body = (buf_t){0};
@@ -385,7 +387,7 @@
 		front_slot_withdraw(q->f, q);
 	else
 		front_slot_release(q->f, q, DISPATCH_CANCELLED);
-	log_end(q, "caller left", 0);
+	record_end(q, "caller left", 0);
 	request_free(q);
 }
 
--- a/src/policy/dispatch.c
+++ b/src/policy/dispatch.c
@@ -8,9 +8,10 @@
 
 /** Assumed mean slot time of an online request before the first one ends. */
 #define HOLD_INITIAL_US 700000
-/** A new sample moves a running mean by 1/HOLD_WEIGHT (requests) or 1/ITEM_WEIGHT (items). */
-#define HOLD_WEIGHT 16
-#define ITEM_WEIGHT 32
+/** A new sample moves a running mean by 1/HOLD_DIVISOR (requests) or 1/ITEM_DIVISOR (items) of its
+ * distance from the mean. */
+#define HOLD_DIVISOR 16
+#define ITEM_DIVISOR 32
 /** Back-off of a failed replica, doubled with each consecutive failure up to the maximum. Needed
  * because a crashed replica stays on the replica list for some seconds. */
 #define SUSPECT_MS	    250
@@ -362,7 +363,7 @@
 	}
 }
 
-/* Starts or ends the back-off of a replica after a run ended there. Several runs that break
+/* Updates back-off and `leaving` of a replica after a run ended there. Several runs that break
  * together count as one failure: during the back-off, further failures are ignored. */
 static void update_health(dispatch_t *d, replica_t *r, dispatch_outcome_t how, deadline_t now)
 {
@@ -411,7 +412,7 @@
 	update_health(d, run->replica, how, now);
 	s = run->replica->service;
 	if (how == DISPATCH_OK)
-		s->mean_hold_us += ((now - run->since) * 1000 - s->mean_hold_us) / HOLD_WEIGHT;
+		s->mean_hold_us += ((now - run->since) * 1000 - s->mean_hold_us) / HOLD_DIVISOR;
 	free_run(d, run);
 	free_unlisted_replicas(d);
 	dispatch_place_all(d, now);
@@ -508,8 +509,8 @@
 	if (ended && it->replica) {
 		update_health(d, it->replica, DISPATCH_OK, now);
 		dispatch_item_add_run_time(it, now);
-		s->mean_item_ms +=
-			s->mean_item_ms ? (it->ran_ms - s->mean_item_ms) / ITEM_WEIGHT : it->ran_ms;
+		s->mean_item_ms += s->mean_item_ms ? (it->ran_ms - s->mean_item_ms) / ITEM_DIVISOR
+						   : it->ran_ms;
 	}
 	if (!ended && it->state == ITEM_RUNNING && !it->adopt_until)
 		d->cb.stop_item(d->cb.ctx, it->data, it->entry);
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -32,7 +32,7 @@
  * leaves. */
 typedef enum {
 	DISPATCH_OK,
-	DISPATCH_FULL, /* the replica rejected the run unstarted, usually for lack of capacity */
+	DISPATCH_FULL, /* the replica rejected the run without starting it */
 	DISPATCH_UNREACHABLE, /* the connection failed, the address is unknown or now belongs to
 				 another replica */
 	DISPATCH_BROKEN, /* the answer ended early, or was malformed, unsigned or too long */
--- a/src/policy/dispatch_internal.h
+++ b/src/policy/dispatch_internal.h
@@ -87,7 +87,8 @@
 				   stays assigned until then, because an entry may report that it
 				   still runs the item, and is queued again afterwards */
 	deadline_t placed_at; /* when it got its slot, or ran_ms was last updated */
-	int64_t ran_ms; /* slot time of all its runs; each resumes after the earlier events */
+	int64_t ran_ms; /* slot time of its runs since dispatch_item_add; each run resumes after the
+			   events of the earlier ones */
 	dispatch_item_t *prev; /* in waiting_items, sorted by due time, or in running_items */
 	dispatch_item_t *next;
 };
--- a/src/policy/dispatch_place.c
+++ b/src/policy/dispatch_place.c
@@ -301,10 +301,10 @@
 }
 
 /*
- * Order in which waiting items are started; within a rank, by due time. Items that already ran go
- * first: the replica time spent on them is wasted if they finish late. Items that are not expected
- * to meet their due time go last: in overload, serving strictly by due time would start each item
- * in turn and finish none of them in time.
+ * Order in which waiting items are started; within a rank, by due time. Items that already ran
+ * since dispatch_item_add go first: the replica time spent on them is wasted if they finish late.
+ * Items that are not expected to meet their due time go last: in overload, serving strictly by due
+ * time would start each item in turn and finish none of them in time.
  */
 typedef enum { ITEM_RANK_RESUMED, ITEM_RANK_NEW, ITEM_RANK_LATE, ITEM_RANKS } item_rank_t;
 
--- a/src/policy/fanout.c
+++ b/src/policy/fanout.c
@@ -98,7 +98,8 @@
 	f->in_flight += p->bytes;
 }
 
-/* Sends to the peers that are behind: those without any config, or else those with one. */
+/* Sends the newest config to peers that are behind: if without_config is set, to those that have no
+ * config at all, otherwise to those that have another one. */
 static void send_pending(fanout_t *f, bool without_config, deadline_t now)
 {
 	for (peer_t *p = f->peers; p && f->in_flight < FANOUT_IN_FLIGHT_BYTES; p = p->hh.next) {
--- a/src/policy/owner.c
+++ b/src/policy/owner.c
@@ -115,8 +115,8 @@
 	w->options.cancel(w->options.ctx, r->id);
 }
 
-/** Preempts batch streams, the latest started first, until as many are being cancelled as streams
- * are queued, or none is left. */
+/** If the options allow it, preempts batch streams, the latest started first, until as many are
+ * being cancelled as streams are queued, or none is left. */
 static void preempt_for_queue(owner_t *w, int64_t now_ms)
 {
 	owner_run_t *r;
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -22,8 +22,8 @@
  * request may safely run more than once. */
 bool retry_allowed(verdict_t verdict, bool repeatable);
 
-/** Closed: requests are sent. Open: none are, until the next probe is due. Half-open: one request
- * was sent as a probe and has no result yet. */
+/** Closed: requests may be sent. Open: no request may be sent until a probe is due. Half-open: a
+ * request was sent as a probe and has no result yet. */
 typedef enum {
 	RETRY_BREAKER_CLOSED,
 	RETRY_BREAKER_OPEN,
--- a/src/policy/ring.h
+++ b/src/policy/ring.h
@@ -1,9 +1,9 @@
 /**
  * Consistent hashing: gives each reader of a long list a share of the list, at most a fixed
- * number of its members. Members are points on a ring of hashes; a reader gets the points that
- * follow its own hash. A member that joins or leaves changes only the shares of the readers just
- * before it on the ring. If the readers are the members themselves, each member is in the same
- * number of shares.
+ * number of its members. Members are points on a ring of hashes; a reader gets the members
+ * whose points follow its own hash. A member that joins or leaves changes only the shares of the
+ * readers just before it on the ring. If the readers are the members themselves, each member is in
+ * the same number of shares.
  *
  * Pure.
  */
