--- a/src/front/front.h
+++ b/src/front/front.h
@@ -108,9 +108,10 @@
 /* front_routes.c: the route table in force */
 
 void front_routes_start(front_t *f);
-/** Decodes a config from the leader, as a whole or as a delta. Then puts the config in force,
- * unless it is unreadable or not newer, and acknowledges it in any case. A delta that does not
- * apply is answered with the config in force. */
+/** Decodes a config from the leader, a whole one or a delta. Then puts the config in force, unless
+ * it is unreadable or not newer, and acknowledges it in either case. For a delta whose base is not
+ * the config in force, only reports the id of the config in force. Of the configs that arrive
+ * during decoding, only the last is decoded. */
 void front_routes_update(front_t *f, const link_config_t *m);
 
 /* front_slot.c: slot requests to the leader or, while there is none, to a local dispatcher */
--- a/src/front/front_attempt.c
+++ b/src/front/front_attempt.c
@@ -56,8 +56,8 @@
 	end_attempt(a, a->broken ? FRONT_ATTEMPT_BROKEN : FRONT_ATTEMPT_SILENT);
 }
 
-/* Ends the attempt as broken in the event loop's next iteration: the parser that is calling still
- * uses the attempt. */
+/* Ends the attempt as broken, but only once the running callback has returned to the event loop:
+ * the parser that is calling still uses the attempt. */
 static void mark_broken(front_attempt_t *a)
 {
 	a->broken = true;
--- a/src/front/front_link.c
+++ b/src/front/front_link.c
@@ -113,7 +113,7 @@
 		} else if (!q) {
 			link_msg_t end = {.kind = LINK_ENDED};
 
-			/* The caller left while the grant was in transit: releases the slot. */
+			/* The request ended while the grant was in transit: releases the slot. */
 			end.link_msg_t_u.ended.request = m->link_msg_t_u.grant.request;
 			end.link_msg_t_u.ended.outcome = LINK_OUTCOME_CANCELLED;
 			leader_link_send(f->leader, &end);
--- a/src/front/front_request.c
+++ b/src/front/front_request.c
@@ -140,12 +140,12 @@
 	front_slot_request(q->f, q);
 }
 
-/* An attempt ended without an answer that can be passed to the caller: requests a slot on another
- * replica, or ends the request if it may not be retried. */
+/* An attempt failed or could not be sent: requests a slot on another replica, or ends the request
+ * if it may not be retried. */
 static void retry_elsewhere(front_request_t *q, dispatch_outcome_t how)
 {
-	bool was_sent = how != DISPATCH_REPLICA_LEAVING;
-	bool ran = was_sent && how != DISPATCH_FULL && how != DISPATCH_UNREACHABLE;
+	bool not_leaving = how != DISPATCH_REPLICA_LEAVING;
+	bool ran = not_leaving && how != DISPATCH_FULL && how != DISPATCH_UNREACHABLE;
 
 	front_slot_release(q->f, q, how);
 	log_event(LOG_LEVEL_INFO, "try_failed", LOG_STR("request", q->call.id),
@@ -157,7 +157,7 @@
 		q->may_have_run = true;
 	else
 		q->attempts--;
-	q->not_run += was_sent && !ran;
+	q->not_run += not_leaving && !ran;
 	q->headers.n = 0;
 	clear_body(q);
 	if (ran && (!is_repeatable(q) || q->attempts >= q->max_attempts)) {
--- a/src/front/main.c
+++ b/src/front/main.c
@@ -11,7 +11,7 @@
 #include "front/front.h"
 
 #define TICK_MS 50
-/** The process exits this long before the end of the grace time. */
+/** A stopping process exits at the latest this long before the end of the grace time. */
 #define EXIT_MARGIN_MS 250
 /** A stopping process accepts connections for this percentage of the grace time. By then callers no
  * longer use its address: they cache it for 2 s, some for three times as long. The rest of the
--- a/src/policy/dispatch.c
+++ b/src/policy/dispatch.c
@@ -331,9 +331,9 @@
 }
 
 /*
- * True if more than half of the service's replicas, and more than one, are in back-off, counting
+ * True if the service has several replicas and more than half of them are in back-off, counting
  * the one that has just been silent. This happens after all VMs of the entries lost power: the old
- * runs occupy the replicas until the replicas notice that the callers are gone, and new runs get no
+ * runs occupy the replicas until the replicas notice that the entries are gone, and new runs get no
  * answer. A back-off from all replicas would leave no slot for new work.
  */
 static bool most_replicas_suspect(const dispatch_t *d, const replica_t *silent, deadline_t now)
--- a/src/policy/dispatch_internal.h
+++ b/src/policy/dispatch_internal.h
@@ -77,7 +77,7 @@
 
 struct dispatch_item {
 	service_t *service;
-	char *avoid; /* replica on which it last failed, or NULL */
+	char *avoid; /* replica last passed to dispatch_item_avoid, or NULL */
 	deadline_t due;
 	void *data;
 	item_state_t state;
@@ -130,7 +130,7 @@
 /** Picks a running item to preempt for a request, or NULL. */
 dispatch_item_t *dispatch_pick_victim(dispatch_t *d, const waiter_t *q, str_t zone, deadline_t now);
 /** Picks the least loaded replica with a free slot for an item, or NULL. The replica on which the
- * item last failed is picked only if there is no other. */
+ * item itself last failed is picked only if there is no other. */
 replica_t *dispatch_pick_for_item(dispatch_t *d, const dispatch_item_t *it, deadline_t now);
 /** Picks a running item to preempt for this item, one that is expected to miss its due time anyway;
  * NULL if there is none. */
--- a/src/policy/dispatch_pick.c
+++ b/src/policy/dispatch_pick.c
@@ -145,7 +145,8 @@
 	return NULL;
 }
 
-/* True if the item's last failure was on this replica. */
+/* True if the item itself last failed on this replica; runs that broke or were silent don't count.
+ */
 static bool failed_on(const dispatch_item_t *it, const replica_t *r)
 {
 	return it->avoid && strcmp(it->avoid, r->id) == 0;
--- a/src/policy/fanout.h
+++ b/src/policy/fanout.h
@@ -42,8 +42,8 @@
 	/** Sends the newest config, as a delta from base or, if base has number 0, whole. Returns
 	 * the number of bytes. */
 	size_t (*send)(void *ctx, uint64_t peer, fanout_config_id_t base);
-	/** Called once for each newest config, when all connected peers have it. ms: time since
-	 * fanout_set_config. */
+	/** Called once for each newest config, when there are peers and all of them have
+	 * acknowledged it or had it already. ms: time since fanout_set_config. */
 	void (*converged)(void *ctx, fanout_config_id_t config, size_t peers, int64_t ms);
 } fanout_callbacks_t;
 
--- a/src/policy/owner.c
+++ b/src/policy/owner.c
@@ -15,7 +15,7 @@
 	return -1;
 }
 
-/** Asserts the invariants that hold between any two calls. */
+/** Asserts the invariants that hold after each call except owner_update. */
 static void check_invariants(const owner_t *w)
 {
 	unsigned online = 0;
