--- a/src/front/front_request.c
+++ b/src/front/front_request.c
@@ -6,16 +6,16 @@
 #include "base/metric.h"
 #include "front/front.h"
 
-/** Number of attempts that no replica ran (rejected or unreachable) after which the request fails;
- * each costs a round trip. */
+/** A request fails after this number of attempts that a replica rejected or did not receive; each
+ * costs a round trip. */
 #define NOT_RUN_MAX 4
-/** Silence timeout of the first event, as a share of the objective; the rest of the objective is
- * left for a second replica. */
+/** Silence timeout of the first event, in percent of the route's objective; the rest of the
+ * objective is left for a second replica. */
 #define FIRST_PERCENT 60
-/** Silence timeout of later events, as a share of the route's maximum pause between events. */
+/** Silence timeout of later events, in percent of the route's maximum pause between events. */
 #define PAUSE_PERCENT 55
-/** A caller whose timeout is less than this share of the route's timeout has spent the rest of its
- * time at another entry. */
+/** A caller whose timeout is less than this percentage of the route's timeout is taken to have
+ * spent the rest of the time at another entry. */
 #define RETURNING_PERCENT 95
 /** Timeout of a caller that does not state one. */
 #define WAIT_DEFAULT_MS 30000
@@ -31,7 +31,9 @@
 	return q->kind == ROUTE_REPEATABLE || (q->kind == ROUTE_STREAM && q->resumable);
 }
 
-static void log_end(const front_request_t *q, const char *outcome, int status)
+/* Logs the end of a request and records its times in the metrics. placed_by names the dispatcher in
+ * use now, which need not be the one that granted the last slot. */
+static void record_end(const front_request_t *q, const char *outcome, int status)
 {
 	log_event(LOG_LEVEL_INFO, "request_end", LOG_STR("request", q->call.id),
 		  LOG_INT("number", q->number), LOG_CSTR("outcome", outcome),
@@ -49,7 +51,7 @@
 			      q->first_byte_ms);
 }
 
-static void drop_buffered(front_request_t *q)
+static void clear_body(front_request_t *q)
 {
 	q->f->buffered_bytes -= q->body.n;
 	buf_free(&q->body);
@@ -60,14 +62,14 @@
 {
 	if (q->attempt)
 		front_attempt_cancel(q->attempt);
-	drop_buffered(q);
+	clear_body(q);
 	timeout_stop(&q->timer);
 	HASH_DEL(q->f->requests, q);
 	buf_free(&q->headers);
 	free(q);
 }
 
-/* Detaches the request from its connection, which then outlives it. */
+/* Detaches the request from its connection, which outlives the request to send the reply. */
 static void detach_conn(front_request_t *q)
 {
 	free(http_conn_data(q->conn));
@@ -80,7 +82,7 @@
 	http_conn_t *c = q->conn;
 	AUTO_BUF headers = {0};
 
-	log_end(q, outcome, status);
+	record_end(q, outcome, status);
 	if (retry_ms > 0)
 		platform_add_retry_after(&headers, retry_ms);
 	detach_conn(q);
@@ -94,14 +96,14 @@
 {
 	http_conn_t *c = q->conn;
 
-	log_end(q, outcome, 0);
+	record_end(q, outcome, 0);
 	detach_conn(q);
 	request_free(q);
 	http_reply_abort(c);
 }
 
-/* Ends the request after the last attempt failed. Status 502 says that it may have run, 503 that it
- * has not. */
+/* Ends the request after its last attempt failed: aborts an answer that has begun. Otherwise,
+ * status 502 says that the request may have run, 503 that it has not. */
 static void end_failed(front_request_t *q, const char *outcome)
 {
 	if (q->head_sent)
@@ -119,8 +121,8 @@
 }
 
 /* When the caller gives up: give_up_ms after the last event sent to it, or after its request if
- * there was none. The slot request that follows a broken stream stands for the time of the last
- * event. */
+ * there was none, but not after the deadline. The time of the last event is not recorded; the time
+ * of the slot request that follows a broken stream stands for it. */
 static deadline_t give_up_time(const front_request_t *q)
 {
 	deadline_t since = q->head_sent ? q->requested_at : q->req.received;
@@ -138,12 +140,12 @@
 	front_slot_request(q->f, q);
 }
 
-/* An attempt ended without an answer for the caller: requests a slot on another replica, or ends
- * the request. */
+/* An attempt failed or could not be sent: requests a slot on another replica, or ends the request
+ * if it may not be retried. */
 static void retry_elsewhere(front_request_t *q, dispatch_outcome_t how)
 {
-	bool was_sent = how != DISPATCH_REPLICA_LEAVING;
-	bool ran = was_sent && how != DISPATCH_FULL && how != DISPATCH_UNREACHABLE;
+	bool not_leaving = how != DISPATCH_REPLICA_LEAVING;
+	bool ran = not_leaving && how != DISPATCH_FULL && how != DISPATCH_UNREACHABLE;
 
 	front_slot_release(q->f, q, how);
 	log_event(LOG_LEVEL_INFO, "try_failed", LOG_STR("request", q->call.id),
@@ -155,9 +157,9 @@
 		q->may_have_run = true;
 	else
 		q->attempts--;
-	q->not_run += was_sent && !ran;
+	q->not_run += not_leaving && !ran;
 	q->headers.n = 0;
-	drop_buffered(q);
+	clear_body(q);
 	if (ran && (!is_repeatable(q) || q->attempts >= q->max_attempts)) {
 		end_failed(q, dispatch_outcome_name(how));
 		return;
@@ -183,7 +185,7 @@
 	platform_reply_headers(&q->headers, h);
 }
 
-/* Buffers bytes of the answer; false if all buffers together reach their limit. */
+/* Buffers bytes of the answer; false if all buffers together would exceed their limit. */
 static bool buffer_bytes(front_request_t *q, str_t piece)
 {
 	if (q->f->buffered_bytes + piece.n > BUFFERED_BYTES_MAX) {
@@ -205,8 +207,8 @@
 		return FRONT_EVENT_NO_PROGRESS;
 	if (e->id >= 0 && e->id != q->last_event + 1)
 		return FRONT_EVENT_INVALID;
-	/* Events without an id are buffered until the next event with an id, because another
-	 * replica may resume the stream without them. */
+	/* An event without an id is buffered until the next event with an id. If the stream breaks
+	 * before, the event is dropped: another replica may resume the stream without it. */
 	if (e->id < 0)
 		return buffer_bytes(q, e->raw) ? FRONT_EVENT_NO_PROGRESS : FRONT_EVENT_INVALID;
 	if (!q->head_sent) {
@@ -217,7 +219,7 @@
 	q->last_event = e->id;
 	if (q->body.n > 0) {
 		http_reply_chunk(q->conn, str_buf(&q->body));
-		drop_buffered(q);
+		clear_body(q);
 	}
 	http_reply_chunk(q->conn, e->raw);
 	return FRONT_EVENT_NEW;
@@ -228,7 +230,7 @@
 	return buffer_bytes(ctx, piece);
 }
 
-/* Sends the complete answer, or the rest of it, to the caller. */
+/* Ends the request: sends the complete answer, or the rest of it, to the caller. */
 static void end_with_answer(front_request_t *q)
 {
 	http_conn_t *c = q->conn;
@@ -240,7 +242,7 @@
 	if (q->first_byte_ms < 0)
 		q->first_byte_ms = clock_now_ms() - q->req.received;
 	front_slot_release(q->f, q, status >= 500 ? DISPATCH_FAILED : DISPATCH_OK);
-	log_end(q, "ok", status);
+	record_end(q, "ok", status);
 	q->f->buffered_bytes -= body.n;
 	q->headers = (buf_t){0};
 	q->body = (buf_t){0};
@@ -256,7 +258,7 @@
 	buf_free(&body);
 }
 
-/* The answer is complete: passes it to the caller, retries on another replica, or, if the replica
+/* The answer is complete: passes it to the caller or retries on another replica. If the replica
  * rejected the request as invalid, ends the request with status 400. */
 static void handle_answer(front_request_t *q)
 {
@@ -315,7 +317,8 @@
 		end_with_status(q, 503, RETRY_MS, "deadline");
 }
 
-/* True if another replica could retry or resume the request. Only then is silence watched for. */
+/* True if the request may be retried or resumed after the current attempt. Only then are silence
+ * timeouts set. */
 static bool may_retry(const front_request_t *q)
 {
 	return is_repeatable(q) && q->attempts < q->max_attempts;
@@ -333,7 +336,7 @@
 	q->granted_at = clock_now_ms();
 	q->slot_wait_ms += q->granted_at - q->requested_at;
 	q->attempts++;
-	if (addr.n == 0 || leaving_check(q->f->leaving_replicas, replica)) {
+	if (addr.n == 0 || leaving_contains(q->f->leaving_replicas, replica)) {
 		retry_elsewhere(q, addr.n ? DISPATCH_REPLICA_LEAVING : DISPATCH_UNREACHABLE);
 		return;
 	}
@@ -384,7 +387,7 @@
 		front_slot_withdraw(q->f, q);
 	else
 		front_slot_release(q->f, q, DISPATCH_CANCELLED);
-	log_end(q, "caller left", 0);
+	record_end(q, "caller left", 0);
 	request_free(q);
 }
 
--- a/src/policy/leaving.c
+++ b/src/policy/leaving.c
@@ -11,7 +11,7 @@
 } member_t;
 
 struct leaving {
-	member_t *members; /* hash by id; oldest announcement first */
+	member_t *members; /* hash by id; iterated in the order of adding */
 };
 
 leaving_t *leaving_new(void)
@@ -68,7 +68,7 @@
 	return true;
 }
 
-bool leaving_check(leaving_t *l, replica_ref_t r)
+bool leaving_contains(leaving_t *l, replica_ref_t r)
 {
 	member_t *x = find_member(l, r.id);
 
