--- a/src/base/args.c
+++ b/src/base/args.c
@@ -4,9 +4,9 @@
 #include <argtable2.h>
 #include "base/str.h"
 
-/* Handles --help, --version and usage errors: the exit code, or -1 if there is none of them. */
-static int early_exit(const args_options_t *o, struct arg_lit *help, struct arg_lit *version,
-		      struct arg_file *config, struct arg_end *end, int errors, void **table)
+/* Returns the exit code after --help, --version or a usage error, else -1. */
+static int early_exit_code(const args_options_t *o, struct arg_lit *help, struct arg_lit *version,
+			   struct arg_file *config, struct arg_end *end, int errors, void **table)
 {
 	if (help->count) {
 		printf("Usage: %s", o->program);
@@ -40,7 +40,7 @@
 	struct arg_end *end = arg_end(8);
 	void *table[] = {help, version, config, check, flag ? (void *)flag : (void *)end, end};
 	int errors = arg_parse(argc, argv, table);
-	int code = early_exit(o, help, version, config, end, errors, table);
+	int code = early_exit_code(o, help, version, config, end, errors, table);
 
 	if (code < 0) {
 		out->config = str_dup(str_c(config->filename[0]));
--- a/src/base/args.h
+++ b/src/base/args.h
@@ -29,8 +29,8 @@
 	bool flag; /* the extra flag was given */
 } args_parsed_t;
 
-/** Parses the command line. Returns -1 if the program should go on, else its exit code: after
- * --help, --version or a usage error. */
+/** Parses the command line. Fills out and returns -1 if the program should go on; after --help,
+ * --version or a usage error returns its exit code. */
 int args_parse(const args_options_t *o, int argc, char **argv, args_parsed_t *out);
 
 #endif
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,16 +1,18 @@
-/** Clocks in milliseconds. Deadlines are times on the boot clock, which also counts suspend. */
+/** Clocks. Times within a process are on the boot clock, which also counts the time for which the
+ * machine is suspended. */
 #ifndef AUBURN_CLOCK_H
 #define AUBURN_CLOCK_H
 
 #include <stdint.h>
 
-/** A time on CLOCK_BOOTTIME, in ms, past or future; valid within one process only. */
+/** A time on CLOCK_BOOTTIME, in ms, past or future. Valid within one process: messages to others
+ * carry the ms left, or wall-clock times. */
 typedef int64_t deadline_t;
 #define DEADLINE_NEVER INT64_MAX
 
 int64_t clock_now_ms(void);
 int64_t clock_now_us(void);
-/** Wall clock, ms since 1970; for log lines and stored times. */
+/** Wall clock, ms since 1970; for log lines, stored times and messages. */
 int64_t clock_wall_ms(void);
 /** Milliseconds until d, at least 0. */
 int64_t clock_left_ms(deadline_t d);
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -11,13 +11,12 @@
 #include "base/clock.h"
 #include "base/metric.h"
 
-/* Lines in the ring, and the longest value written. */
 #define RING_LINES	4096
-#define VALUE_MAX_BYTES 512
-/** Limit for one event name: several times the rate of any event in a busy process, and under 1%
- * of a core. */
+#define VALUE_MAX_BYTES 512 /* longer string values are cut */
+/** Limit on lines of one event name per second: several times the rate of any event in a busy
+ * process; writing this many lines takes under 1% of a core. */
 #define LINES_PER_S_MAX 200
-#define LIMITS_MAX	128 /* event names that are limited */
+#define LIMITS_MAX	128 /* event names with a limit; further names have none */
 
 static pthread_mutex_t ring_lock = PTHREAD_MUTEX_INITIALIZER;
 static char *ring[RING_LINES];
@@ -30,6 +29,7 @@
 static const int priorities[] = {LOG4C_PRIORITY_ERROR, LOG4C_PRIORITY_WARN, LOG4C_PRIORITY_INFO,
 				 LOG4C_PRIORITY_DEBUG};
 
+/* Layout of log4c: the message is a whole line already. */
 static const char *format_line(const log4c_layout_t *layout, const log4c_logging_event_t *e)
 {
 	return e->evt_msg;
@@ -37,7 +37,8 @@
 
 static const log4c_layout_type_t line_layout = {.name = "auburn_line", .format = format_line};
 
-/* Checked before each write: a slow reader loses lines, but never blocks the process. */
+/* Checked before each write: a slow reader of standard output loses lines but does not block the
+ * process. */
 static bool stdout_writable(void)
 {
 	struct pollfd p = {.fd = STDOUT_FILENO, .events = POLLOUT};
@@ -50,7 +51,8 @@
 {
 	str_t line = str_c(e->evt_rendered_msg);
 
-	/* A pipe that polls as writable accepts PIPE_BUF bytes without blocking. */
+	/* A pipe that polls as writable accepts PIPE_BUF bytes without blocking; a longer line is
+	 * cut. */
 	if (line.n > PIPE_BUF)
 		line.n = PIPE_BUF;
 	if (!stdout_writable()) {
@@ -120,10 +122,10 @@
 	free(old);
 }
 
-/* Lines of one event name in the current second. */
+/* Number of lines of one event name, in the last second in which the event was logged. */
 typedef struct {
 	const char *event;
-	int64_t second;
+	int64_t second; /* on the boot clock */
 	unsigned written;
 	unsigned left_out;
 } line_limit_t;
@@ -131,8 +133,7 @@
 static line_limit_t line_limits[LIMITS_MAX];
 static pthread_mutex_t limit_lock = PTHREAD_MUTEX_INITIALIZER;
 
-/* Finds or adds the limit of an event. NULL when LIMITS_MAX names are in use: further names are not
- * limited. */
+/* Finds or adds the limit of an event; NULL if LIMITS_MAX other names have one. */
 static line_limit_t *find_limit(const char *event)
 {
 	for (size_t i = 0; i < LIMITS_MAX; i++) {
@@ -144,8 +145,8 @@
 	return NULL;
 }
 
-/* False if the event has reached its limit in this second. *left_out: number of lines left out in
- * an earlier second, which the caller reports now. */
+/* False if the event has reached its limit in this second. *left_out: number of its lines left out
+ * in the earlier second in which it was last logged, for the caller to report. */
 static bool admit_line(const char *event, int64_t second, unsigned *left_out)
 {
 	line_limit_t *l;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -34,13 +34,14 @@
 	log_write((level), (event),                                                                \
 		  (const log_field_t[]){__VA_ARGS__, {NULL, LOG_TYPE_END, {0}, 0}})
 
-/** Sets the process name on each line and the highest level written. Lines go to standard output,
- * which never blocks the process: a line that does not fit is lost and counted. Each event name has
- * a limit of lines per second; lines over the limit are left out, and one line in a later second
- * reports their number. */
+/** Sets the process name on each line (not copied) and the most detailed level logged, and starts
+ * writing lines to standard output; before this call, lines only go to the ring. Writing does not
+ * block the process: while standard output is not writable, lines are lost and counted. Each event
+ * name has a limit of lines per second; lines over the limit are left out, and the next line of the
+ * event in a later second is preceded by one that reports their number. */
 void log_open(const char *process, log_level_t level);
 void log_write(log_level_t level, const char *event, const log_field_t *fields);
-/** Appends the newest ring lines that contain needle, oldest first; at most max. */
+/** Appends the newest lines of the ring that contain needle, oldest first; at most max. */
 void log_find(buf_t *out, str_t needle, unsigned max);
 
 #endif
--- a/src/base/metric.c
+++ b/src/base/metric.c
@@ -6,7 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Each power of two is split into SUB_BUCKETS equal buckets: a relative error of at most 1/32. */
+/* A histogram splits each power of two into SUB_BUCKETS equal buckets and takes the middle of a
+ * bucket for its values: a relative error of at most 1/32. */
 #define SUB_BITS    5
 #define SUB_BUCKETS (1 << SUB_BITS)
 #define BUCKETS	    (64 * SUB_BUCKETS)
--- a/src/base/rpc.c
+++ b/src/base/rpc.c
@@ -16,16 +16,18 @@
 #include <unistd.h>
 #include "base/log.h"
 
-/* Largest record accepted from a peer. The limit also keeps a peer that stops in the middle of a
- * record from stalling the reader, see docs/DESIGN.md. */
+/* Limit on a record of a peer, also meant to keep a peer that stops in the middle of a record from
+ * stalling its reader, see docs/DESIGN.md. libtirpc does both only on connections that it accepts
+ * itself, but this module creates them by svc_fd_create: libtirpc takes larger records from them,
+ * and such a peer blocks the thread of its connection for 35 s. */
 #define RECORD_MAX_BYTES   (64 << 20)
 #define CONNECT_MAX_MS	   1000
 #define THREAD_STACK_BYTES (512 << 10)
 #define PROGRAMS_MAX	   4
 #define LISTEN_BACKLOG	   1024
-#define ROUTES_MAX	   64
-/* A connection whose peer stalls for longer in the middle of a record is dropped. */
-#define RECORD_IDLE_MS 10000
+#define REDIRECTS_MAX	   64
+/* A send to a peer that does not read fails after this, and the connection is dropped. */
+#define SEND_TIMEOUT_MS 10000
 
 typedef struct {
 	rpc_server_options_t o;
@@ -37,11 +39,12 @@
 	return TRUE;
 }
 
+/* Only limits the number of programs: requests find their server through this_conn. */
 static server_t *servers[PROGRAMS_MAX];
 static pthread_mutex_t servers_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_once_t once = PTHREAD_ONCE_INIT;
 
-/* A served connection; the destroy hook finds it through its thread's this_conn. */
+/* A served connection; its thread finds it through this_conn. */
 typedef struct {
 	server_t *server;
 	int fd;
@@ -101,28 +104,29 @@
 typedef struct {
 	char *addr;
 	char *via;
-} route_t;
+} redirect_t;
 
-static route_t routes[ROUTES_MAX];
-static size_t nroutes;
+static redirect_t redirects[REDIRECTS_MAX];
+static size_t nredirects;
 
-status_t rpc_add_route(const char *addr, const char *via)
+status_t rpc_add_redirect(const char *addr, const char *via)
 {
 	struct sockaddr_in sa;
 
-	if (nroutes == ROUTES_MAX)
-		return status_fail(STATUS_LIMIT, "more than %d address routes", ROUTES_MAX);
+	if (nredirects == REDIRECTS_MAX)
+		return status_fail(STATUS_LIMIT, "more than %d address redirects", REDIRECTS_MAX);
 	if (parse_sockaddr(addr, &sa) != STATUS_OK || parse_sockaddr(via, &sa) != STATUS_OK)
 		return STATUS_INVALID;
-	routes[nroutes++] = (route_t){str_dup(str_c(addr)), str_dup(str_c(via))};
+	redirects[nredirects++] = (redirect_t){str_dup(str_c(addr)), str_dup(str_c(via))};
 	return STATUS_OK;
 }
 
-static const char *find_route(const char *addr)
+/* Returns the address to connect to instead of addr, or addr itself. */
+static const char *apply_redirect(const char *addr)
 {
-	for (size_t i = 0; i < nroutes; i++) {
-		if (strcmp(routes[i].addr, addr) == 0)
-			return routes[i].via;
+	for (size_t i = 0; i < nredirects; i++) {
+		if (strcmp(redirects[i].addr, addr) == 0)
+			return redirects[i].via;
 	}
 	return addr;
 }
@@ -177,7 +181,8 @@
 	free(res);
 }
 
-/* Replaces xp_destroy: libtirpc destroys the transport when its connection is broken. */
+/* Replaces xp_destroy, which libtirpc calls when the connection is broken, so that serve_conn
+ * stops. */
 static void on_destroy(SVCXPRT *xprt)
 {
 	conn_t *c = this_conn;
@@ -217,12 +222,12 @@
 static void start_conn(server_t *s, int fd)
 {
 	conn_t *c = mem_new(sizeof(*c));
-	struct timeval idle = {RECORD_IDLE_MS / 1000, 0};
+	struct timeval send_limit = {SEND_TIMEOUT_MS / 1000, 0};
 	pthread_attr_t attr;
 	pthread_t t;
 
 	set_socket_options(fd);
-	setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &idle, sizeof(idle));
+	setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &send_limit, sizeof(send_limit));
 	c->server = s;
 	c->fd = fd;
 	pthread_attr_init(&attr);
@@ -395,7 +400,7 @@
 	struct netbuf nb = {sizeof(sa), sizeof(sa), &sa};
 	int64_t left = clock_left_ms(deadline);
 	struct timeval send_limit;
-	status_t st = parse_sockaddr(find_route(c->addr), &sa);
+	status_t st = parse_sockaddr(apply_redirect(c->addr), &sa);
 
 	if (st != STATUS_OK)
 		return st;
@@ -404,7 +409,7 @@
 	c->fd = connect_fd(&sa, left);
 	if (c->fd < 0)
 		return status_fail(STATUS_UNAVAILABLE, "cannot connect to %s", c->addr);
-	send_limit = (struct timeval){RECORD_IDLE_MS / 1000, 0};
+	send_limit = (struct timeval){SEND_TIMEOUT_MS / 1000, 0};
 	setsockopt(c->fd, SOL_SOCKET, SO_SNDTIMEO, &send_limit, sizeof(send_limit));
 	c->clnt = clnt_vc_create(c->fd, &nb, c->prog, c->vers, 0, 0);
 	if (!c->clnt) {
@@ -429,13 +434,13 @@
 	cs = clnt_call(c->clnt, proc, xdr_arg, (caddr_t)arg, xdr_res, (caddr_t)res, tv);
 	if (cs == RPC_SUCCESS)
 		return STATUS_OK;
-	/* The request may have been sent, whatever the error is. */
+	/* The request may have been sent, whatever the error is: "may have run". */
 	disconnect(c);
 	return status_fail(STATUS_TIMEOUT, "call to %s: %s", c->addr, clnt_sperrno(cs));
 }
 
-/* An idle connection with input was closed by the peer. A call on it would end as "may have run"
- * although the server has not received it. */
+/* Input on an idle connection means that the peer has closed it. A call on it would end as "may
+ * have run" although the server has not received it. */
 static bool has_input(int fd)
 {
 	struct pollfd pf = {fd, POLLIN, 0};
--- a/src/base/status.h
+++ b/src/base/status.h
@@ -1,4 +1,4 @@
-/** Status codes with an error message per thread, and the verdict whether a request has run. */
+/** Status codes, an error message for each thread, and verdicts whether a request has run. */
 #ifndef AUBURN_STATUS_H
 #define AUBURN_STATUS_H
 
@@ -7,17 +7,17 @@
 	STATUS_INVALID, /* the input breaks a rule; nothing was done */
 	STATUS_NOT_FOUND,
 	STATUS_CONFLICT, /* contradicts the current state, e.g. another value under the key */
-	STATUS_UNAVAILABLE, /* no process that could answer was reached; surely not done */
+	STATUS_UNAVAILABLE, /* no process was reached that could do it now; surely not done */
 	STATUS_TIMEOUT, /* no answer, or the call failed; may have been done */
 	STATUS_NOT_LEADER,
 	STATUS_IO,
 	STATUS_CORRUPT, /* checksum or format error in stored data or in a message */
 	STATUS_LIMIT, /* a limit is exceeded, or a precondition does not hold yet */
-	STATUS_CANCELLED, /* the job is cancelled, or the session closed */
+	STATUS_CANCELLED, /* the job is cancelled, or the session closed or lost */
 	STATUS_COUNT
 } status_t;
 
-/** States in results and error replies whether a request has run, may have run or surely has not.
+/** Whether a request has run, may have run or surely has not; stated in results and error replies.
  */
 typedef enum { VERDICT_NOT_RUN, VERDICT_MAY_HAVE_RUN, VERDICT_RAN, VERDICT_COUNT } verdict_t;
 
--- a/src/base/str.h
+++ b/src/base/str.h
@@ -24,13 +24,14 @@
 /** Arguments for "%.*s". */
 #define STR_ARG(s) (int)(s).n, (s).p
 
+/** The whole C string; empty if c is NULL. */
 str_t str_c(const char *c);
 str_t str_buf(const buf_t *b);
 bool str_eq(str_t a, str_t b);
 bool str_starts(str_t s, str_t prefix);
-/** Offset of needle in s, or -1. */
+/** Offset of the first needle in s, or -1. */
 long str_find(str_t s, str_t needle);
-/** Compares strings of equal length in constant time, for secrets. */
+/** Like str_eq, but the time does not depend on the bytes, only on the lengths; for secrets. */
 bool str_eq_secret(str_t a, str_t b);
 /** A zero-terminated copy that the caller frees. */
 char *str_dup(str_t s);
@@ -38,8 +39,8 @@
 unsigned long long str_hash(str_t s);
 
 void buf_add(buf_t *b, str_t s);
-/** Makes room for this many more bytes and no more, for a large buffer that is filled piece by
- * piece. */
+/** Makes room for this many more bytes, without the spare room that buf_add allocates; for a large
+ * buffer that is filled piece by piece. */
 void buf_reserve_exact(buf_t *b, size_t more);
 void buf_addc(buf_t *b, char c);
 void buf_addf(buf_t *b, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
@@ -49,7 +50,7 @@
 void buf_free(buf_t *b);
 
 void str_cleanup_free(void *pp);
-/** Free the variable at the end of its scope. */
+/** Attributes of a variable that is freed at the end of its scope: a buf_t, a malloc'ed pointer. */
 #define AUTO_BUF  __attribute__((cleanup(buf_free))) buf_t
 #define AUTO_FREE __attribute__((cleanup(str_cleanup_free)))
 
--- a/src/base/toml.h
+++ b/src/base/toml.h
@@ -10,9 +10,9 @@
 typedef struct toml_doc toml_doc_t; /* a parsed document */
 typedef struct toml_table toml_table_t; /* a table in a document; valid as long as the document */
 
-/** Parses text. Messages begin with "name:line: ". STATUS_INVALID: syntax error. */
+/** Parses text. Error messages begin with "name:line: ". STATUS_INVALID: syntax error. */
 status_t toml_parse(str_t text, const char *name, toml_doc_t **out);
-/** Reads and parses a file. STATUS_NOT_FOUND: cannot be opened. */
+/** Reads and parses a file, like toml_parse. STATUS_NOT_FOUND: cannot be opened. */
 status_t toml_load(const char *path, toml_doc_t **out);
 void toml_free(toml_doc_t *c);
 void toml_cleanup(toml_doc_t **c);
@@ -31,6 +31,7 @@
 	void *out;
 } toml_key_t;
 
+/** A list of owned strings; also used where no TOML is involved. */
 typedef struct {
 	char **v;
 	size_t n;
@@ -44,6 +45,7 @@
 		   const char *const *sub);
 /** Number of tables in the array of tables `key`; 1 for a single table, 0 if absent. */
 size_t toml_table_count(const toml_table_t *t, const char *key);
+/** Table i of the array, or the single table; NULL if there is none. */
 const toml_table_t *toml_table_at(const toml_table_t *t, const char *key, size_t i);
 /** Line number of the key, or of the table if key is NULL or absent. */
 int toml_line(const toml_table_t *t, const char *key);
--- a/src/control/control_settings.c
+++ b/src/control/control_settings.c
@@ -35,7 +35,7 @@
 
 		if (eq)
 			*eq = 0;
-		if (!eq || rpc_add_route(addr, eq + 1) != STATUS_OK)
+		if (!eq || rpc_add_redirect(addr, eq + 1) != STATUS_OK)
 			return status_fail(STATUS_INVALID,
 					   "%s:%d: routes: %s is not ip:port=ip:port", toml_name(c),
 					   toml_line(toml_root(c), "routes"), routes->v[i]);
