--- a/src/net/http.c
+++ b/src/net/http.c
@@ -8,7 +8,7 @@
 	return (str_t){p->text.p ? p->text.p + at : "", n};
 }
 
-/* False, with too_large set, if the head exceeds its limit. */
+/* Appends to the text of the head. False, with too_large set, if it exceeds max_header_bytes. */
 static bool append_head(http_reader_t *p, const char *at, size_t n)
 {
 	if (p->text.n + n > p->o.max_header_bytes) {
@@ -146,7 +146,8 @@
 	*used = http_parser_execute(&p->parser, &parser_settings, in.p, in.n);
 	err = HTTP_PARSER_ERRNO(&p->parser);
 	if (p->too_large || err == HPE_HEADER_OVERFLOW)
-		return status_fail(STATUS_LIMIT, "HTTP head longer than %zu bytes",
+		return status_fail(STATUS_LIMIT,
+				   "HTTP head over %zu bytes, or too many header fields",
 				   p->o.max_header_bytes);
 	if (p->parser.upgrade)
 		return status_fail(STATUS_INVALID, "HTTP upgrade is not supported");
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -25,7 +25,8 @@
 
 /** Value of the first header with this name, ignoring case; {NULL, 0} if there is none. */
 str_t http_header(const http_head_t *h, const char *name);
-/** Value of key in the query of a target, still percent-encoded; {NULL, 0} if there is none. */
+/** Value of the first key=value with this key in the query of a target, still percent-encoded;
+ * {NULL, 0} if there is none. */
 str_t http_query(str_t target, const char *key);
 /** The target without its query. */
 str_t http_path(str_t target);
@@ -40,9 +41,9 @@
 } http_reader_callbacks_t;
 
 typedef struct {
-	bool responses; /* read responses, else requests */
+	bool responses; /* the messages are responses, else requests */
 	bool pause_after_message; /* stop after each message until http_reader_resume */
-	size_t max_header_bytes;
+	size_t max_header_bytes; /* limit on the target and the header names and values */
 	http_reader_callbacks_t cb;
 } http_reader_options_t;
 
@@ -54,23 +55,23 @@
 	http_reader_options_t o;
 	http_parser parser;
 	buf_t text; /* target, header names and values of the head */
-	size_t target_n;
+	size_t target_n; /* the target is the first part of text */
 	http_span_t spans[HTTP_HEADERS_MAX];
 	size_t nspans;
-	bool in_value;
+	bool in_value; /* the last header's value has begun */
 	bool in_body; /* header fields from here on are trailers, which are ignored */
-	bool too_large;
+	bool too_large; /* the head exceeds a limit */
 	http_header_t headers[HTTP_HEADERS_MAX];
 	http_head_t head;
 } http_reader_t;
 
 void http_reader_init(http_reader_t *p, const http_reader_options_t *o);
 void http_reader_free(http_reader_t *p);
-/** Feeds bytes; an empty input marks the end of the stream. *used: number of bytes consumed, fewer
- *  than given only after a pause. STATUS_LIMIT: the head is too large. STATUS_INVALID: malformed,
- * or a protocol upgrade. */
+/** Feeds bytes; an empty input marks the end of the stream. *used: number of bytes consumed, all of
+ * them unless the reader pauses or fails. STATUS_LIMIT: the head is too large. STATUS_INVALID:
+ * malformed, or a protocol upgrade. */
 status_t http_reader_feed(http_reader_t *p, str_t in, size_t *used);
-/** Continues after a pause. */
+/** Ends a pause: the next http_reader_feed reads the next message. */
 void http_reader_resume(http_reader_t *p);
 
 #endif
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -13,11 +13,10 @@
 
 #define READ_BYTES	 16384
 #define MAX_HEADER_BYTES 65536
-/** An idle connection is not reused after this, in ms, unless the server states a shorter time;
- * under the usual idle timeouts of servers. */
+/** An idle connection is closed after this, in ms; below the usual idle timeouts of servers. */
 #define IDLE_MS 4000
-/** Share of the server's stated idle timeout after which a connection is not reused: the server may
- * be closing it by then. */
+/** If the server states an idle timeout, the connection is closed after this share of it, if that
+ * is sooner: later the server may be closing it too. */
 #define IDLE_USE_PERCENT 60
 #define IDLE_MAX	 16 /* idle connections per address */
 /** Interim (1xx) heads accepted before a response; servers send one or two. */
@@ -45,7 +44,7 @@
 	int fd;
 	ev_io rd;
 	ev_io wr;
-	timeout_t timer;
+	timeout_t timer; /* limits connecting, and later each idle time */
 	http_reader_t reader;
 	buf_t out;
 	buf_t in;
@@ -55,8 +54,8 @@
 	bool response_complete;
 	bool reused; /* has served an earlier call */
 	unsigned interim_heads; /* interim heads before the current response */
-	size_t received; /* since the call began */
-	int64_t idle_ms;
+	size_t received; /* bytes since the call began */
+	int64_t idle_ms; /* longest idle time */
 	http_call_t *call;
 	conn_t *next; /* in the idle list of the host */
 	conn_t *all_prev;
@@ -106,7 +105,7 @@
 	ev_once(c->client->loop, -1, 0, 0.0, conn_free, c);
 }
 
-/* Detaches the call from its connection, reports the end to the owner and frees the call. */
+/* Detaches the call, if there is one, from its connection, runs its end callback and frees it. */
 static void finish_call(conn_t *c, http_call_end_t how)
 {
 	http_call_t *call = c->call;
@@ -187,7 +186,8 @@
 	timeout_set(&c->timer, c->idle_ms);
 }
 
-/* Parses the input. The parser gets an empty input when the stream has ended. */
+/* Parses the received bytes. The end of the stream completes a response that states no length;
+ * otherwise it ends the call as broken. */
 static void parse_input(conn_t *c, bool stream_ended)
 {
 	status_t st = STATUS_OK;
@@ -231,7 +231,7 @@
 
 	c->received += n > 0 ? (size_t)n : 0;
 	if (!c->call) {
-		/* An idle connection that has input or was closed cannot be reused. */
+		/* Input on an idle connection is the end of the stream, or belongs to no call. */
 		conn_close(c);
 	} else if (c->received > c->call->options.max_bytes) {
 		fail_call(c, HTTP_CALL_TOO_LONG);
@@ -286,7 +286,7 @@
 		conn_close(c);
 }
 
-static host_t *get_host(http_client_t *h, const char *addr)
+static host_t *find_or_add_host(http_client_t *h, const char *addr)
 {
 	host_t *x;
 
@@ -350,6 +350,7 @@
 	return h;
 }
 
+/* Called from the loop, so that the end callback does not run inside http_call_start. */
 static void report_unsent(int revents, void *arg)
 {
 	http_call_t *call = arg;
@@ -365,7 +366,7 @@
 
 http_call_t *http_call_start(http_client_t *h, const http_call_options_t *options)
 {
-	host_t *host = get_host(h, options->addr);
+	host_t *host = find_or_add_host(h, options->addr);
 	http_call_t *call = mem_new(sizeof(*call));
 	conn_t *c = options->new_conn ? NULL : take_idle(host);
 
@@ -402,8 +403,8 @@
 	conn_t *c = call->conn;
 
 	if (!c) {
-		/* report_unsent is scheduled already and must not call the owner. No body can
-		 * arrive without a connection, so that ignore_body is never called. */
+		/* report_unsent is scheduled and will call end and free the call. ignore_body is
+		 * never called: without a connection no body arrives. */
 		call->options.body = ignore_body;
 		call->options.end = ignore_end;
 		return;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -22,18 +22,20 @@
 	str_t request; /* whole, head and body; copied */
 	const char *addr; /* ip:port */
 	bool new_conn; /* do not reuse an idle connection, which the server may be closing */
-	deadline_t connect_deadline;
+	deadline_t connect_deadline; /* for a new connection; none applies to the response */
 	size_t max_bytes; /* limit on all input: interim heads, skipped responses, and the response
 			     with its framing */
 	void *ctx;
 	/** False: this response belongs to another request and is skipped. */
 	bool (*head)(void *ctx, const http_head_t *h);
 	void (*body)(void *ctx, str_t chunk);
-	/** Called once unless the call was cancelled; the call is freed after it. */
+	/** Called once, unless the call is cancelled or the client closed; the call is freed after
+	 * it. */
 	void (*end)(void *ctx, http_call_end_t how);
 } http_call_options_t;
 
 http_client_t *http_client_new(struct ev_loop *loop);
+/** Starts a call. No callback runs before this returns. */
 http_call_t *http_call_start(http_client_t *h, const http_call_options_t *o);
 /** True if the connection has served an earlier call: bytes of the earlier call's response may
  * still arrive. */
@@ -43,7 +45,7 @@
 /** Ends all calls and closes all connections; memory is freed in the loop's next iteration. No
  * callback follows, except the end of a call whose connection could not be started. */
 void http_client_close(http_client_t *h);
-/** Number of connections made so far. */
+/** Number of connections started so far, failed ones included. */
 uint64_t http_client_connects(const http_client_t *h);
 
 #endif
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -10,13 +10,13 @@
 #include "net/tcp.h"
 #include "net/timeout.h"
 
-/** Bytes read ahead while a request is being answered. */
+/** While a request is being answered, reading stops once this many bytes are read ahead. */
 #define READ_AHEAD_BYTES 65536
 #define READ_BYTES	 16384
 /** Time for the client to read the last reply before the socket is closed, in ms. */
 #define LINGER_MS 1000
-/** Limit on a body with its framing: a multiple of the body's own limit, plus a constant. Chunks of
- * one byte take six times the bytes of their body. */
+/** Limit on a body with its framing: a multiple of the body's own limit, plus a constant. A chunk
+ * of one byte takes six bytes. */
 #define FRAMING_TIMES 8
 #define FRAMING_BYTES 65536
 /** Connections accepted in one iteration of the loop, so that open connections are served as well.
@@ -42,14 +42,14 @@
 	buf_t in;
 	buf_t body;
 	buf_t out;
-	deadline_t parse_started; /* when parsing of the request began; 0 between requests */
+	deadline_t parse_started; /* of the current request; 0 between requests */
 	size_t request_bytes; /* of this request so far, with framing and read-ahead */
-	bool have_head;
+	bool have_head; /* the head of the current request is complete */
 	bool body_too_long; /* Content-Length is over the limit */
 	bool busy; /* a request is being answered */
 	bool chunked;
 	bool keep_alive;
-	bool closing; /* input is discarded */
+	bool closing; /* the last reply has been made; input is discarded */
 	bool write_failed;
 	bool closed;
 	void *data;
@@ -122,8 +122,8 @@
 	if (c->closed)
 		return;
 	if (!tcp_write(c->fd, &c->out)) {
-		/* The caller may still use the connection: on_readable closes it in the loop's next
-		 * iteration. */
+		/* Functions up the stack may still use the connection: on_readable, called from the
+		 * loop, closes it. */
 		c->out.n = 0;
 		c->write_failed = true;
 		ev_io_stop(c->server->options.loop, &c->wr);
@@ -172,7 +172,7 @@
 	c->server->open_requests++;
 }
 
-/* Sends an error reply of the server's own and closes the connection. */
+/* Answers a request that is not passed on with an error, after which the connection closes. */
 static void refuse_request(http_conn_t *c, int status, const char *reason)
 {
 	if (!c->busy) {
@@ -380,7 +380,8 @@
 	return c->data;
 }
 
-/* The reply is complete: reads the next request or closes the connection. */
+/* Called when the whole reply is in the output buffer: prepares for the next request, or closes the
+ * connection once the client has had time to read. */
 static void finish_reply(http_conn_t *c)
 {
 	c->busy = false;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -10,11 +10,11 @@
 typedef struct http_server http_server_t;
 typedef struct http_conn http_conn_t;
 
-/** A complete request; its views are valid until the reply is complete. */
+/** A complete request; its views are valid until the reply is complete or the connection closes. */
 typedef struct {
 	http_head_t head;
 	str_t body;
-	deadline_t received; /* when its first byte was parsed; for a pipelined request that is
+	deadline_t received; /* when its first byte was parsed; a pipelined request is parsed only
 			       after the reply before it */
 } http_request_t;
 
@@ -22,8 +22,8 @@
 typedef struct {
 	size_t max_header_bytes;
 	size_t max_body_bytes;
-	int64_t header_timeout_ms;
-	int64_t idle_timeout_ms;
+	int64_t header_timeout_ms; /* from the first byte to the end of the head */
+	int64_t idle_timeout_ms; /* between requests, and between two reads of a body */
 } http_limits_t;
 
 typedef struct {
@@ -32,36 +32,40 @@
 	http_limits_t limits;
 	void *ctx;
 	void (*request)(void *ctx, http_conn_t *c, const http_request_t *r);
-	/** The client closed the connection, or the connection broke, before the reply was
-	 * complete; c is closed after the call. */
+	/** The client closed the connection, or only its sending side, or the connection broke,
+	 * before the reply was complete; c is closed after the call. May be NULL. */
 	void (*client_gone)(void *ctx, http_conn_t *c);
 } http_server_options_t;
 
 /** NULL with a message if the address cannot be listened on. */
 http_server_t *http_server_new(const http_server_options_t *o);
-/** Closes the server and all its connections; memory is freed in the loop's next iteration. */
+/** Closes the server and all its connections, without client_gone; memory is freed in the loop's
+ * next iteration. */
 void http_server_close(http_server_t *s);
 void http_server_set_limits(http_server_t *s, const http_limits_t *limits);
 /** Every reply that begins from now on closes its connection. */
 void http_server_drain(http_server_t *s);
-/** Number of requests without a complete reply. */
+/** Number of received requests whose reply is not complete. */
 size_t http_server_open_requests(const http_server_t *s);
-/** Accepts the pending connections, until none is left or accepting fails, then refuses further
- * ones. */
+/** Accepts the pending connections, until none is left or accepting fails, then closes the
+ * listening socket. Open connections stay. */
 void http_server_stop_accepting(http_server_t *s);
-/** True while a request is being read or answered, or a reply is not completely sent. */
+/** True while a request is being read or answered, or part of a reply is not yet written to its
+ * socket. */
 bool http_server_pending(const http_server_t *s);
 
+/** The user's data for the current request; NULL again once the reply is complete. */
 void http_conn_set_data(http_conn_t *c, void *data);
 void *http_conn_data(const http_conn_t *c);
 
-/** Sends a whole reply; headers are lines ending in CRLF, without Content-Length and Connection. */
+/** Sends a whole reply; headers are lines ending in CRLF, without Content-Length and Connection.
+ * All http_reply functions do nothing if the connection is closed. */
 void http_reply(http_conn_t *c, int status, str_t headers, str_t body);
 /** Begins a reply in chunks. */
 void http_reply_begin(http_conn_t *c, int status, str_t headers);
 void http_reply_chunk(http_conn_t *c, str_t chunk);
 void http_reply_end(http_conn_t *c);
-/** Closes the connection at once, so that the reply cannot look complete. */
+/** Closes the connection at once, so that a begun reply cannot look complete. */
 void http_reply_abort(http_conn_t *c);
 const char *http_reason(int status);
 
--- a/src/net/msgconn.c
+++ b/src/net/msgconn.c
@@ -9,7 +9,9 @@
 
 #define LENGTH_BYTES 4
 #define READ_BYTES   16384
-/** A larger frame means a peer that speaks another protocol; twice the largest lot. */
+/** A larger frame means a peer that speaks another protocol. This is twice the largest route delta
+ * before compression (DELTA_SIZE_MAX). Configs have up to 16 MiB; lots usually up to 4 MiB, as
+ * their limit is set by the config; jobs are not sent on links. Senders do not check the size. */
 #define FRAME_MAX_BYTES (64U << 20)
 /** A connection with more unsent bytes is closed: its peer does not read. */
 #define UNSENT_MAX_BYTES (96U << 20)
@@ -159,8 +161,8 @@
 	buf_add(&c->out, m);
 	if (!c->connected)
 		return;
-	/* The loop finds the connection shut down and reports it; the owner is never called back
-	 * from here. */
+	/* After the shutdown the loop reads the end of the stream and calls closed: no callback
+	 * runs inside this function. */
 	if (c->out.n > UNSENT_MAX_BYTES || !tcp_write(c->fd, &c->out)) {
 		c->out.n = 0;
 		shutdown(c->fd, SHUT_RDWR);
--- a/src/net/sse.h
+++ b/src/net/sse.h
@@ -4,7 +4,7 @@
 
 #include "base/str.h"
 
-/** Largest event, in bytes; a longer one is malformed, as events carry a few tokens of text. */
+/** Most bytes of an incomplete event; more are malformed, as events carry a few tokens of text. */
 #define SSE_EVENT_MAX_BYTES (1U << 20)
 
 typedef struct {
@@ -14,17 +14,17 @@
 
 typedef struct {
 	str_t raw; /* with the empty line that ends it */
-	str_t name; /* empty if none is given */
+	str_t name; /* of its last event line; empty if there is none */
 	str_t data; /* of its last data line */
-	long long id; /* -1: none, or not a number */
+	long long id; /* of its last id line; -1: none, or not a number */
 	bool has_data;
 } sse_event_t;
 
-/** False stops the parser. */
+/** Returns false to stop the parser. */
 typedef bool (*sse_callback_t)(void *ctx, const sse_event_t *e);
 
-/** Consumes bytes and calls back for each complete event. False once the callback has returned
- * false, or if an event is too long. */
+/** Parses bytes and runs the callback on each event that they complete. False if the callback has
+ * returned false, or if more than SSE_EVENT_MAX_BYTES of an incomplete event are pending. */
 bool sse_feed(sse_parser_t *s, str_t bytes, sse_callback_t event, void *ctx);
 void sse_free(sse_parser_t *s);
 
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -10,8 +10,8 @@
 #include "base/rpc.h"
 
 #define BACKLOG 1024
-/** A connection ends when sent bytes stay unacknowledged for this long, in ms; the protocols above
- * notice a silent peer sooner. */
+/** A connection breaks when sent bytes stay unacknowledged for this long, in ms. The links between
+ * processes notice a silent peer sooner. */
 #define UNACKED_MAX_MS 2000
 
 static bool parse_addr(const char *addr, struct sockaddr_in *sa)
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -9,15 +9,15 @@
 int tcp_listen(const char *addr);
 /** Accepts one connection; -1 if none is pending or accepting failed. */
 int tcp_accept(int listener);
-/** Starts to connect; -1 if that fails at once. */
+/** Starts to connect to "ip:port"; -1 if that fails at once. */
 int tcp_connect(const char *addr);
-/** Error of a finished connect; 0 if the connection is established. */
+/** The errno of a finished connect; 0 if the connection is established. */
 int tcp_connect_error(int fd);
 #define TCP_READ_CLOSED (-1) /* the peer has closed its sending side */
 #define TCP_READ_BROKEN (-2)
 
-/** Appends up to max bytes of pending input to in. Returns their number, 0 if none is pending,
- *  TCP_READ_CLOSED or TCP_READ_BROKEN. */
+/** Appends up to max bytes of pending input to in, at most 16384. Returns their number, 0 if none
+ * is pending, TCP_READ_CLOSED or TCP_READ_BROKEN. */
 long tcp_read(int fd, buf_t *in, size_t max);
 /** Writes from the front of out and removes the written bytes. False if the connection is broken.
  */
--- a/src/net/timeout.c
+++ b/src/net/timeout.c
@@ -1,6 +1,6 @@
 #include "net/timeout.h"
 
-/** Delay of a late timer, in ms, in which the loop reads its sockets. */
+/** Time by which a late timer is put off, in ms, so that the loop reads its sockets first. */
 #define READ_FIRST_MS 1
 
 static void start_watcher(timeout_t *t, int64_t ms)
--- a/src/net/timeout.h
+++ b/src/net/timeout.h
@@ -24,7 +24,8 @@
 void timeout_init(timeout_t *t, struct ev_loop *loop, void (*expired)(void *ctx), void *ctx);
 /** Fires once, ms from now; replaces an earlier setting. */
 void timeout_set(timeout_t *t, int64_t ms);
-/** Fires in the loop's next iteration, whatever was set. */
+/** Fires from the loop, soon after the current callback has returned. An earlier setting stays set
+ * and fires too, unless it is stopped. */
 void timeout_expire_now(timeout_t *t);
 void timeout_stop(timeout_t *t);
 
--- a/src/net/worker.h
+++ b/src/net/worker.h
@@ -6,13 +6,14 @@
 
 typedef struct worker_pool worker_pool_t;
 
-/** Embedded in a struct of the caller; both callbacks get the task. */
+/** A task, embedded as the first member of a struct of its user; both callbacks get the task. */
 typedef struct worker_task {
 	void (*work)(struct worker_task *task); /* runs on a worker thread */
 	void (*done)(struct worker_task *task); /* runs on the loop's thread; may free the task */
 	struct worker_task *next;
 } worker_task_t;
 
+/** The pool lives until the process exits. */
 worker_pool_t *worker_pool_new(struct ev_loop *loop, unsigned threads);
 void worker_pool_submit(worker_pool_t *w, worker_task_t *task);
 
