--- a/src/proto/link.x
+++ b/src/proto/link.x
@@ -1,6 +1,8 @@
 /*
- * Messages on the links from entries, and from control processes that are not the leader, to the
- * leading control process: one link_msg_t per frame. Durations are milliseconds left when sent.
+ * Messages on links: connections (net/msgconn.h) from entries, and from control processes that do
+ * not lead, to the leading control process. The leader also connects to control processes that have
+ * no link to it, only to send LINK_WELCOME. Each frame is one link_msg_t. Times that run out are
+ * sent as milliseconds left. A field named job holds the id of a lot.
  */
 #ifdef RPC_HDR
 %#include "proto/wire_xdr.h"
@@ -9,10 +11,10 @@
 /* A config that is or was in force. */
 struct link_config_id_t {
 	unsigned hyper number;
-	unsigned hyper digest;		/* of the text: numbers start again on empty disks */
+	unsigned hyper digest;		/* of the config: numbers start again on empty disks */
 };
 
-/* A request or an item that an entry runs at a replica. */
+/* A request or an item that the sender of a hello runs at a replica. */
 struct link_run_t {
 	unsigned hyper request;		/* the entry's id of an online request; 0 for an item */
 	wire_bytes_t replica;
@@ -33,7 +35,7 @@
 	bool draining;
 	wire_bytes_t control;		/* ip:port of its RPC; empty for an entry */
 	unsigned hyper replica;		/* id of its replica of group 0 */
-	link_config_id_t text;		/* config of the routes it has; number 0: none */
+	link_config_id_t text;		/* config whose routes it uses; number 0: none */
 	link_run_t runs<>;
 	link_leaving_t leaving_replicas<>;
 };
@@ -114,11 +116,13 @@
 	wire_bytes_t zone;
 };
 
+/* The view: the replicas, entries and control processes of which the leader knows. An entry gets
+ * only its share of the replicas and entries. */
 struct link_view_t {
 	unsigned int age_ms;		/* age of the upstream list; UINT32_MAX: never read */
-	bool has_upstreams;		/* else the last ones sent still apply */
+	bool has_upstreams;		/* else the upstreams sent last still apply */
 	link_upstream_t upstreams<>;
-	bool has_entries;
+	bool has_entries;		/* else the entries sent last still apply */
 	link_entry_t entries<>;		/* entries that accept callers */
 	wire_bytes_t controls<>;	/* RPC ip:port of each known control process */
 };
@@ -129,12 +133,13 @@
 	wire_bytes_t service;
 	unsigned int priority;		/* 0 goes first */
 	bool resumed;			/* resumes a stream that its caller is reading */
-	bool returning;			/* its caller has already waited at another entry */
+	bool returning;			/* the caller waited at another entry before, or an attempt
+					   may have run */
 	int objective_ms;		/* left until the first byte is due; negative if overdue */
 	int deadline_ms;		/* caller timeout: left until the caller gives up */
 	int give_up_left_ms;		/* left until the caller gives up unless an event arrives */
-	unsigned hyper prefix;		/* hash of the shared prompt prefix */
-	wire_bytes_t avoid<>;		/* replicas that have failed it */
+	unsigned hyper prefix;		/* hash of the shared prompt prefix; 0: none */
+	wire_bytes_t avoid<>;		/* replicas that failed this request */
 };
 
 struct link_grant_t {
@@ -146,17 +151,18 @@
 
 struct link_refuse_t {
 	unsigned hyper request;
-	int retry_ms;
+	int retry_ms;			/* time after which the caller may try again */
 };
 
 enum link_outcome_t {
 	LINK_OUTCOME_OK = 0,
 	LINK_OUTCOME_FULL = 1,		/* the replica rejected it unrun: no free capacity */
 	LINK_OUTCOME_UNREACHABLE = 2,	/* no connection, or another replica has the address */
-	LINK_OUTCOME_BROKEN = 3,	/* the response ended early or was malformed */
+	LINK_OUTCOME_BROKEN = 3,	/* the response ended early, was malformed or unsigned */
 	LINK_OUTCOME_SILENT = 4,	/* silence timeout: no event for too long */
 	LINK_OUTCOME_FAILED = 5,	/* the replica replied with an error */
-	LINK_OUTCOME_CANCELLED = 6,	/* the caller gave up, or the run was stopped */
+	LINK_OUTCOME_CANCELLED = 6,	/* the caller gave up, the run was stopped, or the item
+					   itself failed: not the replica's fault */
 	LINK_OUTCOME_REPLICA_LEAVING = 7	/* the replica is leaving, so it was not called */
 };
 
@@ -164,7 +170,8 @@
 	unsigned hyper request;
 	wire_bytes_t replica;
 	link_outcome_t outcome;
-	int first_ms;			/* time to the first byte; -1: none came */
+	int first_ms;			/* from the request's arrival at the entry to the first byte
+					   of its reply; -1: none */
 };
 
 struct link_item_run_t {
@@ -190,9 +197,9 @@
 
 enum link_item_end_t {
 	LINK_ITEM_END_DONE = 0,
-	LINK_ITEM_END_IMPOSSIBLE = 1,	/* rejected by the replica for good */
-	LINK_ITEM_END_FAILED = 2,	/* the replica replied with an error */
-	LINK_ITEM_END_UNFINISHED = 3	/* not finished: stopped, or its replica was lost */
+	LINK_ITEM_END_IMPOSSIBLE = 1,	/* replied 422: no replica can run it */
+	LINK_ITEM_END_FAILED = 2,	/* replied 500: this run of it failed */
+	LINK_ITEM_END_UNFINISHED = 3	/* stopped, or the replica rejected it or failed */
 };
 
 struct link_item_ended_t {
@@ -209,8 +216,8 @@
 struct link_item_progress_t {
 	wire_bytes_t job;
 	unsigned int item;
-	unsigned int from;
-	unsigned int events;
+	unsigned int from;		/* number of events before these */
+	unsigned int events;		/* number of events after these */
 	wire_bytes_t text;
 };
 
@@ -227,8 +234,8 @@
 
 struct link_lot_read_t {
 	wire_bytes_t job;
-	unsigned int after;
-	int wait_ms;
+	unsigned int after;		/* position to read results from */
+	int wait_ms;			/* longest wait for further results */
 };
 
 struct link_item_body_t {
@@ -261,7 +268,7 @@
 
 struct link_result_t {
 	wire_bytes_t item;
-	bool dead;
+	bool dead;			/* given up, without a result */
 	wire_bytes_t text;
 };
 
@@ -272,7 +279,7 @@
 	wire_bytes_t bytes;		/* ITEM_BODY, CONFIG_GET */
 	unsigned int total;		/* LOT_READ: number of items of the lot */
 	link_result_t results<>;	/* LOT_READ */
-	bool empty;			/* RETIRE_STATUS: it has no replica left */
+	bool empty;			/* RETIRE_STATUS: the process holds no replica any more */
 };
 
 enum link_kind_t {
--- a/src/proto/raft.x
+++ b/src/proto/raft.x
@@ -1,5 +1,5 @@
 /*
- * Raft messages between the replicas of a group, and the content of membership entries of the log.
+ * Raft messages between the replicas of a group, and the entries of its log.
  */
 
 enum raft_msg_type_t {
@@ -39,13 +39,16 @@
 	unsigned hyper to;
 	unsigned hyper term;
 	opaque addr<63>;		/* of the sender */
-	unsigned hyper index;		/* APPEND: entry before the first; VOTE: last of the log;
-					   APPEND_RESP: last synced, or the refused one;
-					   SNAPSHOT: last entry in it */
+	unsigned hyper index;		/* APPEND: of the entry before the first one sent;
+					   PREVOTE, VOTE: of the last entry of the log;
+					   APPEND_RESP: of the last entry that is synced and the
+					   same as the leader's; or as in the refused APPEND;
+					   SNAPSHOT, SNAPSHOT_RESP: of the snapshot's last entry */
 	unsigned hyper log_term;	/* term of the entry at index */
 	unsigned hyper commit;
-	unsigned hyper round;		/* read index: number of the leader's round, echoed */
-	unsigned hyper hint;		/* refusal: index where the logs may agree;
+	unsigned hyper round;		/* APPEND: number of the leader's newest round for reads;
+					   APPEND_RESP: echoes it */
+	unsigned hyper hint;		/* refused APPEND: highest index where the logs may agree;
 					   SNAPSHOT_RESP: wanted offset;
 					   last SNAPSHOT: checksum of the whole */
 	bool reject;
@@ -53,6 +56,6 @@
 	raft_entry_t entries<>;
 	unsigned hyper offset;		/* SNAPSHOT: offset of data in the whole */
 	bool last;
-	opaque conf<>;			/* SNAPSHOT: members at index */
+	opaque conf<>;			/* SNAPSHOT: raft_wire_members_t at index */
 	opaque data<>;
 };
--- a/src/proto/wire.h
+++ b/src/proto/wire.h
@@ -1,4 +1,5 @@
-/** Conversions between str_t and XDR bytes, and XDR encoding of whole messages. */
+/** Conversions between str_t and XDR bytes, XDR encoding of whole messages, and the choice of the
+ * ledger group. */
 #ifndef AUBURN_WIRE_H
 #define AUBURN_WIRE_H
 
@@ -8,9 +9,9 @@
 
 /** A borrowed view of XDR bytes. */
 str_t wire_str(wire_bytes_t b);
-/** XDR bytes that borrow s; not to be freed with xdr_free. */
+/** XDR bytes that borrow s: never pass them to wire_free. */
 wire_bytes_t wire_bytes(str_t s);
-/** XDR bytes that own a copy of s; xdr_free frees them. */
+/** XDR bytes that own a copy of s; wire_free of the message frees them. */
 wire_bytes_t wire_copy(str_t s);
 /** Appends the encoding of msg to out. */
 void wire_encode(buf_t *out, xdrproc_t proc, const void *msg);
@@ -19,11 +20,13 @@
 status_t wire_decode(str_t s, xdrproc_t proc, void *msg, size_t msg_size);
 /** Makes *out a deep copy of msg, both of msg_size bytes; the caller frees it with wire_free. */
 void wire_dup(xdrproc_t proc, const void *msg, void *out, size_t msg_size);
+/** Frees what msg owns, not msg itself. */
 void wire_free(xdrproc_t proc, void *msg);
 /** XDR routine of a generated type, e.g. XDR_PROC(wire_view_t). */
 #define XDR_PROC(type) ((xdrproc_t)xdr_##type)
 
-/** Number, from 1, of the ledger group that stores the caller's key or job. */
+/** Number, from 1 to groups, of the ledger group that stores this caller's request or job with this
+ * key. */
 unsigned wire_ledger_group(str_t caller, str_t key, unsigned groups);
 
 #endif
--- a/src/proto/wire.x
+++ b/src/proto/wire.x
@@ -2,6 +2,12 @@
  * ONC RPC messages between auburnwing's own processes, and the commands in the replicated logs. A
  * command is XDR-encoded once and stored as it is. Times that leave a process are wall-clock ms or
  * milliseconds left.
+ *
+ * Group 0 replicates the fleet: configs, sessions, upstreams, their owners, and lots. The ledger
+ * groups, numbered from 1, share the requests and jobs of callers by key. A session is one run of
+ * an entry, registered in group 0 and kept open by heartbeats. The owner of an upstream is the
+ * session of the entry that dispatches work to it; each change of owner has a new, higher fencing
+ * token. A view lists the sessions, upstreams and owners.
  */
 
 typedef opaque wire_bytes_t<>;
@@ -20,17 +26,18 @@
 	wire_bytes_t zone;
 	wire_bytes_t service;
 	wire_upstream_state_t state;
-	unsigned hyper owner;		/* session of the owning entry, 0 = none */
+	unsigned hyper owner;		/* session of the owning entry; 0: none */
 	unsigned hyper fence;		/* fencing token of this ownership */
 };
 
+/* An entry and its session. */
 struct wire_member_t {
 	wire_bytes_t name;
 	wire_bytes_t addr;		/* ip:port for callers (HTTP) */
 	wire_bytes_t peer;		/* ip:port for other entries (RPC) */
 	wire_bytes_t zone;
 	unsigned hyper boot;		/* random, new at each start */
-	unsigned hyper session;		/* assigned by group 0 */
+	unsigned hyper session;		/* assigned by group 0; 0: none yet */
 	bool draining;
 };
 
@@ -47,8 +54,9 @@
 
 struct wire_owner_change_t {
 	wire_bytes_t id;		/* upstream */
-	unsigned hyper was_fence;	/* skipped unless this is still the fencing token */
-	unsigned hyper session;		/* new owner, 0 = none */
+	unsigned hyper was_fence;	/* the change is skipped unless this is still the fencing
+					   token */
+	unsigned hyper session;		/* new owner; 0: none */
 };
 
 /* ---- group 0: batch lots, accepted as a whole and run item by item ---- */
@@ -63,11 +71,11 @@
 
 struct wire_lot_open_t {
 	wire_bytes_t lot;
-	wire_bytes_t route;		/* the lot counts for the quota of this route */
+	wire_bytes_t route;		/* route whose quota the lot counts against */
 	wire_bytes_t host;
 	hyper due_wall_ms;
-	hyper drop_wall_ms;		/* items not done by then are dropped */
-	hyper forget_wall_ms;		/* results can be read until then */
+	hyper drop_wall_ms;		/* items not done by then are given up */
+	hyper forget_wall_ms;		/* the lot and its results are removed then */
 	unsigned hyper quota;		/* limit on the waiting tokens of the route; 0: none */
 	wire_lot_item_t items<>;
 };
@@ -75,7 +83,7 @@
 struct wire_lot_result_t {
 	wire_bytes_t lot;
 	unsigned int item;
-	bool dead;
+	bool dead;			/* given up, without a result */
 	wire_bytes_t text;
 };
 
@@ -83,21 +91,23 @@
 struct wire_lot_progress_t {
 	wire_bytes_t lot;
 	unsigned int item;
-	unsigned int from;		/* events held before; ignored unless it matches */
-	unsigned int events;		/* events held afterwards */
-	wire_bytes_t text;		/* appended */
+	unsigned int from;		/* number of events before these; the progress is ignored
+					   unless the stored item has just as many */
+	unsigned int events;		/* number of events after these */
+	wire_bytes_t text;		/* of these events */
 };
 
-/* Changes of lots gathered for one commit, in the order in which they are applied. */
+/* Changes of lots gathered for one commit, in the order in which they are applied; lots that have
+ * expired by now_wall_ms are removed before the opens. */
 struct wire_lots_cmd_t {
 	hyper now_wall_ms;
 	wire_lot_progress_t progress<>;
 	wire_lot_result_t results<>;
-	wire_bytes_t ends<>;
+	wire_bytes_t ends<>;		/* ids of lots whose clients want no more results */
 	wire_lot_open_t opens<>;
 };
 
-/* A control process that an operator retires: it must end up with no replica. */
+/* A control process that an operator retires: it must hold no replica of any group any more. */
 struct wire_retire_t {
 	wire_bytes_t name;
 	unsigned hyper replica;		/* id of its replica of group 0 */
@@ -110,7 +120,7 @@
 	WIRE_FLEET_SESSION_CLOSE = 4,
 	WIRE_FLEET_OWNERS = 5,
 	WIRE_FLEET_UPSTREAMS = 6,
-	WIRE_FLEET_FORGET = 7,		/* closed sessions known to all ledger groups */
+	WIRE_FLEET_FORGET = 7,		/* closed sessions that all ledger groups have recorded */
 	WIRE_FLEET_LOTS = 8,
 	WIRE_FLEET_RETIRE = 9
 };
@@ -147,7 +157,7 @@
 };
 
 struct wire_view_t {
-	unsigned hyper view_version;	/* grows with each change of members, upstreams, owners */
+	unsigned hyper view_version;	/* grows with each change of members, upstreams or owners */
 	unsigned hyper conf_number;
 	unsigned int ledger_groups;
 	wire_member_t members<>;
@@ -187,7 +197,7 @@
 struct wire_attempt_t {
 	wire_bytes_t caller;
 	wire_bytes_t key;
-	unsigned hyper token;		/* random; the same token again gets the same answer */
+	unsigned hyper token;		/* random; a resend has the same and gets the same answer */
 	unsigned hyper session;
 	wire_bytes_t upstream;
 };
@@ -200,8 +210,9 @@
 	int http_status;
 	wire_bytes_t result;
 	hyper now_wall_ms;
-	unsigned hyper session;		/* of the sender; only the session that holds the request
-					   can fail it; 0: unchecked */
+	unsigned hyper session;		/* of the sender; a session that does not hold the request
+					   can only finish a repeatable one, as WIRE_DONE;
+					   0: no session, unchecked */
 };
 
 struct wire_job_open_t {
@@ -231,8 +242,9 @@
 
 struct wire_lease_t {
 	unsigned hyper session;
-	unsigned hyper seq;		/* count of the session's lease commands; a resend
-					   gets the same items */
+	unsigned hyper seq;		/* grows with each new LEASE of the session for the service;
+					   the same again is a resend and gets the items of the
+					   first answer that the session still holds */
 	wire_bytes_t service;
 	unsigned int max;
 	hyper now_wall_ms;
@@ -253,7 +265,7 @@
 };
 
 enum wire_blame_t {
-	WIRE_BLAME_NONE = 0,		/* returned unrun, preempted, or the entry stopped */
+	WIRE_BLAME_NONE = 0,		/* not run, preempted, or the entry stopped */
 	WIRE_BLAME_ITEM = 1,		/* the item itself failed */
 	WIRE_BLAME_REPLICA = 2		/* the replica or its VM died while it ran */
 };
@@ -261,7 +273,7 @@
 struct wire_item_result_t {
 	wire_bytes_t caller;
 	wire_bytes_t job;
-	wire_bytes_t key;		/* as in wire_item_t: key of the request if job is empty */
+	wire_bytes_t key;		/* key of the request if job is empty */
 	unsigned int index;
 	unsigned int attempt;
 	bool done;
@@ -443,18 +455,18 @@
 
 struct wire_heartbeat_arg_t {
 	wire_member_t member;		/* session 0 asks for a new one */
-	unsigned hyper conf_number;	/* in force at the sender */
-	unsigned hyper view_version;
-	bool forward;			/* as in wire_exec_arg_t */
+	unsigned hyper conf_number;	/* of the config in force at the sender */
+	unsigned hyper view_version;	/* of the view that the sender uses */
+	bool forward;			/* the receiver forwards it if it is not the leader */
 };
 
 struct wire_heartbeat_res_t {
 	int status;
 	wire_bytes_t leader;
 	unsigned hyper session;
-	unsigned int lease_ms;		/* from the time the request was sent */
-	unsigned hyper conf_number;
-	unsigned hyper view_version;
+	unsigned int lease_ms;		/* the lease ends this long after the request was sent */
+	unsigned hyper conf_number;	/* newest */
+	unsigned hyper view_version;	/* newest */
 };
 
 struct wire_raft_msg_t {
@@ -467,23 +479,25 @@
 	wire_raft_msg_t msgs<>;
 };
 
+/* Answer to AUBURN_STATUS (JSON) and AUBURN_EVENTS (log lines). */
 struct wire_text_t {
 	wire_bytes_t text;
 };
 
 struct wire_events_arg_t {
-	wire_bytes_t needle;
+	wire_bytes_t needle;		/* the newest log lines that contain it are returned */
 	unsigned int max;
 };
 
+/* Load of a replica, reported by its owner to the other entries. */
 struct wire_load_t {
 	wire_bytes_t id;		/* replica */
 	unsigned hyper fence;
 	int free_slots;
 	int queued;
 	int running;
-	int step_us;			/* recent time between two tokens */
-	int drain_ms;			/* time to first token for a new stream */
+	int step_us;			/* recent 95th percentile of the time between two tokens */
+	int drain_ms;			/* estimated time to the first token of a new stream */
 	unsigned hyper prefixes<>;	/* hashes of the prompt prefixes in its cache */
 };
 
