--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -17,8 +17,8 @@
 /** Settings, and the options and words of the command line. */
 typedef struct {
 	ctl_settings_t settings;
-	const char *words[4]; /* NULL-terminated: group, action if any, argument */
-	const char *service;
+	const char *words[4]; /* NULL-terminated: group, action if the group has any, argument */
+	const char *service; /* from here on: options, NULL or 0 if absent */
 	const char *key;
 	const char *prompt;
 	const char *path;
@@ -64,17 +64,18 @@
 	void *ctx;
 } ctl_call_t;
 
-/** Sends the call to the known entries in turn, for some rounds, until one replies with a status
- * other than 503. *http: status code of the last reply. STATUS_UNAVAILABLE: the last entry was not
- * reached. */
+/** Sends the call to the entries in turn, for some rounds, until one replies with a status other
+ * than 503. *http: status code of the last reply. STATUS_UNAVAILABLE: no complete reply from the
+ * last entry. */
 status_t ctl_call(ctl_t *ctl, const ctl_call_t *call, buf_t *out, long *http);
-/** Sends the call to one entry. */
+/** Sends the call to one entry. *http: status code of its reply; 0 if there was none.
+ * STATUS_UNAVAILABLE: no complete reply. */
 status_t ctl_call_entry(ctl_t *ctl, const char *addr, const ctl_call_t *call, buf_t *out,
 			long *http);
-/** Addresses of the entries: from GET /v1/addresses of the first entry that answers, else those of
- * the settings. */
+/** Addresses of the entries: those that the first answering entry of the settings lists at
+ * GET /v1/addresses, else those of the settings. */
 void ctl_list_entries(ctl_t *ctl, toml_strs_t *out);
-/** Prints an error response and returns the exit code. */
+/** Prints the failure of a call, or its error response, and returns the exit code. */
 int ctl_print_error(status_t st, long http, const buf_t *body);
 /** Sends the call, prints the body of the response and returns the exit code. */
 int ctl_call_print(ctl_t *ctl, const ctl_call_t *call);
--- a/src/ctl/ctl_config.c
+++ b/src/ctl/ctl_config.c
@@ -30,7 +30,7 @@
 }
 
 /* Fetches the config with this number, or the one in force if number is 0. *found: its number; 0 if
- * there is none. */
+ * none is in force, which is no error. */
 static int fetch_config(ctl_t *ctl, int number, buf_t *text, json_int_t *found)
 {
 	char path[PATH_BYTES];
@@ -121,7 +121,7 @@
 	return false;
 }
 
-/* Prints the lines of text that other does not have. */
+/* Prints mark and the line for each non-empty line of text that other does not have anywhere. */
 static void print_only_in(char mark, str_t text, str_t other)
 {
 	while (text.n) {
@@ -132,7 +132,8 @@
 	}
 }
 
-/* Prints the lines that only one of the two configs has. */
+/* Compares the file with the config in force, or with the one of --number: prints the lines that
+ * only one of them has, in any place. */
 int ctl_config_diff(ctl_t *ctl)
 {
 	AUTO_BUF text = {0};
--- a/src/ctl/ctl_explain.c
+++ b/src/ctl/ctl_explain.c
@@ -45,7 +45,8 @@
 		    http == 200)
 			add_lines(l, str_buf(&body));
 		else
-			fprintf(stderr, "auburnctl: entry %s was not reached\n", addrs.v[i]);
+			fprintf(stderr, "auburnctl: entry %s did not return its log lines\n",
+				addrs.v[i]);
 	}
 	toml_strs_free(&addrs);
 }
@@ -65,7 +66,7 @@
 					  clock_now_ms() + CONTROL_TIMEOUT_MS) == STATUS_OK)
 			add_lines(l, str_buf(&text));
 		else
-			fprintf(stderr, "auburnctl: control %s was not reached\n",
+			fprintf(stderr, "auburnctl: control %s did not return its log lines\n",
 				ctl->settings.controls.v[i]);
 	}
 	control_client_free(cc);
@@ -86,8 +87,8 @@
 	return false;
 }
 
-/* Adds the log lines, of all processes, that contain needle (a key or a trace id), each line once.
- */
+/* Adds the newest log lines of each process that contain needle (a key or a trace id), unless they
+ * are in l already. */
 static void collect_lines(ctl_t *ctl, const char *needle, lines_t *l)
 {
 	lines_t found = {0};
@@ -102,6 +103,7 @@
 	free(found.v);
 }
 
+/* Prints the lines in order of time, frees them and returns the exit code. */
 static int print_lines(lines_t *l, const char *needle)
 {
 	if (l->n)
@@ -129,8 +131,8 @@
 	return print_lines(&l, ctl->words[1]);
 }
 
-/* Adds the lines of the traces named in lines of the key: other processes log spans of a trace
- * without the key. A trace id that repeats the last one is skipped. */
+/* Adds the lines of the traces that the lines in l name: some spans of a trace are logged without
+ * the key. A trace id equal to the one before it is skipped. */
 static void add_trace_lines(ctl_t *ctl, lines_t *l)
 {
 	char last_id[TRACE_CHARS + 1] = "";
--- a/src/ctl/ctl_http.c
+++ b/src/ctl/ctl_http.c
@@ -148,7 +148,7 @@
 		add_str(out, ctl->settings.entries.v[i]);
 }
 
-/* One round over all entries, until one gives an answer other than 503. */
+/* One round: sends the call to each entry until one replies with a status other than 503. */
 static status_t call_entries(ctl_t *ctl, const toml_strs_t *addrs, const ctl_call_t *call,
 			     buf_t *out, long *http)
 {
@@ -163,8 +163,8 @@
 	return st;
 }
 
-/* A call can be sent again to another entry: it is idempotent or has an idempotency key, which
- * entries require if the request may not be repeated. */
+/* Sending a call again to another entry is safe: it is idempotent, or it has an idempotency key.
+ * Entries require a key if the request may run only once. */
 status_t ctl_call(ctl_t *ctl, const ctl_call_t *call, buf_t *out, long *http)
 {
 	toml_strs_t addrs;
@@ -183,7 +183,7 @@
 int ctl_print_error(status_t st, long http, const buf_t *body)
 {
 	if (st != STATUS_OK) {
-		fprintf(stderr, "auburnctl: no entry was reached: %s\n", status_message());
+		fprintf(stderr, "auburnctl: no entry answered: %s\n", status_message());
 		return EXIT_UNREACHED;
 	}
 	fprintf(stderr, "auburnctl: HTTP status %ld: %s\n", http, body->p ? body->p : "");
