--- a/src/base/rpc.c
+++ b/src/base/rpc.c
@@ -16,10 +16,10 @@
 #include <unistd.h>
 #include "base/log.h"
 
-/* Limit on a record of a peer, also meant to keep a peer that stops in the middle of a record from
- * stalling its reader, see docs/DESIGN.md. libtirpc does both only on connections that it accepts
- * itself, but this module creates them by svc_fd_create: libtirpc takes larger records from them,
- * and such a peer blocks the thread of its connection for 35 s. */
+/* Limit on a record of a peer, set in libtirpc, but without effect on the connections served here:
+ * libtirpc applies it only to those that it accepts itself, not to those made by svc_fd_create. It
+ * was also to keep a peer that stops in the middle of a record from stalling its reader, see
+ * docs/DESIGN.md: here such a peer blocks the thread of its connection for 35 s. */
 #define RECORD_MAX_BYTES   (64 << 20)
 #define CONNECT_MAX_MS	   1000
 #define THREAD_STACK_BYTES (512 << 10)
@@ -39,7 +39,8 @@
 	return TRUE;
 }
 
-/* Only limits the number of programs: requests find their server through this_conn. */
+/* Read by nothing, so that its size only limits the number of programs: requests find their server
+ * through this_conn. */
 static server_t *servers[PROGRAMS_MAX];
 static pthread_mutex_t servers_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_once_t once = PTHREAD_ONCE_INIT;
@@ -266,7 +267,7 @@
 	authnone_create();
 }
 
-static status_t register_server(server_t *s)
+static status_t store_server(server_t *s)
 {
 	status_t st = status_fail(STATUS_LIMIT, "more than %d RPC programs", PROGRAMS_MAX);
 
@@ -313,7 +314,7 @@
 		free(s);
 		return st;
 	}
-	st = register_server(s);
+	st = store_server(s);
 	if (st == STATUS_OK && !register_program(o))
 		st = status_fail(STATUS_IO, "cannot register RPC program %u", o->prog);
 	if (st == STATUS_OK && pthread_create(&t, NULL, accept_loop, s) != 0)
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -77,7 +77,7 @@
 void ctl_list_entries(ctl_t *ctl, toml_strs_t *out);
 /** Prints the failure of a call, or its error response, and returns the exit code. */
 int ctl_print_error(status_t st, long http, const buf_t *body);
-/** Sends the call, prints the body of the response and returns the exit code. */
+/** Sends the call, prints the body of the response, or the failure, and returns the exit code. */
 int ctl_call_print(ctl_t *ctl, const ctl_call_t *call);
 /** Reads a file, "-" for standard input. */
 status_t ctl_read_file(const char *path, buf_t *out);
--- a/src/ctl/ctl_config.c
+++ b/src/ctl/ctl_config.c
@@ -121,7 +121,7 @@
 	return false;
 }
 
-/* Prints mark and the line for each non-empty line of text that other does not have anywhere. */
+/* Prints the non-empty lines of text that other does not have anywhere, each after mark. */
 static void print_only_in(char mark, str_t text, str_t other)
 {
 	while (text.n) {
@@ -132,8 +132,8 @@
 	}
 }
 
-/* Compares the file with the config in force, or with the one of --number: prints the lines that
- * only one of them has, in any place. */
+/* Compares the file with the config in force, or with the one of --number: prints the non-empty
+ * lines that only one of them has, wherever they stand. */
 int ctl_config_diff(ctl_t *ctl)
 {
 	AUTO_BUF text = {0};
--- a/src/ctl/ctl_explain.c
+++ b/src/ctl/ctl_explain.c
@@ -87,8 +87,8 @@
 	return false;
 }
 
-/* Adds the newest log lines of each process that contain needle (a key or a trace id), unless they
- * are in l already. */
+/* Adds the newest log lines that contain needle (a key or a trace id), from each entry and from
+ * each control process in the settings, unless they are in l already. */
 static void collect_lines(ctl_t *ctl, const char *needle, lines_t *l)
 {
 	lines_t found = {0};
--- a/src/ctl/ctl_status.c
+++ b/src/ctl/ctl_status.c
@@ -66,6 +66,7 @@
 	return (long long)json_integer_value(json_object_get(o, key));
 }
 
+/* voters= is the number of all members of a group, those without a vote included. */
 static void print_controls(const json_t *all)
 {
 	const json_t *o;
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -33,7 +33,7 @@
 	 "request show KEY         state and result of a request"},
 	{"status", NULL, ctl_status,
 	 "status                   all processes: config number, owners, queues"},
-	{"trace", NULL, ctl_trace, "trace ID                 the spans of a trace"},
+	{"trace", NULL, ctl_trace, "trace ID                 log lines of a trace"},
 	{"explain", NULL, ctl_explain,
 	 "explain KEY              log lines of all processes about a key"},
 };
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -122,8 +122,8 @@
 	if (c->closed)
 		return;
 	if (!tcp_write(c->fd, &c->out)) {
-		/* Functions up the stack may still use the connection: on_readable, called from the
-		 * loop, closes it. */
+		/* client_gone must not run inside the user's call of http_reply: on_readable,
+		 * called from the loop, runs it and closes the connection. */
 		c->out.n = 0;
 		c->write_failed = true;
 		ev_io_stop(c->server->options.loop, &c->wr);
@@ -172,7 +172,8 @@
 	c->server->open_requests++;
 }
 
-/* Answers a request that is not passed on with an error, after which the connection closes. */
+/* Replies with an error to a request that is not passed to the user; the connection closes after
+ * it. */
 static void refuse_request(http_conn_t *c, int status, const char *reason)
 {
 	if (!c->busy) {
--- a/src/proto/link.x
+++ b/src/proto/link.x
@@ -65,7 +65,7 @@
 	hyper retention_ms;
 	hyper attempts;
 	hyper priority;
-	hyper waiting_tokens_max;
+	hyper waiting_tokens_max;	/* limit on the tokens of unfinished items; 0: none */
 	bool resumable;
 };
 
@@ -197,8 +197,8 @@
 
 enum link_item_end_t {
 	LINK_ITEM_END_DONE = 0,
-	LINK_ITEM_END_IMPOSSIBLE = 1,	/* replied 422: no replica can run it */
-	LINK_ITEM_END_FAILED = 2,	/* replied 500: this run of it failed */
+	LINK_ITEM_END_IMPOSSIBLE = 1,	/* the replica replied 422: none can run it */
+	LINK_ITEM_END_FAILED = 2,	/* the replica replied 500: the run failed */
 	LINK_ITEM_END_UNFINISHED = 3	/* stopped, or the replica rejected it or failed */
 };
 
--- a/src/proto/wire.h
+++ b/src/proto/wire.h
@@ -1,5 +1,5 @@
 /** Conversions between str_t and XDR bytes, XDR encoding of whole messages, and the choice of the
- * ledger group. */
+ * ledger group (see wire.x). */
 #ifndef AUBURN_WIRE_H
 #define AUBURN_WIRE_H
 
--- a/src/proto/wire.x
+++ b/src/proto/wire.x
@@ -3,11 +3,12 @@
  * command is XDR-encoded once and stored as it is. Times that leave a process are wall-clock ms or
  * milliseconds left.
  *
- * Group 0 replicates the fleet: configs, sessions, upstreams, their owners, and lots. The ledger
- * groups, numbered from 1, share the requests and jobs of callers by key. A session is one run of
- * an entry, registered in group 0 and kept open by heartbeats. The owner of an upstream is the
- * session of the entry that dispatches work to it; each change of owner has a new, higher fencing
- * token. A view lists the sessions, upstreams and owners.
+ * Raft group 0 replicates the fleet: configs, sessions, upstreams, their owners, and lots. The
+ * other Raft groups, numbered from 1, are the ledger groups: each stores a part of the requests and
+ * jobs of callers, chosen by key. A session is one run of an entry, registered in group 0 and kept
+ * open by heartbeats. The owner of an upstream is the session of the entry that dispatches work to
+ * it; each change of owner has a new, higher fencing token. A view lists the sessions, upstreams
+ * and owners.
  */
 
 typedef opaque wire_bytes_t<>;
@@ -66,7 +67,7 @@
 	wire_bytes_t path;
 	wire_bytes_t headers;		/* lines that end with CRLF */
 	wire_bytes_t body;
-	unsigned int tokens;
+	unsigned int tokens;		/* counted against the route's quota */
 };
 
 struct wire_lot_open_t {
@@ -76,7 +77,8 @@
 	hyper due_wall_ms;
 	hyper drop_wall_ms;		/* items not done by then are given up */
 	hyper forget_wall_ms;		/* the lot and its results are removed then */
-	unsigned hyper quota;		/* limit on the waiting tokens of the route; 0: none */
+	unsigned hyper quota;		/* limit on the tokens of the route's unfinished items;
+					   0: none */
 	wire_lot_item_t items<>;
 };
 
