--- a/src/base/rpc.c
+++ b/src/base/rpc.c
@@ -16,10 +16,10 @@
 #include <unistd.h>
 #include "base/log.h"
 
-/* Limit on a record of a peer, set in libtirpc, but without effect on the connections served here:
- * libtirpc applies it only to those that it accepts itself, not to those made by svc_fd_create. It
- * was also to keep a peer that stops in the middle of a record from stalling its reader, see
- * docs/DESIGN.md: here such a peer blocks the thread of its connection for 35 s. */
+/* Meant to limit a record of a peer, and to keep a peer that stops in the middle of a record from
+ * stalling its reader, see docs/DESIGN.md. libtirpc does both only on connections that it accepts
+ * itself. Those of the server here are made by svc_fd_create: larger records are accepted, and such
+ * a peer blocks the thread of its connection for 35 s. */
 #define RECORD_MAX_BYTES   (64 << 20)
 #define CONNECT_MAX_MS	   1000
 #define THREAD_STACK_BYTES (512 << 10)
@@ -39,8 +39,7 @@
 	return TRUE;
 }
 
-/* Read by nothing, so that its size only limits the number of programs: requests find their server
- * through this_conn. */
+/* Only limits the number of programs: requests find their server through this_conn. */
 static server_t *servers[PROGRAMS_MAX];
 static pthread_mutex_t servers_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_once_t once = PTHREAD_ONCE_INIT;
--- a/src/base/status.h
+++ b/src/base/status.h
@@ -1,4 +1,4 @@
-/** Status codes, an error message for each thread, and verdicts whether a request has run. */
+/** Status codes, an error message for each thread, and verdicts on whether a request has run. */
 #ifndef AUBURN_STATUS_H
 #define AUBURN_STATUS_H
 
--- a/src/ctl/ctl_http.c
+++ b/src/ctl/ctl_http.c
@@ -183,7 +183,7 @@
 int ctl_print_error(status_t st, long http, const buf_t *body)
 {
 	if (st != STATUS_OK) {
-		fprintf(stderr, "auburnctl: no entry answered: %s\n", status_message());
+		fprintf(stderr, "auburnctl: call to an entry failed: %s\n", status_message());
 		return EXIT_UNREACHED;
 	}
 	fprintf(stderr, "auburnctl: HTTP status %ld: %s\n", http, body->p ? body->p : "");
--- a/src/ctl/ctl_status.c
+++ b/src/ctl/ctl_status.c
@@ -90,6 +90,7 @@
 	}
 }
 
+/* session, view and fence are explained in proto/wire.x; an upstream is a replica. */
 static void print_entries(const json_t *all)
 {
 	const json_t *o;
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -49,7 +49,8 @@
 	buf_t out;
 	buf_t in;
 	bool connected;
-	bool skip_response; /* the response being read is interim or belongs to another request */
+	bool skip_response; /* the response being read is interim, belongs to another request, or
+			       no call is left to receive it */
 	bool keep_alive;
 	bool response_complete;
 	bool reused; /* has served an earlier call */
@@ -403,8 +404,8 @@
 	conn_t *c = call->conn;
 
 	if (!c) {
-		/* report_unsent is scheduled and will call end and free the call. ignore_body is
-		 * never called: without a connection no body arrives. */
+		/* The connection could not be started: report_unsent is scheduled and will call end
+		 * and free the call. ignore_body is never called: no body arrives. */
 		call->options.body = ignore_body;
 		call->options.end = ignore_end;
 		return;
--- a/src/net/msgconn.c
+++ b/src/net/msgconn.c
@@ -11,7 +11,8 @@
 #define READ_BYTES   16384
 /** A larger frame means a peer that speaks another protocol. This is twice the largest route delta
  * before compression (DELTA_SIZE_MAX). Configs have up to 16 MiB; lots usually up to 4 MiB, as
- * their limit is set by the config; jobs are not sent on links. Senders do not check the size. */
+ * their limit is set by the config. The jobs of the ledger are not sent on links. Senders do not
+ * check the size. */
 #define FRAME_MAX_BYTES (64U << 20)
 /** A connection with more unsent bytes is closed: its peer does not read. */
 #define UNSENT_MAX_BYTES (96U << 20)
--- a/src/proto/px_grow.c
+++ b/src/proto/px_grow.c
@@ -10,7 +10,8 @@
 #define FIRST_ITEMS 16
 #define FIRST_BYTES 65536 /* a multiple of 4, so that only the last part has padding */
 
-/* The doubled capacity, at most n, the length that the message claims. */
+/* The next capacity: first, then doubled each time, but at most n, the length that the message
+ * claims. */
 static u_int next_cap(u_int cap, u_int first, u_int n)
 {
 	u_int next = cap ? cap * 2 : first;
