--- a/src/raft/group.h
+++ b/src/raft/group.h
@@ -33,8 +33,8 @@
 	 * `bootstrap` is set. */
 	const char *const *seeds;
 	unsigned nseeds;
-	/** Set on the first start of a new fleet. A directory created without it joins as a
-	 * learner. */
+	/** Set on the first start of a new fleet. A replica whose directory is created without it
+	 * joins as a learner. */
 	bool bootstrap;
 	unsigned tick_ms;
 	unsigned election_ms; /* minimum; each timeout is random, up to twice as long */
@@ -43,7 +43,7 @@
 	void *ctx;
 	/** Applies one command; the proposer gets the result. Must be deterministic. */
 	void (*apply)(void *ctx, uint64_t index, str_t cmd, buf_t *result);
-	/** Appends the whole state to out. Nothing commits in the meantime, so this must take much
+	/** Appends the whole state to out. Nothing commits while this runs, so it must take much
 	 * less than an election timeout. */
 	void (*snapshot)(void *ctx, buf_t *out);
 	/** Replaces the whole state. */
@@ -56,14 +56,14 @@
 
 /**
  * Opens the directory, restores the newest snapshot, reads the log and starts the group's thread.
- * The entries after the snapshot are applied once a leader has committed them. STATUS_CORRUPT names
- * the file and the offset; the replica must not continue under its old id then: rename the
- * directory away and join as a learner.
+ * The entries after the snapshot are applied once a leader has committed them. The
+ * error text of STATUS_CORRUPT names what is damaged; the replica must not continue under its old
+ * id then: rename the directory away and join as a learner.
  *
  * The first voters' ids are derived from their addresses, so a seed that has lost its directory
- * must not be opened with `bootstrap` again: it could vote twice in a term. The caller first asks
- * the other seeds; once one of them has a term above 0, votes may have been cast and `bootstrap`
- * must be false.
+ * must not be opened with `bootstrap` again: it could vote twice in a term. Once another seed has a
+ * term above 0, votes may have been cast. control_boot_decide asks the other seeds and sets
+ * `bootstrap` only if none of them has committed more than the founding entries.
  */
 status_t group_open(const group_options_t *o, group_t **out);
 /** Returns true if dir already holds a replica; `bootstrap` then has no effect. */
@@ -76,7 +76,8 @@
 void group_receive(group_t *g, str_t msg);
 
 /** Commits and applies cmd. STATUS_NOT_LEADER: cmd was not applied and never will be.
- * STATUS_TIMEOUT: cmd may be applied, now or later. STATUS_IO: this replica's disk failed. */
+ * STATUS_TIMEOUT: cmd may be applied, now or later. STATUS_IO: cmd was not applied, since this
+ * replica's disk has failed. */
 status_t group_propose(group_t *g, str_t cmd, deadline_t deadline, buf_t *result);
 
 /** Returns STATUS_OK once a majority has confirmed that this replica still leads and it has applied
@@ -102,24 +103,26 @@
 	unsigned npeers;
 	group_peer_t peers[GROUP_PEERS_MAX];
 	uint64_t match[GROUP_PEERS_MAX]; /* leader only: highest index that each peer has synced */
-	deadline_t last_answer[GROUP_PEERS_MAX]; /* when each peer last sent; 0: never */
-	uint64_t syncs;
-	uint64_t sync_us;
-	uint64_t commands;
+	deadline_t last_answer[GROUP_PEERS_MAX]; /* when each peer's last message came; 0: none */
+	uint64_t syncs; /* of the log */
+	uint64_t sync_us; /* time spent on them */
+	uint64_t commands; /* applied since the group was opened */
 } group_status_t;
 
 void group_get_status(group_t *g, group_status_t *out);
 
 /** Membership changes, one at a time, on the leader only. Each call returns once the change is
- * committed. STATUS_LIMIT: another change is in progress, or no majority of the voters after the
- * change has answered within the last election timeout; group_promote also returns it until the
- * learner has synced everything that is committed. group_add_learner with the id of a member
- * updates its address and its availability zone, which the first voters are recorded without, and
- * leaves its vote unchanged. */
+ * committed or refused. STATUS_LIMIT: another change is in progress, the leader has not committed
+ * an entry of its term yet, or the group is full. group_promote and group_remove also return it if
+ * no majority of the voters after the change has answered within the last election timeout,
+ * group_promote until the learner has synced everything that is committed. group_add_learner with
+ * the id of a member updates its address and its availability zone, which the first voters are
+ * recorded without, and leaves its vote unchanged. */
 status_t group_add_learner(group_t *g, const group_peer_t *peer, deadline_t deadline);
 status_t group_promote(group_t *g, uint64_t id, deadline_t deadline);
 status_t group_remove(group_t *g, uint64_t id, deadline_t deadline);
-/** Transfers leadership to the most up-to-date other voter, for a planned stop. */
+/** Transfers leadership to the most up-to-date other voter, for a planned stop. Returns once this
+ * replica no longer leads. */
 status_t group_step_down(group_t *g, deadline_t deadline);
 
 #endif
--- a/src/raft/group_disk.c
+++ b/src/raft/group_disk.c
@@ -88,8 +88,8 @@
 		g->snap_running = false;
 }
 
-/* Joins the snapshot thread, which has ended, and drops the entries that the older snapshot
- * covers. */
+/* Joins the snapshot thread, which has ended, and drops the entries that the older of the two
+ * snapshots covers from the log in memory. */
 void group_snapshot_end(group_t *g)
 {
 	group_snapshot_join(g);
--- a/src/raft/group_internal.h
+++ b/src/raft/group_internal.h
@@ -7,7 +7,7 @@
 #include "raft/raft.h"
 #include "raft/store.h"
 
-#define GROUP_SENDERS_MAX 16 /* members whose last address is remembered */
+#define GROUP_SENDERS_MAX 16 /* replicas whose last address is remembered */
 
 typedef enum {
 	GROUP_MESSAGE,
@@ -54,7 +54,7 @@
 	char *addr;
 	store_t *store;
 
-	pthread_mutex_t lock; /* guards the inbox and the fields down to status */
+	pthread_mutex_t lock; /* guards the inputs and the fields from callers to status */
 	pthread_cond_t wake; /* wakes the group's thread */
 	pthread_cond_t disk_wake;
 	pthread_cond_t idle; /* signalled when no caller waits any more */
@@ -70,14 +70,14 @@
 	/* used by the group's thread only */
 	raft_t *raft;
 	group_queue_t proposals; /* waiting to be applied, by index */
-	group_queue_t old_proposals; /* from before leadership was lost; their outcome is open */
+	group_queue_t old_proposals; /* from before leadership was lost; may still be applied */
 	group_queue_t step_downs; /* callers that wait until this replica no longer leads */
 	group_sender_t senders[GROUP_SENDERS_MAX];
 	deadline_t leader_since;
 	uint64_t commands;
 	uint64_t applied_bytes; /* since the last snapshot */
-	uint64_t snap_index; /* newest snapshot that was begun or installed */
-	bool snap_running;
+	uint64_t snap_index; /* of the newest snapshot that was begun or installed */
+	bool snap_running; /* the snapshot thread was started and is not joined yet */
 	buf_t snap_state;
 	buf_t snap_members;
 	uint64_t snap_term;
@@ -105,10 +105,10 @@
 
 /* group_raft.c */
 void group_raft_callbacks(group_t *g, raft_callbacks_t *cb);
-/** Returns the address that the replica last sent from, else the one in the members list; NULL if
- * unknown. */
+/** Returns the address that a replica's last message named, else the one in the list of members;
+ * NULL if unknown. */
 const char *group_addr_of(group_t *g, uint64_t id);
-/** Records the address that m was sent from and the time. */
+/** Records the sender's address, which m contains, and the time. */
 void group_remember_sender(group_t *g, const raft_msg_t *m);
 
 /* group_disk.c */
--- a/src/raft/group_thread.c
+++ b/src/raft/group_thread.c
@@ -224,7 +224,8 @@
 					       "outcome unknown: disk of this replica failed"));
 }
 
-/* Answers the callers that still wait when the group closes. */
+/* Answers the callers whose inputs were handled but have no result when the group closes;
+ * free_group answers the others. */
 static void finish_on_close(group_t *g)
 {
 	group_input_t *it;
--- a/src/raft/raft.c
+++ b/src/raft/raft.c
@@ -145,7 +145,8 @@
 	memmove(r->held_msgs, r->held_msgs + done, r->nheld * sizeof(*r->held_msgs));
 }
 
-/* Sets a new role. A replica that stops leading fails its pending reads and reports the change. */
+/* Sets the role. If this replica led until now, fails its pending reads and calls the role
+ * callback. */
 static void set_role(raft_t *r, raft_role_t role)
 {
 	bool was = r->role == RAFT_LEADER;
@@ -231,7 +232,8 @@
 		raft_leader_flush(r);
 }
 
-/* Answers a message of an old term with the current term; votes and answers get no answer. */
+/* Rejects a pre-vote, an append or a snapshot of an old term; the rejection carries the current
+ * term. Other messages get no answer. */
 static void reject_old_term(raft_t *r, const raft_msg_t *m)
 {
 	raft_msg_t resp = {.reject = true};
@@ -245,7 +247,9 @@
 	raft_send_msg(r, &resp, m->from);
 }
 
-/* Adopts the term of a message if it is newer. Returns false if the message must be ignored. */
+/* Adopts the term of a message if it is newer. Returns false if the message must be ignored. A
+ * pre-vote request and a granted pre-vote carry the term of a possible election, which is not
+ * adopted. */
 static bool update_term(raft_t *r, const raft_msg_t *m)
 {
 	bool leads = m->type == RAFT_APPEND || m->type == RAFT_SNAPSHOT;
--- a/src/raft/raft.h
+++ b/src/raft/raft.h
@@ -3,8 +3,8 @@
  * are function calls, outputs are callbacks. Not thread-safe.
  *
  * State that must be durable goes to a persist callback under a growing sequence number;
- * raft_on_synced reports the number up to which the disk holds it. Messages that depend on a vote
- * or a term are held back until these are durable.
+ * raft_on_synced reports the number up to which the disk holds it. A message is held back until the
+ * term and vote at the time of sending are durable.
  */
 #ifndef AUBURN_RAFT_H
 #define AUBURN_RAFT_H
@@ -29,7 +29,7 @@
 	uint64_t offset;
 	str_t data;
 	bool last;
-	uint32_t crc; /* with last: checksum of the whole state, computed by its writer */
+	uint32_t crc; /* checksum of the whole state, computed by its writer; checked with last */
 } raft_snap_chunk_t;
 
 typedef struct {
@@ -48,18 +48,21 @@
 	 * there is no such snapshot. */
 	bool (*snap_read)(void *ctx, raft_snap_chunk_t *c);
 	/** Writes one chunk; chunks come in order from offset 0. With c->last, true means that the
-	 * snapshot is durable and has replaced the state. */
+	 * snapshot is durable and has replaced the state. After false the transfer starts again at
+	 * offset 0. */
 	bool (*snap_write)(void *ctx, const raft_snap_chunk_t *c);
 	/** ok: after raft_read_index this replica was confirmed as leader and has applied
 	 * everything that was committed at the time of the call. */
 	void (*read_done)(void *ctx, uint64_t token, bool ok);
+	/** This replica became leader or stopped leading; other changes are not reported. */
 	void (*role)(void *ctx, raft_role_t role, uint64_t term);
 } raft_callbacks_t;
 
 typedef struct {
 	raft_callbacks_t cb;
 	uint64_t self;
-	unsigned election_ticks; /* minimum; each timeout is random, up to twice as long */
+	unsigned election_ticks; /* minimum, except for the first timeout after a restart; each
+				  * timeout is random, up to twice as long */
 	unsigned heartbeat_ticks;
 	uint64_t random_seed;
 	/** State loaded from disk. */
@@ -83,16 +86,19 @@
 /** Ends a batch of inputs: persists and sends the entries proposed in it and starts a round for
  * pending reads. */
 void raft_flush(raft_t *r);
-/** The disk has failed: the replica steps down and ignores all further input. */
+/** The disk has failed: a leader asks another voter to start an election and steps down. The
+ * replica then ignores messages, ticks, proposals and reads. */
 void raft_on_disk_failed(raft_t *r);
 
-/** Appends a command. Returns its index, or 0 if this replica does not lead. */
+/** Appends a command. Returns its index, or 0 if this replica does not lead or is transferring
+ * leadership. */
 uint64_t raft_propose(raft_t *r, str_t cmd);
 /** Requests a read index; read_done answers with the token. Returns false if this replica does not
  * lead. */
 bool raft_read_index(raft_t *r, uint64_t token);
 
-/** Membership changes; *index is the entry to wait for, 0 if nothing has to change. */
+/** Membership changes; with STATUS_OK *index is the entry to wait for, 0 if nothing has to
+ * change. */
 status_t raft_add_learner(raft_t *r, const group_peer_t *peer, uint64_t *index);
 status_t raft_promote(raft_t *r, uint64_t id, uint64_t *index);
 status_t raft_remove(raft_t *r, uint64_t id, uint64_t *index);
@@ -122,7 +128,8 @@
 	uint64_t synced;
 	bool failed;
 	raft_members_t members;
-	uint64_t match[GROUP_PEERS_MAX]; /* by position in members; leader only */
+	uint64_t match[GROUP_PEERS_MAX]; /* leader only: highest index that each member has synced,
+					  * by position in members */
 } raft_status_t;
 
 void raft_get_status(const raft_t *r, raft_status_t *out);
--- a/src/raft/raft_follower.c
+++ b/src/raft/raft_follower.c
@@ -36,8 +36,8 @@
 		send_append_resp(r);
 }
 
-/* Returns the highest index at which this log may still equal the leader's, which differs at
- * prev. */
+/* Returns the highest index at which this log can match the leader's, given that its entry at prev
+ * is missing or differs. */
 static uint64_t highest_possible_match(const raft_t *r, uint64_t prev)
 {
 	uint64_t at = min_u64(prev, raft_last_index(r) + 1) - 1;
@@ -116,6 +116,7 @@
 		r->verified = end;
 	if (m->commit > r->commit && r->verified > r->commit)
 		raft_log_commit(r, min_u64(m->commit, r->verified));
+	/* New entries are acknowledged by raft_report_synced. */
 	if (!added || new_round)
 		send_append_resp(r);
 }
@@ -136,8 +137,9 @@
 	r->cb.persist_reset(r->cb.ctx, r->next_seq, m->index, m->log_term);
 }
 
-/* Returns true if the log contains the snapshot's last entry, and so all before it; they are
- * committed then. The entries after it stay, since they may have been acknowledged. */
+/* If the log holds the snapshot's last entry, and so all entries before it, commits up to it and
+ * returns true: the snapshot is not needed. The entries after it stay, since they may have been
+ * acknowledged. */
 static bool commit_if_in_log(raft_t *r, uint64_t index, uint64_t term)
 {
 	if (index <= r->commit)
--- a/src/raft/raft_internal.h
+++ b/src/raft/raft_internal.h
@@ -10,26 +10,26 @@
 #define RAFT_SEQ_NOT_PERSISTED UINT64_MAX
 
 /** A leader probes with one append at a time until the logs match, then sends entries without
- * waiting, or sends a snapshot if its log no longer has the next entry. */
+ * waiting for answers, or sends a snapshot if its log no longer has the next entry. */
 typedef enum { RAFT_MODE_PROBE, RAFT_MODE_REPLICATE, RAFT_MODE_SNAPSHOT } raft_send_mode_t;
 
 /** A leader's knowledge of one other member. */
 typedef struct {
 	uint64_t id;
-	uint64_t match; /* highest index synced there and equal to this log */
+	uint64_t match; /* up to here the member's log is synced and equals this one */
 	uint64_t next; /* next index to send */
 	uint64_t round_acked; /* newest read round that the member has acknowledged */
 	uint64_t round_sent;
 	uint64_t inflight[RAFT_INFLIGHT_MAX]; /* last index of each append in flight */
-	uint64_t snap_index;
-	uint64_t snap_offset;
+	uint64_t snap_index; /* snapshot being sent; 0: the newest */
+	uint64_t snap_offset; /* of the next chunk, or of the unanswered one */
 	unsigned inflight_head;
 	unsigned inflight_n;
 	unsigned snap_wait_ticks; /* since the last chunk was sent */
-	unsigned silent_ticks; /* since the last answer */
+	unsigned silent_ticks; /* since the last answer, at first since this record was created */
 	raft_send_mode_t mode;
-	bool probe_pending; /* a probe is unanswered */
-	bool snap_sent; /* the chunk at snap_offset is unanswered */
+	bool probe_pending; /* a probe was sent since the last heartbeat and is unanswered */
+	bool snap_sent; /* the chunk at snap_offset is unanswered, for less than election_ticks */
 } raft_progress_t;
 
 typedef struct {
@@ -74,14 +74,14 @@
 	uint64_t *persist_seqs; /* sequence number under which each entry was persisted */
 	size_t nlog;
 	size_t log_cap;
-	uint64_t submitted; /* given to persist_entries up to here, not yet durable */
+	uint64_t submitted; /* given to persist_entries up to here; may not be durable yet */
 	uint64_t synced; /* durable up to here */
 	uint64_t verified; /* follower: known to equal the leader's log up to here */
 	uint64_t commit;
 	uint64_t applied;
 
 	raft_members_t members; /* from the newest members entry in the log, committed or not */
-	uint64_t members_index;
+	uint64_t members_index; /* of that entry, or the base */
 	uint64_t votes[GROUP_PEERS_MAX];
 	unsigned nvotes;
 	bool self_vote;
@@ -133,7 +133,7 @@
 void raft_reset_election_timeout(raft_t *r);
 
 /* raft_vote.c */
-/** Starts an election. force: the voters ignore the leader lease. */
+/** Starts an election if this replica may campaign. force: the voters ignore the leader lease. */
 void raft_campaign(raft_t *r, bool force);
 void raft_start_prevote(raft_t *r);
 /** Counts this replica's vote for itself once it is durable. */
@@ -156,7 +156,8 @@
 void raft_leader_tick(raft_t *r);
 /** Starts a round for pending reads and sends new entries. */
 void raft_leader_flush(raft_t *r);
-/** Commits what a majority of voters has synced. */
+/** Commits what a majority of voters has synced. Steps down once a change that removes this replica
+ * from the voters is committed. */
 void raft_leader_update_commit(raft_t *r);
 /** Asks the most up-to-date other voter to start an election at once. */
 void raft_leader_hand_over(raft_t *r);
@@ -174,7 +175,7 @@
 /* raft_send.c */
 /** Sends what the member needs next: entries, a heartbeat or a snapshot chunk. */
 void raft_send_append(raft_t *r, raft_progress_t *p, bool heartbeat);
-/** Sends the snapshot chunk at snap_offset unless it was sent already. */
+/** Sends the snapshot chunk at snap_offset unless snap_sent is set. */
 void raft_send_snap_chunk(raft_t *r, raft_progress_t *p);
 
 /* raft_read.c */
--- a/src/raft/raft_leader.c
+++ b/src/raft/raft_leader.c
@@ -76,7 +76,7 @@
 	raft_flush(r);
 }
 
-/* True if the member answered within the election timeout. */
+/* True for this replica itself, and for a member that answered within the election timeout. */
 static bool is_live(const raft_t *r, uint64_t id)
 {
 	int at = raft_members_find(&r->members, id);
@@ -249,7 +249,7 @@
 		raft_reads_complete(r);
 		return;
 	}
-	/* Log matching: a follower verifies no more than this log holds. */
+	/* A follower acknowledges only entries that it has matched with this log. */
 	assert(m->index <= raft_last_index(r));
 	p->match = max_u64(p->match, m->index);
 	remove_acked_inflight(p);
@@ -292,7 +292,7 @@
 	return false;
 }
 
-/* The other voter that has synced most; NULL if there is no other voter. */
+/* Returns the other voter that has synced the most entries; NULL if there is no other voter. */
 static const raft_progress_t *most_advanced_voter(const raft_t *r)
 {
 	const raft_progress_t *best = NULL;
--- a/src/raft/raft_read.c
+++ b/src/raft/raft_read.c
@@ -1,5 +1,5 @@
 /* Linearizable reads (read index): a read completes once a majority has confirmed the leader in a
- * round of messages begun after the read. */
+ * round of messages begun after the read, and the read's index is applied. */
 #include "raft/raft_internal.h"
 
 #include <string.h>
--- a/src/raft/raft_send.c
+++ b/src/raft/raft_send.c
@@ -9,7 +9,7 @@
 	size_t bytes = 0;
 	size_t n = 0;
 
-	/* Only entries that were given to this replica's disk as well are sent. */
+	/* Entries that this replica has not yet submitted to its own disk are left out. */
 	while (from + n <= r->submitted && n < RAFT_BATCH_ENTRIES_MAX) {
 		bytes += raft_entry_at(r, from + n)->data.data_len;
 		if (n > 0 && bytes > RAFT_BATCH_BYTES_MAX)
--- a/src/raft/raft_vote.c
+++ b/src/raft/raft_vote.c
@@ -81,7 +81,7 @@
 		raft_become_leader(r);
 }
 
-static bool log_is_up_to_date(const raft_t *r, const raft_msg_t *m)
+static bool candidate_log_is_up_to_date(const raft_t *r, const raft_msg_t *m)
 {
 	uint64_t term = raft_term_at(r, raft_last_index(r));
 
@@ -92,9 +92,10 @@
 {
 	raft_msg_t resp = {.type = RAFT_PREVOTE_RESP};
 
-	resp.reject = m->term <= r->term || raft_has_leader_lease(r) || !log_is_up_to_date(r, m);
-	r->counted_as_voter |=
-		m->term > r->term && !raft_has_leader_lease(r) && !log_is_up_to_date(r, m);
+	resp.reject = m->term <= r->term || raft_has_leader_lease(r) ||
+		      !candidate_log_is_up_to_date(r, m);
+	r->counted_as_voter |= m->term > r->term && !raft_has_leader_lease(r) &&
+			       !candidate_log_is_up_to_date(r, m);
 	resp.term = resp.reject ? r->term : m->term;
 	raft_send_msg(r, &resp, m->from);
 }
@@ -105,7 +106,7 @@
 
 	assert(m->term == r->term);
 	resp.reject = (r->vote != 0 && r->vote != m->from) || r->role == RAFT_LEADER ||
-		      r->term_leader != 0 || !log_is_up_to_date(r, m);
+		      r->term_leader != 0 || !candidate_log_is_up_to_date(r, m);
 	if (!resp.reject) {
 		raft_set_hard_state(r, r->term, m->from);
 		raft_reset_election_timeout(r);
--- a/src/raft/store.h
+++ b/src/raft/store.h
@@ -1,6 +1,7 @@
 /**
  * Storage of one replica: a directory with log segments of checksummed records (entries, terms and
- * votes), snapshot files and the replica's id. A record is durable once store_sync has returned.
+ * votes), snapshot files and the replica's id. A record is durable once store_sync has returned
+ * its sequence number or a higher one.
  *
  * store_queue_hard_state, store_queue_entries, store_queue_reset and store_sync may be called from
  * different threads; only one thread calls store_sync, and only one thread at a time writes
@@ -37,8 +38,8 @@
 	uint64_t cut_bytes; /* bytes of an incomplete last write that were truncated */
 } store_contents_t;
 
-/** STATUS_CORRUPT names the file and the offset; the directory must not be used under its id
- * then. */
+/** The error text of STATUS_CORRUPT names what is damaged; the directory must not be used under its
+ * id then. */
 status_t store_open(const store_options_t *o, store_t **out, store_contents_t *contents);
 void store_close(store_t *s);
 void store_contents_free(store_contents_t *contents);
@@ -59,12 +60,15 @@
 void store_write_sync_mark(store_t *s);
 
 /** Writes and syncs a snapshot, then removes all but the two newest, and the segments that only
- * hold entries covered by the older of the two. */
+ * hold entries covered by the older of the two. Does nothing if a snapshot at index or later
+ * exists. */
 status_t store_save_snapshot(store_t *s, uint64_t index, uint64_t term, str_t members, str_t state);
-/** Reads a chunk at c->offset of the snapshot at c->index (0: the newest). */
+/** Reads a chunk at c->offset of the snapshot at c->index (0: the newest), which stays valid until
+ * the next call. Returns false if there is no such snapshot or it cannot be read. */
 bool store_read_snapshot(store_t *s, raft_snap_chunk_t *c);
 /** Writes one chunk of a snapshot from a leader; with c->last the snapshot is verified, synced and
- * added to the list. */
+ * added to the list of snapshots. STATUS_INVALID: the chunk is out of order, or the checksum of the
+ * whole state differs. */
 status_t store_receive_snapshot(store_t *s, const raft_snap_chunk_t *c);
 /** Appends the whole state of the snapshot at index to out. */
 status_t store_load_snapshot(store_t *s, uint64_t index, buf_t *out);
@@ -75,7 +79,7 @@
 
 typedef struct {
 	uint64_t syncs;
-	uint64_t sync_us;
+	uint64_t sync_us; /* time spent on writing and syncing */
 	uint64_t bytes; /* written to segments */
 } store_counters_t;
 
--- a/src/raft/store_file.h
+++ b/src/raft/store_file.h
@@ -10,8 +10,8 @@
 /** Read from AUBURN_DISK_FAULT when a store is opened: "fsync_fail_after=100",
  * "full_after_bytes=65536", or both separated by a comma. */
 typedef struct {
-	long fsync_fail_after; /* syncs that succeed; -1: all */
-	long full_after_bytes; /* bytes that can be written; -1: no limit */
+	long fsync_fail_after; /* syncs that still succeed; -1: all */
+	long full_after_bytes; /* bytes that can still be written; -1: no limit */
 } store_disk_fault_t;
 
 void store_disk_fault_from_env(store_disk_fault_t *f);
--- a/src/raft/store_internal.h
+++ b/src/raft/store_internal.h
@@ -27,13 +27,15 @@
 /** Header of each record of a segment; the data and padding to STORE_RECORD_ALIGN follow. */
 typedef struct {
 	uint32_t magic;
-	uint32_t crc; /* of the rest of the header and the data */
+	uint32_t crc; /* of the fields below and the data */
 	uint32_t len; /* of the data, without padding */
 	uint16_t type;
 	uint16_t entry_kind;
 	uint64_t index; /* STORE_RECORD_HARD_STATE: the vote */
 	uint64_t term;
-	uint64_t synced_len; /* length of the segment synced before this record was written */
+	/** Length of the segment before the write that added this record; all of it was synced,
+	 * except a STORE_RECORD_SYNC_MARK at its end. */
+	uint64_t synced_len;
 } store_record_t;
 
 typedef struct {
@@ -106,7 +108,9 @@
 	uint64_t number; /* of the segment being written */
 	bool has_sync_mark; /* nothing was written after the newest STORE_RECORD_SYNC_MARK */
 	uint64_t size; /* bytes written to this segment */
-	buf_t chunk; /* used by the group's thread only */
+
+	/* used by the group's thread only */
+	buf_t chunk;
 	buf_t chunk_members;
 	store_incoming_snap_t incoming;
 };
@@ -116,12 +120,13 @@
 /* store_log.c */
 /** Creates the segment and continues the log in it. */
 status_t store_segment_begin(store_t *s, uint64_t number);
-/** Opens the last segment, which has this many valid bytes, to append to it. */
+/** Opens the last segment, of which `size` bytes are valid, to append to it. */
 status_t store_segment_continue(store_t *s, uint64_t size);
 void store_segment_path(const store_t *s, uint64_t number, char path[STORE_PATH_BYTES]);
 /** Adds a segment to the list of segments. */
 void store_segment_add(store_t *s, uint64_t number, uint64_t max_index);
-/** Removes the segments without entries after index. */
+/** Removes the oldest segments as long as they hold no entries after index; the segment being
+ * written stays. */
 void store_segments_remove(store_t *s, uint64_t index);
 
 /* store_replay.c */
--- a/src/raft/store_log.c
+++ b/src/raft/store_log.c
@@ -1,4 +1,4 @@
-/* Writing the log: one thread queues records, another writes them with one sync. */
+/* Writing the log: one thread queues records, another writes all queued records with one sync. */
 #include "raft/store_internal.h"
 
 #include <assert.h>
@@ -247,7 +247,8 @@
 		s->size += b.n;
 }
 
-/* Removes the oldest segment from the list if it holds no entries after index. */
+/* Removes the oldest segment from the list if it holds no entries after index and is not the one
+ * being written. */
 static bool pop_oldest_segment(store_t *s, uint64_t index, uint64_t *number)
 {
 	bool take;
--- a/src/raft/store_replay.c
+++ b/src/raft/store_replay.c
@@ -22,9 +22,9 @@
 	uint64_t max_index; /* highest entry index in the segment being read */
 } replay_t;
 
-static void truncate_entries(replay_t *rp, size_t keep)
+static void truncate_entries(replay_t *rp, size_t n)
 {
-	while (rp->n > keep)
+	while (rp->n > n)
 		free(rp->entries[--rp->n].data.data_val);
 }
 
@@ -101,7 +101,7 @@
 	return sizeof(*rec) + padded;
 }
 
-/* Returns true if a later record proves that the bytes at `broken` had been synced. */
+/* Returns true if the synced_len of a later record says that the bytes at `broken` were synced. */
 static bool was_synced(str_t file, size_t broken)
 {
 	store_record_t rec;
--- a/src/raft/store_snapshot.c
+++ b/src/raft/store_snapshot.c
@@ -187,8 +187,8 @@
 	rename(path, broken);
 }
 
-/* Checks one file and adds it to the list; the first valid one becomes the state. A damaged file is
- * renamed. */
+/* Checks one file and adds it to the list; the state of the first valid one is loaded. A damaged
+ * file is renamed. */
 static status_t load_snap(store_t *s, uint64_t index, store_contents_t *contents)
 {
 	store_snap_t sn;
