--- a/src/state/config.h
+++ b/src/state/config.h
@@ -11,6 +11,7 @@
 #include "base/str.h"
 #include "state/route_table.h"
 
+/** CONFIG_ENGINE: model engines, which run streams; CONFIG_PLAIN: other HTTP services. */
 typedef enum { CONFIG_ENGINE, CONFIG_PLAIN } config_service_kind_t;
 
 typedef struct {
@@ -35,7 +36,7 @@
 
 typedef struct {
 	char *caller;
-	int64_t rate_per_s;
+	int64_t rate_per_s; /* rate and burst of the caller's token bucket, in requests */
 	int64_t burst;
 	int64_t share; /* weight in the fair share */
 } config_limit_t;
@@ -44,7 +45,7 @@
 	uint64_t number;
 	int64_t retention_s; /* for which results can be read */
 	int64_t address_ttl_s; /* for which clients may cache an address answer */
-	int64_t weight_loads_per_min; /* rate of the token bucket of the weight store */
+	int64_t weight_loads_per_min; /* for the whole fleet: loads of model weights by engines */
 	config_service_t *services;
 	size_t nservices;
 	config_limit_t *limits;
@@ -53,8 +54,8 @@
 	route_table_t *routes; /* never NULL; may be empty */
 } config_t;
 
-/** Parses and checks a config: unknown keys, wrong types, limits, unknown or circular dependencies.
- * STATUS_INVALID has a message "text:line: key: reason". */
+/** Parses and checks a config: unknown keys, wrong types, limits, unknown or circular dependencies,
+ * routes. The message of STATUS_INVALID begins with "text:LINE: KEY: ", or names the route. */
 status_t config_parse(str_t text, config_t **out);
 void config_free(config_t *cfg);
 /** Returns NULL if there is none. */
--- a/src/state/fleet.c
+++ b/src/state/fleet.c
@@ -130,7 +130,7 @@
 	return STATUS_OK;
 }
 
-/** Accepts a config whose number is the next one. */
+/** Accepts a config whose number is the next one; a lower number is a resubmission. */
 static status_t submit_config(fleet_state_t *f, const wire_config_submit_t *c,
 			      wire_fleet_res_t *res)
 {
@@ -176,8 +176,8 @@
 	f->view_version++;
 }
 
-/** Opens a session, or returns the open one of the same name and boot. Closes one of another
- * boot. */
+/** Opens a session, or returns the open one of the same name and boot. Closes the open session of
+ * another start (boot) of this entry. */
 static status_t open_session(fleet_state_t *f, const wire_member_t *c, wire_fleet_res_t *res)
 {
 	fleet_member_t *m = find_member_by_name(f, wire_str(c->name));
@@ -204,7 +204,8 @@
 	return STATUS_OK;
 }
 
-/** Returns the status for a session that is not open: never opened, or closed. */
+/** Returns STATUS_NOT_FOUND for a session that was never opened, STATUS_CANCELLED for a closed
+ * one. */
 static status_t not_open_status(const fleet_state_t *f, uint64_t session)
 {
 	if (session == 0 || session > f->last_session)
@@ -247,7 +248,7 @@
 	f->retired[f->nretired++] = (fleet_retired_t){str_dup(name), replica};
 }
 
-/** Records that a control process must hold no replica any more. */
+/** Records that a control process must no longer hold replicas. */
 static status_t retire_control(fleet_state_t *f, const wire_retire_t *c)
 {
 	if (c->name.wire_bytes_t_len == 0 || c->replica == 0)
@@ -265,7 +266,7 @@
 	return false;
 }
 
-/** Removes sessions from the list of those to report to the ledgers. */
+/** Removes sessions from the closed sessions to report to the ledgers. */
 static void forget_closed_sessions(fleet_state_t *f, const u_quad_t *v, u_int n)
 {
 	size_t nleft = 0;
@@ -289,7 +290,7 @@
 }
 
 /** Changes the owner if the fencing token is still the one that the change was planned with, and
- * the new owner may own the upstream. Returns true if it did. */
+ * the new owner may own the upstream. Returns true if the owner changed. */
 static bool change_owner(fleet_state_t *f, const wire_owner_change_t *c)
 {
 	fleet_upstream_t *u = fleet_find_upstream(f, wire_str(c->id));
@@ -330,7 +331,8 @@
 	return true;
 }
 
-/** Adds or updates an upstream of the new list. Returns true if the view changed. */
+/** Adds or updates an upstream of the new list; a repeated id is ignored. Returns true if the view
+ * changed. */
 static bool update_listed_upstream(fleet_state_t *f, const wire_upstream_t *c)
 {
 	fleet_upstream_t *u = fleet_find_upstream(f, wire_str(c->id));
@@ -354,7 +356,7 @@
 	return changed;
 }
 
-/** Marks an upstream that is no longer listed as gone, and frees it if it has no owner. Returns
+/** Marks as gone an upstream that is no longer listed, and frees it if it has no owner. Returns
  * true if the view changed. */
 static bool mark_unlisted_gone(fleet_state_t *f, fleet_upstream_t *u)
 {
--- a/src/state/fleet.h
+++ b/src/state/fleet.h
@@ -2,6 +2,13 @@
  * State machine of group 0: the operators' configs, sessions of entries, upstreams and their
  * owners. Pure: no clock, no I/O; the same commands give the same state and answers on every
  * replica.
+ *
+ * An entry is a process that answers callers. Its session lasts from SESSION_OPEN to SESSION_CLOSE;
+ * a restarted entry gets a new session, and session numbers are never used again. An upstream is a
+ * replica of a service in the upstream list. Its owner is the one session whose entry starts
+ * streams on it. Each change of the owner, also to none, gives the upstream a higher fencing token
+ * (fence), so that an engine can reject a former owner. The view is the list of open sessions and
+ * of upstreams with their owners; its version grows with each change.
  */
 #ifndef AUBURN_FLEET_H
 #define AUBURN_FLEET_H
@@ -19,10 +26,11 @@
 void fleet_snapshot(const fleet_state_t *f, buf_t *out);
 status_t fleet_restore(fleet_state_t *f, str_t snap);
 
-/** Returns the replica last retired (WIRE_FLEET_RETIRE) under this name, or 0. */
+/** A control process is retired (WIRE_FLEET_RETIRE) when an operator removes it for good. Returns
+ * the replica of group 0 of the process last retired under this name, or 0. */
 uint64_t fleet_retired_replica(const fleet_state_t *f, str_t name);
-/** Returns true if the control process with this replica of group 0 is retired: it must hold no
- * replica of any group any more. */
+/** Returns true if the control process with this replica of group 0 is retired: it must no longer
+ * hold a replica of any group. */
 bool fleet_is_retired(const fleet_state_t *f, uint64_t replica);
 
 /** Returns the number of the newest config; 0: there is none. */
@@ -39,25 +47,25 @@
  * (WIRE_LEDGER_SESSIONS_LOST) before it forgets them. */
 size_t fleet_closed_sessions(const fleet_state_t *f, uint64_t *out, size_t max);
 
-/** Plans ownership: each upstream that is live or leaving gets an owner among the members that are
- * not draining. For each service the counts of the members differ by at most one; owners in the
- * upstream's own zone are preferred, and few upstreams move. Upstreams of a closed session get a
- * new owner at once, so close a session only once its lease has certainly ended. Upstreams of an
- * open session move in two steps: one plan releases them (owner 0), a later plan assigns them.
- * Upstreams that are gone are released. Sets cmd to a WIRE_FLEET_OWNERS, which wire_free frees, and
- * returns the number of its changes. */
+/** Plans ownership: each upstream that is live or leaving gets an owner among the members (entries
+ * with an open session) that are not draining. Once all changes are applied, the numbers of a
+ * service's upstreams that the members own differ by at most one; owners in the upstream's own zone
+ * are preferred, and few upstreams move. Upstreams of a closed session get a new owner at once, so
+ * close a session only once its entry has certainly stopped using them. Upstreams of an open
+ * session move in two steps: one plan releases them (owner 0), a later plan assigns them. Upstreams
+ * that are gone are released. Sets cmd to a WIRE_FLEET_OWNERS, which wire_free frees, and returns
+ * the number of its changes, at most max_changes. */
 size_t fleet_plan_owners(const fleet_state_t *f, size_t max_changes, wire_fleet_cmd_t *cmd);
 
-/** Options of a plan. session_saw returns whether a session has received a view; a released
- * upstream is assigned only once its former owner has received the view in which it was released,
- * or once that session is closed. */
+/** Options of a plan. session_has_view returns whether a session has received a version of the
+ * view; a released upstream is assigned only once its former owner has received the view in which
+ * it was released, or once that session is closed. */
 typedef struct {
 	size_t max_changes;
-	bool (*session_saw)(void *ctx, uint64_t session,
-			    uint64_t view_version); /* NULL: always true */
+	bool (*session_has_view)(void *ctx, uint64_t session,
+				 uint64_t view_version); /* NULL: always true */
 	void *ctx;
 } fleet_plan_options_t;
-/** Like fleet_plan_owners, with options. */
 size_t fleet_plan_owners_with(const fleet_state_t *f, const fleet_plan_options_t *plan,
 			      wire_fleet_cmd_t *cmd);
 
--- a/src/state/fleet_internal.h
+++ b/src/state/fleet_internal.h
@@ -37,13 +37,13 @@
 	wire_upstream_state_t state;
 	uint64_t owner; /* session; 0: none */
 	uint64_t fence; /* fencing token of this ownership */
-	uint64_t last_owner; /* owner before the release; 0: none */
-	uint64_t released_view; /* version of the view in which it was released */
+	uint64_t last_owner; /* owner before the last release; 0: never released */
+	uint64_t released_view; /* version of the view since that release */
 	bool listed; /* in the upstream list that is being applied */
 	UT_hash_handle hh; /* by id */
 } fleet_upstream_t;
 
-/** A control process that must hold no replica any more. */
+/** A control process that must no longer hold replicas. */
 typedef struct {
 	char *name;
 	uint64_t replica; /* id of its replica of group 0 */
@@ -51,11 +51,11 @@
 
 struct fleet_state {
 	unsigned ledger_groups;
-	fleet_config_t *configs; /* number n at n - 1 */
+	fleet_config_t *configs; /* config number n is at n - 1 */
 	uint64_t nconfigs;
 	uint64_t configs_cap;
 	fleet_member_t *members; /* open sessions */
-	uint64_t *closed; /* sessions to report to the ledgers, oldest first */
+	uint64_t *closed; /* closed sessions to report to the ledgers, oldest first */
 	size_t nclosed;
 	size_t closed_cap;
 	fleet_upstream_t *upstreams;
--- a/src/state/fleet_plan.c
+++ b/src/state/fleet_plan.c
@@ -110,14 +110,16 @@
 	best->total++;
 }
 
-/** Returns true if no entry can still act as the upstream's owner. */
+/** Returns true if no entry still acts as the upstream's owner. An owner acts until its session is
+ * closed; after a release it acts only until it has received the view of the release. */
 static bool is_assignable(const plan_state_t *p, const fleet_upstream_t *u)
 {
 	if (u->owner)
 		return !fleet_find_member(p->f, u->owner);
-	if (!u->last_owner || !p->options->session_saw || !fleet_find_member(p->f, u->last_owner))
+	if (!u->last_owner || !p->options->session_has_view ||
+	    !fleet_find_member(p->f, u->last_owner))
 		return true;
-	return p->options->session_saw(p->options->ctx, u->last_owner, u->released_view);
+	return p->options->session_has_view(p->options->ctx, u->last_owner, u->released_view);
 }
 
 /** Releases upstreams that a member owns over its quota: only those in its own zone (same_zone), or
@@ -152,9 +154,9 @@
 		if (is_assignable(p, upstreams[i]))
 			assign_owner(p, upstreams[i]);
 		else if (upstreams[i]->owner && !find_candidate(p, upstreams[i]->owner))
-			add_change(p, upstreams[i], 0);
+			add_change(p, upstreams[i], 0); /* its owner is draining */
 	}
-	/* Upstreams of other zones go first. */
+	/* Members release upstreams of other zones first. */
 	for (size_t i = 0; i < p->ncandidates; i++) {
 		release_over_quota(p, &p->candidates[i], upstreams, n, false);
 		release_over_quota(p, &p->candidates[i], upstreams, n, true);
@@ -165,9 +167,9 @@
 static void release_unownable(plan_state_t *p)
 {
 	for (const fleet_upstream_t *u = p->f->upstreams; u; u = u->hh.next) {
-		bool orphaned = p->ncandidates == 0 && !fleet_find_member(p->f, u->owner);
+		bool owner_closed = p->ncandidates == 0 && !fleet_find_member(p->f, u->owner);
 
-		if (u->owner && (u->state == WIRE_UPSTREAM_GONE || orphaned))
+		if (u->owner && (u->state == WIRE_UPSTREAM_GONE || owner_closed))
 			add_change(p, u, 0);
 	}
 }
--- a/src/state/ledger.h
+++ b/src/state/ledger.h
@@ -1,12 +1,14 @@
 /**
- * State machine of a ledger group: requests under idempotency keys, jobs and their items. Pure: no
- * clock, no I/O. The item counts of a job always add up (asserted after each command that changes
- * them).
+ * State machine of a ledger group: requests, which are single calls under an idempotency key, and
+ * jobs, which are batches of items that run in the background. The entries that run them are
+ * identified by their sessions (see fleet.h). Pure: no clock, no I/O. The item counts of a job
+ * always add up to the number of its items.
  *
  * Requests. ACCEPT creates a record, or returns the existing one if key and digest are the same
  * (fresh = false); another digest is STATUS_CONFLICT. ATTEMPT is for calls that must not run twice:
  * the first token from the session that holds the request gets STATUS_OK, as does a resend of this
- * token; any other gets STATUS_CONFLICT. For a repeatable request ATTEMPT is STATUS_INVALID. The
+ * token; any other, and any after the request has ended, gets STATUS_CONFLICT. For a repeatable
+ * request ATTEMPT is STATUS_INVALID. The
  * first FINISH is stored (record.fresh). A resend of the same outcome gets STATUS_OK; another
  * outcome gets STATUS_CONFLICT with the stored record, which is the answer that the caller must
  * get, and counts in late_dropped. A session that does not hold the request can finish it only with
@@ -26,17 +28,17 @@
  * Deadlines are not compared. A job past its deadline still runs: the deadline orders the work and
  * drops nothing.
  *
- * LEASE hands out work of one service: first requests whose entry was lost, by deadline, then
- * items. Jobs whose deadlines fall into the same LEDGER_BAND_MS form a band; the earliest band goes
- * first. Within a band callers take turns; a turn gives as many items as the caller's share
- * (JOB_OPEN), taken from the caller's jobs in turn. Overdue bands alternate, item by item, with the
- * earliest band that can still be in time, so that late work does not make all other work late.
- * Within a job, returned items go first, then new ones, then those that failed or are suspected of
- * killing replicas (alone = true from LEDGER_DEATHS_ALONE_MIN deaths on). For each service, a
- * session's seq must grow with each new LEASE. The same seq again is a resend: it gets the items of
- * the first answer that the session still holds. An entry resends until it is answered; otherwise
- * it would hold items that it never received. A lower seq is STATUS_CONFLICT. A resend drops items
- * of jobs cancelled since the first answer.
+ * LEASE hands out work of one service: first, by deadline, requests whose entry was lost or whose
+ * leased run failed, then items. Jobs whose deadlines fall into the same LEDGER_BAND_MS form a
+ * band; the earliest band goes first. Within a band callers take turns; a turn gives as many items
+ * as the caller's share (JOB_OPEN), taken from the caller's jobs in turn. Overdue bands alternate,
+ * item by item, with the earliest band that can still be in time, so that late work does not make
+ * all other work late. Within a job, returned items go first, then new ones, then those that failed
+ * or are suspected of killing replicas (alone = true from LEDGER_DEATHS_ALONE_MIN deaths on). For
+ * each service, a session's seq must grow with each new LEASE. The same seq again is a resend: it
+ * gets those requests and items of the first answer that the session still holds. An entry resends
+ * until it is answered; otherwise it would hold items that it never received. A lower seq is
+ * STATUS_CONFLICT. A resend drops items of jobs cancelled since the first answer.
  *
  * DONE takes a result only from the session that holds the item under this attempt; other results
  * are dropped and counted. WIRE_BLAME_ITEM ends an item as failed at LEDGER_ITEM_FAILS_MAX
@@ -58,21 +60,21 @@
 
 typedef struct ledger ledger_t;
 
-/** Failures of its own (WIRE_BLAME_ITEM) after which an item ends as failed; replica deaths after
- * which it runs alone on a replica, and after which it ends as failed. */
+/** Failures of its own (WIRE_BLAME_ITEM) after which an item or request ends as failed; replica
+ * deaths after which it runs alone on a replica, and after which it ends as failed. */
 #define LEDGER_ITEM_FAILS_MAX	3
 #define LEDGER_DEATHS_ALONE_MIN 2
 #define LEDGER_DEATHS_MAX	5
 #define LEDGER_JOB_ITEMS_MAX	540000
 #define LEDGER_LEASE_ITEMS_MAX	256
-/** Memory of an item beside its body or result. */
+/** Memory of an item without its body and result. */
 #define LEDGER_ITEM_BYTES 32
 /** A LEASE answer ends once its bodies reach this size. */
 #define LEDGER_LEASE_BYTES_MAX	 1048576
 #define LEDGER_RESULTS_PAGE_MAX	 1000
 #define LEDGER_RESULTS_BYTES_MAX 1048576
 #define LEDGER_JOBS_PAGE_MAX	 100
-/** Records that one EXPIRE removes at most. */
+/** Maximum number of records that one EXPIRE removes. */
 #define LEDGER_EXPIRE_MAX 10000
 /** Time after JOB_OPEN at which a job that is not sealed is removed. */
 #define LEDGER_UNSEALED_MAX_MS 3600000
@@ -99,7 +101,7 @@
 	uint64_t jobs;
 	uint64_t items;
 	uint64_t leased;
-	uint64_t late_dropped;
+	uint64_t late_dropped; /* results that came too late or from a session without the work */
 	uint64_t bytes; /* of records, bodies and results, without the hash tables */
 } ledger_stats_t;
 void ledger_get_stats(const ledger_t *l, ledger_stats_t *out);
--- a/src/state/ledger_done.c
+++ b/src/state/ledger_done.c
@@ -1,8 +1,8 @@
 /* The commands DONE and SESSIONS_LOST. */
 #include "state/ledger_internal.h"
 
-/** Counts a run without a result by its blame, and queues the item again or ends it as failed at
- * its limits. */
+/** Counts a run without a result by its blame, then queues the item again, or ends it as failed if
+ * it has reached a limit. */
 static void handle_item_failure(ledger_t *l, ledger_job_t *j, uint32_t index, wire_blame_t blame,
 				str_t reason)
 {
@@ -26,7 +26,8 @@
 	ledger_job_enqueue(j);
 }
 
-/** Applies the result of an item that was just taken from its lease, or its return without one. */
+/** Applies a result to an item that was just taken from its lease. With r->done false the item has
+ * no result and may run again. */
 static void apply_item_result(ledger_t *l, ledger_job_t *j, const wire_item_result_t *r)
 {
 	if (j->cancelled) {
@@ -93,8 +94,8 @@
 		ledger_fill_cancelled_jobs(s, res);
 }
 
-/** Puts the items of one job that a lost session held back to waiting, in the order in which they
- * were leased. */
+/** Takes the items of one job from a lost session: they wait again, in the order in which they were
+ * leased, or are dropped if the job is cancelled. */
 static void return_job_lease(ledger_t *l, ledger_job_lease_t *jl, int64_t now_ms)
 {
 	ledger_job_t *j = jl->job;
--- a/src/state/ledger_internal.h
+++ b/src/state/ledger_internal.h
@@ -33,10 +33,10 @@
 struct ledger_service {
 	char *name;
 	uint32_t name_n;
-	ledger_heap_t bands; /* other bands with waiting items */
+	ledger_heap_t bands; /* bands with waiting items, except those in overdue */
 	ledger_heap_t overdue; /* bands with waiting items that a LEASE found overdue */
-	bool overdue_next; /* overdue goes next when both heaps have bands */
-	ledger_heap_t waiting_requests; /* requests waiting for an entry, by deadline */
+	bool overdue_next; /* an overdue band goes next when both heaps have bands */
+	ledger_heap_t waiting_requests; /* requests that wait for a LEASE, by deadline */
 	ledger_band_t *band_table;
 	UT_hash_handle hh;
 };
@@ -88,7 +88,7 @@
 
 struct ledger_session {
 	uint64_t id;
-	ledger_request_t *requests; /* not final, assigned to this session */
+	ledger_request_t *requests; /* assigned to this session and not final */
 	ledger_job_lease_t *job_leases; /* of jobs that are not cancelled */
 	ledger_job_lease_t *cancelled_leases; /* of cancelled jobs */
 	ledger_lease_record_t *lease_records;
@@ -99,11 +99,11 @@
 	ledger_id_t id;
 	uint64_t serial;
 	uint64_t digest;
-	uint64_t token;
+	uint64_t token; /* of the ATTEMPT */
 	uint64_t lease_seq; /* seq of the LEASE that assigned it; 0: assigned by ACCEPT */
 	int64_t deadline_ms;
 	ledger_service_t *service;
-	ledger_session_t *session; /* NULL: final, or waiting for an entry */
+	ledger_session_t *session; /* NULL: final, or waiting for a LEASE */
 	char *input; /* path, body and trace in one block; NULL once final */
 	uint32_t path_n;
 	uint32_t body_n;
@@ -113,11 +113,11 @@
 	wire_state_t state;
 	int verdict;
 	int http_status;
-	uint32_t attempts;
+	uint32_t attempts; /* times leased so far */
 	uint8_t fails; /* failures of its own */
 	uint8_t deaths; /* replicas that died with it */
 	bool repeatable;
-	ledger_heap_node_t wait_node; /* in service->orphans */
+	ledger_heap_node_t wait_node; /* in service->waiting_requests */
 	ledger_heap_node_t expiry_node; /* in ledger->ended_requests; key: time of the end */
 	ledger_request_t *prev;
 	ledger_request_t *next;
@@ -148,12 +148,13 @@
 /** Bodies of items that were added together; freed once all of these items are final. */
 typedef struct {
 	uint32_t first; /* index of the first item */
-	uint32_t live; /* items that are not final */
+	uint32_t live; /* number of items that are not final */
 	char *data;
 	size_t bytes;
 } ledger_body_block_t;
 
-/** Block of a job's results; blocks grow up to a limit, a larger result gets its own. */
+/** Block of a job's results. Each block is larger than the one before, up to a limit; a result
+ * larger than that gets a block of its own. */
 typedef struct ledger_arena {
 	struct ledger_arena *next;
 	uint32_t used;
@@ -200,8 +201,8 @@
 	bool cancelled;
 	bool queued; /* in lane->ready_jobs */
 	uint32_t cursor; /* index of the first item that was never leased */
-	ledger_item_queue_t returned; /* returned unrun; leased before new items */
-	ledger_item_queue_t retry; /* failed or suspected; leased after new items */
+	ledger_item_queue_t returned; /* returned without a result; leased before new items */
+	ledger_item_queue_t retry; /* failed, or suspected of killing replicas; leased last */
 	ledger_item_t *items;
 	ledger_body_block_t *blocks;
 	uint32_t nblocks;
@@ -238,7 +239,7 @@
 	uint64_t leased;
 	uint64_t late_dropped;
 	uint64_t bytes;
-	buf_t scratch;
+	buf_t scratch; /* unused */
 };
 
 /* ledger.c */
@@ -259,7 +260,7 @@
 bool ledger_session_is_lost(const ledger_t *l, uint64_t session);
 /** Records a session as lost for good. */
 void ledger_mark_session_lost(ledger_t *l, uint64_t session);
-/** Frees a session without requests and leases. */
+/** Frees a session that holds no requests and no items. */
 void ledger_session_free(ledger_t *l, ledger_session_t *s);
 /** Returns an allocated copy; NULL if empty. */
 char *ledger_copy_bytes(str_t s);
@@ -270,7 +271,7 @@
 void ledger_request_fill_record(const ledger_request_t *r, wire_record_t *rec);
 void ledger_request_add(ledger_t *l, ledger_request_t *r);
 void ledger_request_free(ledger_t *l, ledger_request_t *r);
-/** Gives the request to a session, whose entry works on it. */
+/** Assigns the request to a session, whose entry runs it. */
 void ledger_request_assign(ledger_request_t *r, ledger_session_t *s);
 /** Queues the request until an entry leases it. */
 void ledger_request_enqueue(ledger_request_t *r);
@@ -280,10 +281,12 @@
 void ledger_accept(ledger_t *l, const wire_accept_t *c, wire_ledger_res_t *res);
 void ledger_attempt(ledger_t *l, const wire_attempt_t *c, wire_ledger_res_t *res);
 void ledger_finish(ledger_t *l, const wire_finish_t *c, wire_ledger_res_t *res);
-/** Applies the result of a request that LEASE handed out; returns true if it was taken. */
+/** Applies the result of a request that LEASE handed out. Returns false if the session does not
+ * hold the request under this attempt. */
 bool ledger_request_take_result(ledger_t *l, uint64_t session, int64_t now_ms,
 				const wire_item_result_t *c);
-/** Takes a lost session's requests away: attempted ones end, the others wait for another entry. */
+/** Takes all requests from a lost session: attempted ones end as failed, the others wait for a
+ * LEASE. */
 void ledger_requests_lost(ledger_t *l, ledger_session_t *s, int64_t now_ms);
 
 /* ledger_job.c */
@@ -334,7 +337,7 @@
 
 /** Applies the command LEASE. */
 void ledger_lease(ledger_t *l, const wire_lease_t *c, wire_ledger_res_t *res);
-/** Returns STATUS_OK, or STATUS_CANCELLED if the session is lost. */
+/** Returns STATUS_OK, STATUS_INVALID for session 0, or STATUS_CANCELLED if the session is lost. */
 status_t ledger_check_session(const ledger_t *l, uint64_t session);
 /** Lists the cancelled jobs of which the session still holds items. */
 void ledger_fill_cancelled_jobs(const ledger_session_t *s, wire_ledger_res_t *res);
--- a/src/state/ledger_job_cmd.c
+++ b/src/state/ledger_job_cmd.c
@@ -43,8 +43,8 @@
 	return j;
 }
 
-/** Returns true if JOB_OPEN has the digest, count and service of this job, so that it is a
- * resend. */
+/** Returns true if JOB_OPEN has the digest, count and service of this job: it counts as a resend.
+ */
 static bool same_job(const ledger_job_t *j, const wire_job_open_t *c)
 {
 	str_t service = {j->service->name, j->service->name_n};
--- a/src/state/ledger_job_lease.c
+++ b/src/state/ledger_job_lease.c
@@ -41,7 +41,7 @@
 }
 
 /** Returns a free position in job_leases, which grows if needed. */
-static uint16_t free_index(ledger_job_t *j)
+static uint16_t find_free_index(ledger_job_t *j)
 {
 	for (uint16_t i = 0; i < j->njob_leases; i++)
 		if (!j->job_leases[i])
@@ -63,7 +63,7 @@
 	jl->session = s;
 	jl->job = j;
 	jl->items = (ledger_item_queue_t){LEDGER_NO_ITEM, LEDGER_NO_ITEM};
-	jl->index = free_index(j);
+	jl->index = find_free_index(j);
 	j->job_leases[jl->index] = jl;
 	if (j->cancelled)
 		DL_APPEND(s->cancelled_leases, jl);
--- a/src/state/ledger_lease.c
+++ b/src/state/ledger_lease.c
@@ -78,7 +78,7 @@
 	return rec;
 }
 
-/** Leases the requests that wait for an entry, by deadline. */
+/** Leases waiting requests, by deadline. */
 static void lease_requests(ledger_session_t *s, ledger_lease_record_t *rec, reply_t *reply)
 {
 	ledger_heap_node_t *n;
@@ -149,7 +149,7 @@
 	reply_count_bytes(reply);
 }
 
-/** Marks the bands whose last deadline has passed. */
+/** Marks the bands all of whose deadlines have passed. */
 static void mark_overdue_bands(ledger_service_t *s, int64_t now_ms)
 {
 	ledger_heap_node_t *n;
@@ -221,8 +221,9 @@
 		fill_request(found[i], reply_next_item(reply));
 }
 
-/** Answers a resend with the items of the first answer that the session still holds. Items of jobs
- * cancelled since then are dropped: the session has not received them, so it has not begun them. */
+/** Answers a resend with those requests and items of the first answer that the session still holds.
+ * Items of jobs cancelled since then are dropped: the session has not received them, so it has not
+ * begun them. */
 static void resend_lease(ledger_t *l, ledger_session_t *s, ledger_lease_record_t *rec,
 			 int64_t now_ms, reply_t *reply)
 {
--- a/src/state/ledger_request.c
+++ b/src/state/ledger_request.c
@@ -52,7 +52,7 @@
 	DL_APPEND(s->requests, r);
 }
 
-/** Takes the request from its session or from the queue of waiting requests. */
+/** Takes the request from its session or from the waiting requests. */
 static void detach_request(ledger_request_t *r)
 {
 	if (r->session)
@@ -92,7 +92,6 @@
 	int64_t now_ms;
 } outcome_t;
 
-/** Makes a request final. */
 static void finish_request(ledger_t *l, ledger_request_t *r, const outcome_t *o)
 {
 	assert(!is_final(r) && o->state >= WIRE_DONE);
@@ -281,7 +280,7 @@
 	finish_request(l, r, &o);
 }
 
-/** Counts a failed run; returns true if the request may run again. */
+/** Counts a failed run by its blame; returns true if the request may run again. */
 static bool count_failure(ledger_request_t *r, wire_blame_t blame)
 {
 	if (blame == WIRE_BLAME_ITEM)
--- a/src/state/ledger_restore.c
+++ b/src/state/ledger_restore.c
@@ -194,7 +194,8 @@
 	unpack_item_queue(in, j, &j->retry);
 }
 
-/** Adds the job to the ended or unsealed jobs, or to a lane, from which it can be leased. */
+/** Adds the job to the ended or unsealed jobs, or else to a lane, from which its items can be
+ * leased. */
 static void place_job(unpacker_t *in, ledger_t *l, ledger_job_t *j, bool queued)
 {
 	bool open = !j->sealed && !j->cancelled;
@@ -287,7 +288,7 @@
 		unpack_lease_record(in, l, s);
 }
 
-/** Queues the ready jobs in order of turns. */
+/** Queues the jobs with waiting items in order of turns. */
 static void unpack_bands(unpacker_t *in, ledger_t *l, bool overdue)
 {
 	uint64_t serial;
@@ -306,7 +307,7 @@
 	}
 }
 
-/** Reads the turns of one service. */
+/** Reads the turns of the bands, callers and jobs of one service. */
 static void unpack_turns(unpacker_t *in, ledger_t *l)
 {
 	ledger_service_t *s = ledger_get_service(l, unpack_str(in));
--- a/src/state/ledger_snapshot.c
+++ b/src/state/ledger_snapshot.c
@@ -2,6 +2,7 @@
 #include "state/ledger_internal.h"
 #include "state/pack.h"
 
+/** Writes whether the node is in its heap, and its key. */
 static void pack_heap_node(buf_t *out, const ledger_heap_node_t *n)
 {
 	pack_u64(out, n->pos ? 1 : 0);
@@ -40,6 +41,7 @@
 	const ledger_item_t *it = &j->items[index];
 	str_t data = {it->data, it->len};
 
+	/* The bodies of a cancelled job may have been freed. */
 	if (it->state == LEDGER_ITEM_WAITING && j->cancelled)
 		data.n = 0;
 	pack_u64(out, it->state);
@@ -121,7 +123,7 @@
 	pack_u64(out, 0);
 }
 
-/** Jobs with waiting items, in order of turns. */
+/** Writes the jobs with waiting items, in order of turns within each band. */
 static void pack_bands(buf_t *out, const ledger_heap_t *bands)
 {
 	const ledger_lane_t *lane;
@@ -140,7 +142,7 @@
 	pack_u64(out, 0);
 }
 
-/** Writes the order of turns of one service. */
+/** Writes the turns of the bands, callers and jobs of one service. */
 static void pack_turns(buf_t *out, const ledger_service_t *s)
 {
 	pack_str(out, (str_t){s->name, s->name_n});
@@ -149,7 +151,8 @@
 	pack_bands(out, &s->bands);
 }
 
-/** Names of services and ids of sessions, so that restore creates them in the same order. */
+/** Writes the names of services and the ids of sessions, so that restore creates both in the same
+ * order. */
 static void pack_names(buf_t *out, const ledger_t *l)
 {
 	pack_u64(out, HASH_COUNT(l->services));
--- a/src/state/lots.c
+++ b/src/state/lots.c
@@ -9,9 +9,10 @@
 #define SNAPSHOT_VERSION 2U
 /** Oldest version that can be read; version 1 has no early ends. */
 #define SNAPSHOT_OLDEST 1U
-/** Time for which an early end is stored; several times as long as a caller resends an opening. */
+/** Time for which an early end is stored; several times the time for which a caller resends an
+ * opening. */
 #define EARLY_END_MS 60000
-/** Most early ends stored; the oldest is dropped first. */
+/** Maximum number of stored early ends; the oldest is dropped first. */
 #define EARLY_ENDS_MAX 8192U
 /** Upper bounds of the bytes that numbers and lengths take in a snapshot: for an item and its
  * position in `finished`, for a lot, and for the rest. */
@@ -21,7 +22,7 @@
 /** Upper bound for an early end, without its id. */
 #define EARLY_END_OVERHEAD_BYTES 16
 
-/** Tokens of unfinished items on one route, counted against its quota. */
+/** Tokens of the open items on one route, counted against its quota. */
 typedef struct {
 	char *name;
 	uint64_t waiting;
@@ -284,8 +285,8 @@
 		append_partial_text(it, wire_str(c->text), c->events);
 }
 
-/* Makes an item final and appends it to `finished`. Items of a lot that has ended no longer count
- * against the quota. */
+/* Makes an item final and appends it to `finished`. The items of a lot that has ended were taken
+ * off the backlog by end_lot. */
 static void finish_item(lots_t *l, lot_t *t, uint32_t i, lot_item_state_t state, str_t text)
 {
 	lot_item_t *it = &t->items[i];
@@ -325,7 +326,8 @@
 	mark_ended(t);
 }
 
-/* Gives up open items and removes lots and early ends when their time has come. */
+/* Gives up open items and removes lots and early ends whose time (drop_wall_ms, forget_wall_ms) has
+ * come. */
 static void expire_lots(lots_t *l, int64_t now)
 {
 	lot_t *t;
--- a/src/state/lots.h
+++ b/src/state/lots.h
@@ -1,12 +1,14 @@
 /**
- * State machine of batch lots, part of group 0. A lot is accepted as a whole; its items run in any
- * order, and `finished` lists them in the order in which they finished. Pure: no clock, no I/O.
+ * State machine of lots, part of group 0. A lot is a batch of items that a client sends to a batch
+ * route. It is accepted as a whole; its items run in any order, and `finished` lists them in the
+ * order in which they finished. Pure: no clock, no I/O.
  *
  * Which item runs where is not stored here: an item may run more than once, so its leases are soft
  * state of the leader. Opening a lot that exists returns STATUS_OK and changes nothing. A result
  * for an item that has finished, or for a lot that has ended, is ignored: the first result stands.
- * The end of a lot may be applied before its opening, which may still be pending at a leader that
- * was lost: the end is stored for some time, and a lot opened in that time has ended already.
+ * A client ends a lot when it wants no more results. The end may be applied before the opening,
+ * which may still be pending at a leader that was lost: the end is stored for some time, and a lot
+ * opened in that time has ended already.
  */
 #ifndef AUBURN_LOTS_H
 #define AUBURN_LOTS_H
@@ -42,7 +44,7 @@
 	uint32_t nitems;
 	uint32_t nfinished;
 	lot_item_t *items;
-	uint32_t *finished; /* items in the order in which they finished */
+	uint32_t *finished; /* indices of items in the order in which they finished */
 	bool ended; /* its client wants no more results */
 	UT_hash_handle hh; /* in order of acceptance */
 } lot_t;
@@ -51,14 +53,14 @@
 
 lots_t *lots_new(void);
 void lots_free(lots_t *l);
-/** Sets res->opened to a status for each opening: STATUS_OK, or STATUS_LIMIT if the quota is
- * exceeded. */
+/** Applies one command. Sets res->opened to a status for each opening: STATUS_OK, or STATUS_LIMIT
+ * if the quota is exceeded. */
 void lots_apply_cmd(lots_t *l, const wire_lots_cmd_t *cmd, wire_fleet_res_t *res);
 void lots_snapshot(const lots_t *l, buf_t *out);
-/** Bytes of all contents, about the size of a snapshot. */
+/** Size of all contents in bytes, an upper bound of the size of a snapshot. */
 size_t lots_bytes(const lots_t *l);
-/** Estimates lots_bytes once all open items are done: their texts count with the mean length of
- * those done so far. */
+/** Estimates lots_bytes once all open items are done: adds the mean length of the results so far
+ * for each open item. */
 size_t lots_bytes_expected(const lots_t *l);
 /** Replaces the state; after STATUS_CORRUPT the old state is unchanged. */
 status_t lots_restore(lots_t *l, str_t snap);
--- a/src/state/pack.h
+++ b/src/state/pack.h
@@ -1,4 +1,5 @@
-/** Binary encoding of state snapshots: variable-length integers and length-prefixed strings. */
+/** Binary encoding of state snapshots: variable-length integers (signed ones in zigzag encoding)
+ * and length-prefixed strings. */
 #ifndef AUBURN_PACK_H
 #define AUBURN_PACK_H
 
@@ -14,7 +15,8 @@
 size_t pack_begin_str(buf_t *out);
 void pack_end_str(buf_t *out, size_t start);
 
-/** Reads from the front. After a malformed value `bad` stays set and all further reads return 0. */
+/** Reads from the front. After a malformed value `bad` stays set, and all further reads return 0 or
+ * an empty string. */
 typedef struct {
 	str_t left;
 	bool bad;
@@ -26,7 +28,8 @@
 uint64_t unpack_u64_max(unpacker_t *r, uint64_t max);
 /** The string points into the snapshot. */
 str_t unpack_str(unpacker_t *r);
-/** Returns STATUS_CORRUPT unless everything was read and well formed. */
+/** Returns STATUS_CORRUPT unless everything was read and well formed; `what` names the snapshot in
+ * the message. */
 status_t unpack_end(const unpacker_t *r, const char *what);
 
 #endif
--- a/src/state/route_table.h
+++ b/src/state/route_table.h
@@ -32,7 +32,7 @@
 	size_t nshares;
 	int64_t timeout_ms; /* longest time for which a caller waits */
 	int64_t objective_ms; /* time until the first byte; ROUTE_BATCH: until a lot is accepted */
-	int64_t pause_ms; /* longest pause between two events that meets the objective */
+	int64_t pause_ms; /* longest pause between two events that still meets the objective */
 	int64_t give_up_ms; /* key patience_ms: caller timeout between events; 0: none */
 	int64_t due_ms; /* ROUTE_BATCH: from acceptance until all results are due */
 	int64_t retention_ms; /* ROUTE_BATCH: time after which an unfinished item may be given up */
@@ -75,16 +75,18 @@
 #define AUTO_ROUTE_TABLE __attribute__((cleanup(route_table_cleanup))) route_table_t
 
 /** Checks all routes and builds the index; called once, when the table is complete. STATUS_INVALID
- * with a message: an unknown service, two routes with the same host and prefix, weights that add up
- * to 0, a timeout of 0, a malformed prefix. */
+ * with a message: an unknown service, two routes with the same host and prefix, a negative weight,
+ * weights that add up to 0, a timeout that is not positive, a malformed prefix. */
 status_t route_table_build(route_table_t *r);
-/** Returns the route of this host with the longest prefix of path, or NULL. */
+/** Returns the route of this host with the longest prefix of path, or NULL. Ignores the port and
+ * the case of the host. */
 const route_spec_t *route_table_match(const route_table_t *r, str_t host, str_t path);
 /** Returns the route of exactly this host and prefix, or NULL. */
 const route_spec_t *route_table_find(const route_table_t *r, str_t host, str_t prefix);
 bool route_spec_eq(const route_spec_t *a, const route_spec_t *b);
 /** Picks a service by weight; equal random values give equal answers. */
 const char *route_pick_service(const route_spec_t *r, uint64_t rnd);
+/** Returns the service with this name, or NULL. */
 const route_service_t *route_table_service(const route_table_t *r, str_t name);
 
 #endif
