--- a/src/raft/group.h
+++ b/src/raft/group.h
@@ -62,8 +62,9 @@
  *
  * The first voters' ids are derived from their addresses, so a seed that has lost its directory
  * must not be opened with `bootstrap` again: it could vote twice in a term. Once another seed has a
- * term above 0, votes may have been cast. control_boot_decide asks the other seeds and sets
- * `bootstrap` only if none of them has committed more than the founding entries.
+ * term above 0, votes may have been cast. control_boot_decide asks the other seeds; its test is
+ * weaker: it founds a fleet unless a group of theirs has committed more than the first two entries
+ * (the members and the first leader's no-op).
  */
 status_t group_open(const group_options_t *o, group_t **out);
 /** Returns true if dir already holds a replica; `bootstrap` then has no effect. */
--- a/src/raft/raft.c
+++ b/src/raft/raft.c
@@ -149,10 +149,10 @@
  * callback. */
 static void set_role(raft_t *r, raft_role_t role)
 {
-	bool was = r->role == RAFT_LEADER;
+	bool was_leader = r->role == RAFT_LEADER;
 
 	r->role = role;
-	if (!was)
+	if (!was_leader)
 		return;
 	r->transfer_to = 0;
 	raft_reads_fail(r);
--- a/src/raft/raft.h
+++ b/src/raft/raft.h
@@ -45,7 +45,7 @@
 	void (*persist_reset)(void *ctx, uint64_t seq, uint64_t index, uint64_t term);
 	void (*apply)(void *ctx, uint64_t index, const raft_entry_t *e);
 	/** Reads a chunk at c->offset of the snapshot at c->index (0: the newest). Returns false if
-	 * there is no such snapshot. */
+	 * there is no such snapshot or it cannot be read. */
 	bool (*snap_read)(void *ctx, raft_snap_chunk_t *c);
 	/** Writes one chunk; chunks come in order from offset 0. With c->last, true means that the
 	 * snapshot is durable and has replaced the state. After false the transfer starts again at
--- a/src/raft/raft_log.c
+++ b/src/raft/raft_log.c
@@ -131,11 +131,11 @@
 
 bool raft_log_update_synced(raft_t *r)
 {
-	uint64_t was = r->synced;
+	uint64_t old_synced = r->synced;
 
 	while (r->synced < r->submitted && r->persist_seqs[r->synced - r->base] <= r->synced_seq)
 		r->synced++;
-	return r->synced > was;
+	return r->synced > old_synced;
 }
 
 void raft_log_commit(raft_t *r, uint64_t index)
--- a/src/raft/raft_send.c
+++ b/src/raft/raft_send.c
@@ -100,7 +100,7 @@
 	if (p->snap_sent)
 		return;
 	if (!r->cb.snap_read(r->cb.ctx, &c)) {
-		/* The snapshot was removed: restart with the newest one. */
+		/* The snapshot was removed or cannot be read: restart with the newest one. */
 		c = (raft_snap_chunk_t){0};
 		if (!r->cb.snap_read(r->cb.ctx, &c))
 			return;
--- a/src/raft/store_internal.h
+++ b/src/raft/store_internal.h
@@ -130,7 +130,8 @@
 void store_segments_remove(store_t *s, uint64_t index);
 
 /* store_replay.c */
-/** Reads the log from the segments into contents. */
+/** Reads the log from the segments into contents, truncates an incomplete last write and opens the
+ * last segment to continue the log in it. */
 status_t store_replay(store_t *s, store_contents_t *contents);
 
 /* store_snapshot.c */
--- a/src/raft/store_replay.c
+++ b/src/raft/store_replay.c
@@ -140,7 +140,8 @@
 	return st;
 }
 
-/* Reads one segment; *size is its valid length, 0 if the header is incomplete. */
+/* Reads one segment; *size is its valid length, 0 if the header is incomplete. Truncates an
+ * incomplete last write in the last segment. */
 static status_t read_segment(replay_t *rp, uint64_t number, bool is_last, size_t *size)
 {
 	char path[STORE_PATH_BYTES];
@@ -183,6 +184,7 @@
 	return truncate_tail(rp->s, path, at);
 }
 
+/* Reads all segments and opens the last one to continue the log in it. */
 static status_t read_segments(replay_t *rp)
 {
 	AUTO_FREE uint64_t *numbers = NULL;
--- a/src/raft/store_snapshot.c
+++ b/src/raft/store_snapshot.c
@@ -115,14 +115,14 @@
 static status_t load_state(const store_t *s, const store_snap_t *sn, buf_t *out)
 {
 	char path[STORE_PATH_BYTES];
-	size_t was = out->n;
+	size_t start = out->n;
 
 	snap_path(s, sn->index, path);
 	if (!read_append(sn->fd, sn->state_offset, sn->len, out))
 		return status_fail(STATUS_IO, "%s: read: %s", path, strerror(errno));
-	if (store_crc(0, out->p + was, sn->len) == sn->crc)
+	if (store_crc(0, out->p + start, sn->len) == sn->crc)
 		return STATUS_OK;
-	out->n = was;
+	out->n = start;
 	return status_fail(STATUS_CORRUPT, "%s: offset %lu: checksum differs", path,
 			   (unsigned long)sn->state_offset);
 }
--- a/src/state/fleet.c
+++ b/src/state/fleet.c
@@ -120,10 +120,10 @@
 static status_t resubmit_config(const fleet_state_t *f, uint64_t number, uint64_t digest,
 				wire_fleet_res_t *res)
 {
-	uint64_t winner = f->configs[number - 1].digest;
+	uint64_t stored = f->configs[number - 1].digest;
 
-	res->winner_digest = winner;
-	if (winner != digest)
+	res->winner_digest = stored;
+	if (stored != digest)
 		return status_fail(STATUS_CONFLICT, "config %llu already exists with another text",
 				   (unsigned long long)number);
 	res->number = number;
--- a/src/state/ledger.h
+++ b/src/state/ledger.h
@@ -8,13 +8,12 @@
  * (fresh = false); another digest is STATUS_CONFLICT. ATTEMPT is for calls that must not run twice:
  * the first token from the session that holds the request gets STATUS_OK, as does a resend of this
  * token; any other, and any after the request has ended, gets STATUS_CONFLICT. For a repeatable
- * request ATTEMPT is STATUS_INVALID. The
- * first FINISH is stored (record.fresh). A resend of the same outcome gets STATUS_OK; another
- * outcome gets STATUS_CONFLICT with the stored record, which is the answer that the caller must
- * get, and counts in late_dropped. A session that does not hold the request can finish it only with
- * WIRE_DONE, and only if the request is repeatable: another entry may be running the request, so
- * this session cannot say that it failed or did not run. Session 0 stands for a sender without a
- * session, which may finish any request.
+ * request ATTEMPT is STATUS_INVALID. The first FINISH is stored (record.fresh). A resend of the
+ * same outcome gets STATUS_OK; another outcome gets STATUS_CONFLICT with the stored record, which
+ * is the answer that the caller must get, and counts in late_dropped. A session that does not hold
+ * the request can finish it only with WIRE_DONE, and only if the request is repeatable: another
+ * entry may be running the request, so this session cannot say that it failed or did not run.
+ * Session 0 stands for a sender without a session, which may finish any request.
  *
  * Lost sessions. SESSIONS_LOST ends attempted requests for good as WIRE_FAILED with verdict
  * may_have_run; the other requests wait until LEASE gives them to another entry. Leased items go
@@ -43,8 +42,9 @@
  * DONE takes a result only from the session that holds the item under this attempt; other results
  * are dropped and counted. WIRE_BLAME_ITEM ends an item as failed at LEDGER_ITEM_FAILS_MAX
  * failures, WIRE_BLAME_REPLICA at LEDGER_DEATHS_MAX deaths, WIRE_BLAME_NONE never. A result with an
- * empty job belongs to a request that LEASE handed out; if done, it is stored with HTTP status 200,
- * so use FINISH for any other status.
+ * empty job belongs to a request that LEASE handed out. If done, it is stored with HTTP status 200,
+ * so use FINISH for any other status. If not done, an attempted request ends as WIRE_FAILED with
+ * verdict may_have_run; for other requests blame and limits are those of items.
  *
  * JOB_CANCEL drops waiting items at once. Leased items are dropped when their result arrives, their
  * session is lost or their LEASE is resent; until then LEASE and DONE list the job as cancelled.
@@ -101,7 +101,7 @@
 	uint64_t jobs;
 	uint64_t items;
 	uint64_t leased;
-	uint64_t late_dropped; /* results that came too late or from a session without the work */
+	uint64_t late_dropped; /* results of ended or cancelled work, or from a wrong session */
 	uint64_t bytes; /* of records, bodies and results, without the hash tables */
 } ledger_stats_t;
 void ledger_get_stats(const ledger_t *l, ledger_stats_t *out);
--- a/src/state/ledger_done.c
+++ b/src/state/ledger_done.c
@@ -99,12 +99,12 @@
 static void return_job_lease(ledger_t *l, ledger_job_lease_t *jl, int64_t now_ms)
 {
 	ledger_job_t *j = jl->job;
-	wire_item_result_t unrun = {.blame = WIRE_BLAME_NONE};
+	wire_item_result_t no_result = {.blame = WIRE_BLAME_NONE};
 
 	for (uint32_t left = jl->n; left > 0; left--) {
-		unrun.index = jl->items.head;
-		ledger_job_lease_remove_item(l, j, unrun.index);
-		apply_item_result(l, j, &unrun);
+		no_result.index = jl->items.head;
+		ledger_job_lease_remove_item(l, j, no_result.index);
+		apply_item_result(l, j, &no_result);
 	}
 	ledger_job_check_end(l, j, now_ms);
 }
--- a/src/state/ledger_internal.h
+++ b/src/state/ledger_internal.h
@@ -46,7 +46,7 @@
 	ledger_heap_node_t node; /* key: deadline / LEDGER_BAND_MS */
 	ledger_service_t *service;
 	ledger_lane_t *lane_table;
-	ledger_lane_t *ring; /* lanes with waiting items, in order of turns */
+	ledger_lane_t *ready_lanes; /* lanes with waiting items, in order of turns */
 	bool overdue; /* in service->overdue */
 	UT_hash_handle hh;
 };
@@ -239,7 +239,7 @@
 	uint64_t leased;
 	uint64_t late_dropped;
 	uint64_t bytes;
-	buf_t scratch; /* unused */
+	buf_t scratch; /* never filled */
 };
 
 /* ledger.c */
--- a/src/state/ledger_job.c
+++ b/src/state/ledger_job.c
@@ -125,9 +125,9 @@
 		return;
 	b = lane->band;
 	if (!lane->ready_jobs) {
-		if (!b->ring)
+		if (!b->ready_lanes)
 			ledger_heap_push(&b->service->bands, &b->node);
-		DL_APPEND(b->ring, lane);
+		DL_APPEND(b->ready_lanes, lane);
 	}
 	DL_APPEND(lane->ready_jobs, j);
 	j->queued = true;
@@ -146,8 +146,8 @@
 	if (lane->ready_jobs)
 		return;
 	lane->turn_taken = 0;
-	DL_DELETE(b->ring, lane);
-	if (b->ring)
+	DL_DELETE(b->ready_lanes, lane);
+	if (b->ready_lanes)
 		return;
 	ledger_heap_remove(b->overdue ? &b->service->overdue : &b->service->bands, &b->node);
 	b->overdue = false;
--- a/src/state/ledger_lease.c
+++ b/src/state/ledger_lease.c
@@ -119,8 +119,8 @@
 	if (++lane->turn_taken < j->share)
 		return;
 	lane->turn_taken = 0;
-	DL_DELETE(b->ring, lane);
-	DL_APPEND(b->ring, lane);
+	DL_DELETE(b->ready_lanes, lane);
+	DL_APPEND(b->ready_lanes, lane);
 }
 
 /** Leases one item of the caller and job whose turn it is. */
@@ -128,7 +128,7 @@
 		       const ledger_heap_node_t *band, reply_t *reply)
 {
 	ledger_band_t *b = LEDGER_CONTAINER_OF(band, ledger_band_t, node);
-	ledger_job_t *j = b->ring->ready_jobs;
+	ledger_job_t *j = b->ready_lanes->ready_jobs;
 	uint32_t index = pop_waiting_item(j);
 	ledger_item_t *it;
 
@@ -144,7 +144,7 @@
 	end_turn(j);
 	if (j->waiting == 0)
 		ledger_job_dequeue(j);
-	ledger_job_check_end(l, j, 0);
+	ledger_job_check_end(l, j, 0); /* for its asserts: with a leased item no job ends */
 	fill_item(j, index, reply_next_item(reply));
 	reply_count_bytes(reply);
 }
--- a/src/state/ledger_request.c
+++ b/src/state/ledger_request.c
@@ -270,8 +270,8 @@
 	res->record.fresh = fresh;
 }
 
-/** Ends a request whose entry was lost during a call that must not run twice: whether the call ran
- * is unknown. */
+/** Ends a request whose call, which must not run twice, was begun and has no result: whether it ran
+ * is unknown. Also used, with the same text, if the entry is not lost but returned no result. */
 static void finish_with_unknown_outcome(ledger_t *l, ledger_request_t *r, int64_t now_ms)
 {
 	outcome_t o = {WIRE_FAILED, VERDICT_MAY_HAVE_RUN, 0,
--- a/src/state/ledger_restore.c
+++ b/src/state/ledger_restore.c
@@ -280,6 +280,7 @@
 {
 	ledger_session_t *s = ledger_get_session(l, unpack_u64(in));
 
+	/* First the leases of jobs that are not cancelled, then those of cancelled jobs. */
 	while (unpack_job_lease(in, l, s))
 		;
 	while (!in->bad && unpack_job_lease(in, l, s))
@@ -318,7 +319,8 @@
 		unpack_bands(in, l, false);
 }
 
-/** Checks that the counts of the restored jobs add up. */
+/** Checks that the counts of the restored jobs add up, and that the jobs with waiting items in a
+ * lane are queued, and no others. */
 static void check_job_counts(unpacker_t *in, const ledger_t *l)
 {
 	for (const ledger_job_t *j = l->jobs; j && !in->bad; j = j->hh.next) {
--- a/src/state/ledger_snapshot.c
+++ b/src/state/ledger_snapshot.c
@@ -132,7 +132,7 @@
 	for (uint32_t i = 0; i < bands->n; i++) {
 		const ledger_band_t *b = LEDGER_CONTAINER_OF(bands->nodes[i], ledger_band_t, node);
 
-		for (lane = b->ring; lane; lane = lane->next) {
+		for (lane = b->ready_lanes; lane; lane = lane->next) {
 			for (j = lane->ready_jobs; j; j = j->next) {
 				pack_u64(out, j->serial);
 				pack_u64(out, lane->turn_taken);
--- a/src/state/route_table.h
+++ b/src/state/route_table.h
@@ -13,7 +13,7 @@
 	ROUTE_REPEATABLE, /* may run more than once */
 	ROUTE_ONCE, /* runs at most once for each request that a caller sends */
 	ROUTE_STREAM, /* answered as events; runs once unless resumable */
-	ROUTE_BATCH /* lots of items that run later */
+	ROUTE_BATCH /* takes lots (batches of items, see lots.h), which run later */
 } route_kind_t;
 
 /** A service of a route, and the weight with which requests go to it. */
@@ -53,8 +53,8 @@
 typedef struct {
 	int64_t header_bytes;
 	int64_t body_bytes;
-	int64_t header_ms;
-	int64_t idle_ms;
+	int64_t header_ms; /* from the first byte of a request to the end of its header */
+	int64_t idle_ms; /* without a byte, between requests or within a body */
 } route_client_limits_t;
 
 typedef struct {
