--- a/src/raft/raft_send.c
+++ b/src/raft/raft_send.c
@@ -9,7 +9,7 @@
 	size_t bytes = 0;
 	size_t n = 0;
 
-	/* Only entries that were given to this replica's disk as well are sent. */
+	/* Entries that this replica has not yet submitted to its own disk are left out. */
 	while (from + n <= r->submitted && n < RAFT_BATCH_ENTRIES_MAX) {
 		bytes += raft_entry_at(r, from + n)->data.data_len;
 		if (n > 0 && bytes > RAFT_BATCH_BYTES_MAX)
@@ -100,7 +100,7 @@
 	if (p->snap_sent)
 		return;
 	if (!r->cb.snap_read(r->cb.ctx, &c)) {
-		/* The snapshot was removed: restart with the newest one. */
+		/* The snapshot was removed or cannot be read: restart with the newest one. */
 		c = (raft_snap_chunk_t){0};
 		if (!r->cb.snap_read(r->cb.ctx, &c))
 			return;
--- a/src/raft/store_replay.c
+++ b/src/raft/store_replay.c
@@ -22,9 +22,9 @@
 	uint64_t max_index; /* highest entry index in the segment being read */
 } replay_t;
 
-static void truncate_entries(replay_t *rp, size_t keep)
+static void truncate_entries(replay_t *rp, size_t n)
 {
-	while (rp->n > keep)
+	while (rp->n > n)
 		free(rp->entries[--rp->n].data.data_val);
 }
 
@@ -101,7 +101,7 @@
 	return sizeof(*rec) + padded;
 }
 
-/* Returns true if a later record proves that the bytes at `broken` had been synced. */
+/* Returns true if the synced_len of a later record says that the bytes at `broken` were synced. */
 static bool was_synced(str_t file, size_t broken)
 {
 	store_record_t rec;
@@ -140,7 +140,8 @@
 	return st;
 }
 
-/* Reads one segment; *size is its valid length, 0 if the header is incomplete. */
+/* Reads one segment; *size is its valid length, 0 if the header is incomplete. Truncates an
+ * incomplete last write in the last segment. */
 static status_t read_segment(replay_t *rp, uint64_t number, bool is_last, size_t *size)
 {
 	char path[STORE_PATH_BYTES];
@@ -183,6 +184,7 @@
 	return truncate_tail(rp->s, path, at);
 }
 
+/* Reads all segments and opens the last one to continue the log in it. */
 static status_t read_segments(replay_t *rp)
 {
 	AUTO_FREE uint64_t *numbers = NULL;
--- a/src/state/ledger_request.c
+++ b/src/state/ledger_request.c
@@ -52,7 +52,7 @@
 	DL_APPEND(s->requests, r);
 }
 
-/** Takes the request from its session or from the queue of waiting requests. */
+/** Takes the request from its session or from the waiting requests. */
 static void detach_request(ledger_request_t *r)
 {
 	if (r->session)
@@ -92,7 +92,6 @@
 	int64_t now_ms;
 } outcome_t;
 
-/** Makes a request final. */
 static void finish_request(ledger_t *l, ledger_request_t *r, const outcome_t *o)
 {
 	assert(!is_final(r) && o->state >= WIRE_DONE);
@@ -271,8 +270,8 @@
 	res->record.fresh = fresh;
 }
 
-/** Ends a request whose entry was lost during a call that must not run twice: whether the call ran
- * is unknown. */
+/** Ends a request whose call, which must not run twice, was begun and has no result: whether it ran
+ * is unknown. Also used, with the same text, if the entry is not lost but returned no result. */
 static void finish_with_unknown_outcome(ledger_t *l, ledger_request_t *r, int64_t now_ms)
 {
 	outcome_t o = {WIRE_FAILED, VERDICT_MAY_HAVE_RUN, 0,
@@ -281,7 +280,7 @@
 	finish_request(l, r, &o);
 }
 
-/** Counts a failed run; returns true if the request may run again. */
+/** Counts a failed run by its blame; returns true if the request may run again. */
 static bool count_failure(ledger_request_t *r, wire_blame_t blame)
 {
 	if (blame == WIRE_BLAME_ITEM)
--- a/src/state/ledger_restore.c
+++ b/src/state/ledger_restore.c
@@ -194,7 +194,8 @@
 	unpack_item_queue(in, j, &j->retry);
 }
 
-/** Adds the job to the ended or unsealed jobs, or to a lane, from which it can be leased. */
+/** Adds the job to the ended or unsealed jobs, or else to a lane, from which its items can be
+ * leased. */
 static void place_job(unpacker_t *in, ledger_t *l, ledger_job_t *j, bool queued)
 {
 	bool open = !j->sealed && !j->cancelled;
@@ -279,6 +280,7 @@
 {
 	ledger_session_t *s = ledger_get_session(l, unpack_u64(in));
 
+	/* First the leases of jobs that are not cancelled, then those of cancelled jobs. */
 	while (unpack_job_lease(in, l, s))
 		;
 	while (!in->bad && unpack_job_lease(in, l, s))
@@ -287,7 +289,7 @@
 		unpack_lease_record(in, l, s);
 }
 
-/** Queues the ready jobs in order of turns. */
+/** Queues the jobs with waiting items in order of turns. */
 static void unpack_bands(unpacker_t *in, ledger_t *l, bool overdue)
 {
 	uint64_t serial;
@@ -306,7 +308,7 @@
 	}
 }
 
-/** Reads the turns of one service. */
+/** Reads the turns of the bands, callers and jobs of one service. */
 static void unpack_turns(unpacker_t *in, ledger_t *l)
 {
 	ledger_service_t *s = ledger_get_service(l, unpack_str(in));
@@ -317,7 +319,8 @@
 		unpack_bands(in, l, false);
 }
 
-/** Checks that the counts of the restored jobs add up. */
+/** Checks that the counts of the restored jobs add up, and that the jobs with waiting items in a
+ * lane are queued, and no others. */
 static void check_job_counts(unpacker_t *in, const ledger_t *l)
 {
 	for (const ledger_job_t *j = l->jobs; j && !in->bad; j = j->hh.next) {
