--- a/src/entry/addresses.c
+++ b/src/entry/addresses.c
@@ -16,8 +16,8 @@
 
 typedef void (*member_visit_t)(void *ctx, const wire_member_t *m);
 
-/* Visits the members that are not draining, those of the zone first, each group from a random start
- * so that callers spread evenly over the entries. */
+/* Visits the members that are not draining, first those of the zone, then the others. Starts at a
+ * random member, so that callers spread over the entries. */
 static void for_each_serving_member(const wire_view_t *v, str_t zone, member_visit_t visit,
 				    void *ctx)
 {
--- a/src/entry/addresses.h
+++ b/src/entry/addresses.h
@@ -1,4 +1,5 @@
-/** Addresses of entries for callers: the look-up, and the list that a refusing entry sends. */
+/** Addresses of entries for callers: the endpoint, and the list that an entry sends when it refuses
+ * a request. */
 #ifndef AUBURN_ADDRESSES_H
 #define AUBURN_ADDRESSES_H
 
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -1,4 +1,4 @@
-/** One attempt to run a completion on a replica: parameters, outcome, callbacks. */
+/** One attempt to run a completion or a batch item on a replica: parameters, outcome, callbacks. */
 #ifndef AUBURN_ATTEMPT_H
 #define AUBURN_ATTEMPT_H
 
@@ -28,10 +28,12 @@
 	ATTEMPT_REFUSED, /* by the owner or the engine; not run */
 	ATTEMPT_UNREACHED, /* no connection to the engine or the owner; not run */
 	ATTEMPT_REJECTED, /* the engine answered that the request is invalid */
-	ATTEMPT_LOST, /* the stream broke or was invalid; tokens received before are valid */
-	ATTEMPT_STALLED, /* no token from the engine, or nothing from the owner, in time */
+	ATTEMPT_LOST, /* the stream broke or was invalid, or the engine answered 5xx; tokens
+		       * received before are valid */
+	ATTEMPT_STALLED, /* no bytes of the response from the engine or the owner in time */
 	ATTEMPT_CROSSED, /* the engine sent tokens of another attempt */
-	ATTEMPT_PREEMPTED, /* cancelled to free a slot for another stream */
+	ATTEMPT_PREEMPTED, /* cancelled by the owner: another stream needs the slot, or the owner
+			    * stops dispatching to the replica */
 	ATTEMPT_CANCELLED, /* by local_replica_cancel */
 	ATTEMPT_OUTCOMES /* number of outcomes */
 } attempt_outcome_t;
@@ -43,7 +45,7 @@
 } attempt_end_t;
 
 /** Callbacks of an attempt. They run one at a time and must not block: on the HTTP client's thread,
- * or within a call to the local replica (offer, cancel, tick, close). */
+ * or within attempt_start or a call to the local replica (offer, cancel, tick, close). */
 typedef struct {
 	void *ctx;
 	void (*on_token)(void *ctx, unsigned index, str_t text);
--- a/src/entry/attempt_start.c
+++ b/src/entry/attempt_start.c
@@ -11,7 +11,7 @@
 #define OWNER_SILENCE_MS 2000 /* owners send a keep-alive comment every 500 ms */
 #define HTTP_UNAVAILABLE 503
 
-/* An attempt that another entry, the owner, runs for this one. */
+/* An attempt that another entry, the replica's owner, runs for this one. */
 typedef struct {
 	entry_ctx_t *en;
 	upstream_t *up;
@@ -43,7 +43,7 @@
 	buf_addc(out, '}');
 }
 
-/* Reads the event "end", the last one that an owner sends. */
+/* Reads the event "end", the last one of the owner's stream. */
 static void parse_end_event(remote_attempt_t *r, json_t *j)
 {
 	const char *outcome = json_string_value(json_object_get(j, "kind"));
@@ -91,6 +91,7 @@
 		upstream_record_health(r->up, false);
 	if (end.outcome == ATTEMPT_DONE)
 		upstream_record_health(r->up, true);
+	/* Status 503: the other entry does not own the replica under this fence. */
 	if (!r->ended && end.outcome == ATTEMPT_REFUSED)
 		atomic_store(&r->en->view_stale, true);
 	r->sink.on_end(r->sink.ctx, &end);
@@ -128,9 +129,8 @@
 	fetch_start(en->fetch_client, &call);
 }
 
-/* In mode alone_cancel: preempts the newest batch stream unless a free slot remains besides the one
- * for this stream, by the last load report and the streams sent since. An outdated report counts as
- * no free slot. */
+/* In mode alone_cancel: preempts the newest batch stream unless the last load report leaves a free
+ * slot after all streams sent since, this one included. An outdated report leaves none. */
 static void preempt_unless_free(entry_ctx_t *en, const upstream_choice_t *c)
 {
 	if (en->settings.mode == ENTRY_MODE_ALONE_CANCEL &&
--- a/src/entry/attempt_start.h
+++ b/src/entry/attempt_start.h
@@ -8,7 +8,8 @@
 #include "entry/upstream.h"
 
 typedef struct {
-	local_replica_t *replica; /* a reference; NULL if the attempt runs at the owner */
+	local_replica_t *replica; /* a reference; NULL if the attempt was refused or runs at
+				   * another entry */
 	uint64_t stream_id;
 } attempt_handle_t;
 
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,4 +1,8 @@
-/** The entry process: its modules, created by main and shared by all threads. */
+/**
+ * An entry process. It answers callers over HTTP, runs their requests on the replicas that it owns,
+ * and forwards requests for other replicas to the entries that own them. entry_ctx_t holds its
+ * modules, created by main and shared by all threads.
+ */
 #ifndef AUBURN_ENTRY_H
 #define AUBURN_ENTRY_H
 
@@ -27,11 +31,11 @@
 	bearer_keys_t *operator_keys;
 	batch_runner_t *batch;
 	atomic_bool draining;
-	atomic_bool view_stale; /* the view may be outdated: the control thread fetches it */
-	atomic_int running_requests; /* accepted requests running in this entry */
-	atomic_int open_streams; /* responses being streamed to callers and entries */
-	atomic_bool closing; /* late in a drain, cached addresses have expired: new requests are
-				refused */
+	atomic_bool view_stale; /* the view may be outdated: makes the control thread fetch it */
+	atomic_int running_requests; /* requests in progress; entry_drain waits for them */
+	atomic_int open_streams; /* event streams open to callers and other entries */
+	atomic_bool closing; /* late in a drain, when callers' cached addresses have expired: new
+				completions and plain calls are refused */
 } entry_ctx_t;
 
 /** Returns a cryptographically secure random number. */
--- a/src/entry/entry_drain.c
+++ b/src/entry/entry_drain.c
@@ -18,7 +18,8 @@
 	return info->replica == NULL;
 }
 
-/* In mode owner: waits until the control has given all replicas owned here to other entries. */
+/* In mode owner: waits until the control has given all replicas owned here to other entries, at
+ * most HANDOVER_MAX_MS. */
 static void wait_for_handover(entry_ctx_t *en)
 {
 	deadline_t until = clock_now_ms() + HANDOVER_MAX_MS;
--- a/src/entry/entry_drain.h
+++ b/src/entry/entry_drain.h
@@ -4,8 +4,9 @@
 
 #include "entry/entry.h"
 
-/** Serves on until callers have switched to other entries and running work has ended, within time
- * limits. */
+/** Keeps serving until the addresses that callers have cached expire and the control has given the
+ * replicas to other entries; then refuses new completions and plain calls, and waits until the
+ * running work has ended. Each wait has a time limit. */
 void entry_drain(entry_ctx_t *en);
 
 #endif
--- a/src/entry/entry_settings.c
+++ b/src/entry/entry_settings.c
@@ -53,7 +53,7 @@
 			   toml_line(t, key), key, value);
 }
 
-/* Reads [bench]: alternatives of the scheduling that benchmarks compare. */
+/* Reads table [bench]: alternative ways of scheduling, to compare in benchmarks. */
 static status_t read_bench(const toml_doc_t *c, entry_settings_t *s)
 {
 	const toml_table_t *t = toml_table_at(toml_root(c), "bench", 0);
--- a/src/entry/entry_settings.h
+++ b/src/entry/entry_settings.h
@@ -11,7 +11,7 @@
 typedef enum {
 	ENTRY_MODE_OWNER, /* each replica has one owner; the other entries forward to the owner */
 	ENTRY_MODE_ALONE, /* each entry dispatches to every replica, by the engines' load reports */
-	ENTRY_MODE_ALONE_CANCEL, /* the same, and online streams cancel batch streams */
+	ENTRY_MODE_ALONE_CANCEL, /* the same, and online streams preempt batch streams */
 	ENTRY_MODE_SPLIT /* each entry dispatches to every replica within its share of the slots */
 } entry_mode_t;
 
@@ -37,6 +37,7 @@
 	size_t ncallers;
 	entry_identity_t *operators;
 	size_t noperators;
+	/* from table [bench] */
 	entry_mode_t mode;
 	owner_preempt_t preempt;
 	owner_reserve_t reserve;
--- a/src/entry/entry_snapshot.c
+++ b/src/entry/entry_snapshot.c
@@ -9,7 +9,7 @@
 	entry_config_t *config;
 	entry_view_t *view;
 	atomic_ullong session;
-	atomic_llong lease;
+	atomic_llong lease_deadline;
 };
 
 entry_snapshot_t *entry_snapshot_new(void)
@@ -134,17 +134,17 @@
 void entry_lease_set(entry_snapshot_t *s, uint64_t session, deadline_t deadline)
 {
 	atomic_store(&s->session, session);
-	atomic_store(&s->lease, deadline);
+	atomic_store(&s->lease_deadline, deadline);
 }
 
 bool entry_lease_valid(const entry_snapshot_t *s)
 {
-	return atomic_load(&s->lease) > clock_now_ms();
+	return atomic_load(&s->lease_deadline) > clock_now_ms();
 }
 
 deadline_t entry_lease_deadline(const entry_snapshot_t *s)
 {
-	return atomic_load(&s->lease);
+	return atomic_load(&s->lease_deadline);
 }
 
 uint64_t entry_session(const entry_snapshot_t *s)
--- a/src/entry/heartbeat.c
+++ b/src/entry/heartbeat.c
@@ -17,7 +17,7 @@
 	entry_ctx_t *en;
 	uint64_t session;
 	int64_t lease_ms; /* lease duration in the last answer */
-	bool was_valid;
+	bool lease_was_valid;
 	uint64_t config_seen;
 	uint64_t view_seen;
 } control_state_t;
@@ -100,12 +100,12 @@
 		fetch_view(en);
 		apply = true;
 	}
-	/* The lease is renewed only if this entry has the control's config: an outdated config must
-	 * not be served for longer than the lease granted with it. */
+	/* The lease is renewed only if this entry has the control's config, so that an outdated
+	 * config is used for one lease at most. */
 	if (entry_config_number(en->snapshot) >= res->conf_number)
 		entry_lease_set(en->snapshot, res->session,
 				sent_ms + res->lease_ms - LEASE_MARGIN_MS);
-	if (apply || !s->was_valid)
+	if (apply || !s->lease_was_valid)
 		upstream_apply_view(en->upstreams);
 }
 
@@ -132,14 +132,14 @@
 {
 	bool valid = entry_lease_valid(s->en->snapshot);
 
-	if (s->was_valid && !valid) {
+	if (s->lease_was_valid && !valid) {
 		log_event(LOG_LEVEL_WARN, "lease_lost", LOG_INT("session", s->session));
 		METRIC_INC("auburn_leases_lost_total");
 		upstream_close_local(s->en->upstreams, true);
-	} else if (!s->was_valid && valid) {
+	} else if (!s->lease_was_valid && valid) {
 		log_event(LOG_LEVEL_INFO, "lease_held", LOG_INT("session", s->session));
 	}
-	s->was_valid = valid;
+	s->lease_was_valid = valid;
 }
 
 static bool tick_replica(void *ctx, const upstream_info_t *info)
--- a/src/entry/load_exchange.c
+++ b/src/entry/load_exchange.c
@@ -11,7 +11,7 @@
 #define SEND_INTERVAL_MS 100
 #define CALL_TIMEOUT_MS	 500
 #define SCAN_INTERVAL_MS 200
-#define AVOIDED_QUEUE	 64 /* added to the queue length of a replica that is being emptied */
+#define AVOIDED_QUEUE	 64 /* added to the reported queue of a replica that is being emptied */
 #define PEERS_MAX	 1024
 #define STEP_MS		 10
 
@@ -106,7 +106,7 @@
 	free(p);
 }
 
-/* Sends load reports to one peer until it leaves the view. */
+/* Sends load reports to one peer until the peer leaves the view. Pauses without a valid lease. */
 static void *peer_thread(void *arg)
 {
 	peer_t *p = arg;
@@ -149,7 +149,7 @@
 	pthread_detach(t);
 }
 
-/* Starts a peer_thread for each new member. */
+/* Starts a peer_thread for each new member but this entry. */
 static void *watch_members_thread(void *arg)
 {
 	entry_ctx_t *en = arg;
--- a/src/entry/load_exchange.h
+++ b/src/entry/load_exchange.h
@@ -1,5 +1,5 @@
-/** Load reports between entries: each entry sends the load of the replicas that it owns to all
- * others. */
+/** Load reports between entries: each entry sends all others the load of the replicas that it
+ * dispatches to. */
 #ifndef AUBURN_LOAD_EXCHANGE_H
 #define AUBURN_LOAD_EXCHANGE_H
 
--- a/src/entry/local_replica.c
+++ b/src/entry/local_replica.c
@@ -12,10 +12,10 @@
 #include "base/trace.h"
 #include "entry/engine_stream.h"
 
-/* A cancel may reach the engine before the stream's request and is then ignored: it is repeated
- * each time so many more tokens have come. */
+/* An engine ignores a cancel that arrives before the stream's request, so the cancel is sent again
+ * whenever the stream has produced this many more tokens. */
 #define RESEND_CANCEL_TOKENS 3
-/* In modes without owners a stream may wait in the engine's own queue. */
+/* In all modes but owner a stream may wait in the engine's own queue. */
 #define UNOWNED_FIRST_TOKEN_MS 30000
 
 struct local_replica {
@@ -45,7 +45,7 @@
 	return s;
 }
 
-/* Removes a stream from the hash and leaves it to unlock_and_notify. */
+/* Ends a stream: removes it from the hash; unlock_and_notify then calls its sink and frees it. */
 static void move_to_ended(local_replica_t *r, engine_stream_t *s, attempt_outcome_t outcome,
 			  int64_t retry_after_ms)
 {
@@ -115,7 +115,7 @@
 
 	bool failed;
 
-	local_replica_ref(r); /* unlock_and_notify drops the reference of the stream */
+	local_replica_ref(r); /* unlock_and_notify drops the stream's reference */
 	pthread_mutex_lock(&r->lock);
 	if (s->cancelling && (outcome == ATTEMPT_LOST || outcome == ATTEMPT_STALLED))
 		outcome = s->cancel_outcome;
@@ -133,7 +133,7 @@
 	local_replica_unref(r);
 }
 
-/* Callback of the owner policy, as are preempt_stream and refuse_stream; the lock is held. */
+/* This, preempt_stream and refuse_stream are callbacks of the scheduler; the lock is held. */
 static void start_stream(void *ctx, uint64_t id)
 {
 	local_replica_t *r = ctx;
@@ -185,7 +185,8 @@
 		move_to_ended(r, s, ATTEMPT_REFUSED, retry_after_ms);
 }
 
-/* Ends the streams that start_stream did not start, because the lease had ended. */
+/* Ends the streams that start_stream did not start because the lease had ended. Searches from the
+ * beginning after each, because owner_stream_ended may start, and so deny, further streams. */
 static void end_denied_streams(local_replica_t *r)
 {
 	engine_stream_t *s;
@@ -205,7 +206,7 @@
 	}
 }
 
-static owner_options_t set_callbacks(local_replica_t *r, const owner_options_t *policy)
+static owner_options_t with_callbacks(local_replica_t *r, const owner_options_t *policy)
 {
 	owner_options_t o = *policy;
 
@@ -219,7 +220,7 @@
 local_replica_t *local_replica_new(const local_replica_options_t *o)
 {
 	local_replica_t *r = mem_new(sizeof(*r));
-	owner_options_t policy = set_callbacks(r, &o->policy);
+	owner_options_t policy = with_callbacks(r, &o->policy);
 
 	atomic_init(&r->refs, 1);
 	r->en = o->en;
@@ -250,7 +251,7 @@
 
 void local_replica_update(local_replica_t *r, const owner_options_t *policy, int64_t stall_ms)
 {
-	owner_options_t o = set_callbacks(r, policy);
+	owner_options_t o = with_callbacks(r, policy);
 
 	pthread_mutex_lock(&r->lock);
 	r->stall_ms = stall_ms;
--- a/src/entry/probe.c
+++ b/src/entry/probe.c
@@ -7,7 +7,8 @@
 #define GET_TIMEOUT_MS	  500
 #define URL_BYTES	  256
 #define STATE_INTERVAL_MS 500
-/* An engine that does not check fences may still get an order of the previous owner. */
+/* Wait after a change of owner: an order of the previous owner may still reach an engine that does
+ * not check fences. */
 #define ORDER_SETTLE_MS 1500
 #define HTTP_OK		200
 
--- a/src/entry/probe_cache.c
+++ b/src/entry/probe_cache.c
@@ -15,7 +15,6 @@
 	return hex ? strtoull(hex, NULL, 16) : 0;
 }
 
-/* Reads the complete list of cached prefixes from the engine. */
 static void reload_prefixes(entry_ctx_t *en, const upstream_info_t *info, probe_replica_t *r)
 {
 	json_t *j = probe_get_json(en, info->addr, "/v1/cache");
@@ -35,7 +34,7 @@
 	json_decref(j);
 }
 
-/* Applies events to the prefix set; false if an event is missing. */
+/* Applies the events to the list of prefixes; false if an event is missing. */
 static bool apply_events(const upstream_info_t *info, probe_replica_t *r, json_t *j)
 {
 	json_t *list = json_object_get(j, "events");
--- a/src/entry/probe_orders.c
+++ b/src/entry/probe_orders.c
@@ -32,7 +32,8 @@
 	return false;
 }
 
-/* Limits this entry to its share of the rate at which engines may load weights from the store. */
+/* Returns true if this entry may order a load of weights now. The config limits the rate of the
+ * whole fleet; each entry gets an equal share. */
 static bool take_weights_permit(entry_ctx_t *en, const entry_config_t *c)
 {
 	static deadline_t next; /* used by probe_thread only */
@@ -79,7 +80,7 @@
 		  LOG_INT("fence", info->fence), LOG_CSTR("model", s->model),
 		  LOG_CSTR("version", s->version ? s->version : ""), LOG_INT("status", status));
 	METRIC_INC("auburn_orders_total");
-	if (status == HTTP_CONFLICT)
+	if (status == HTTP_CONFLICT) /* the fence is outdated */
 		atomic_store(&en->view_stale, true);
 }
 
--- a/src/entry/upstream.c
+++ b/src/entry/upstream.c
@@ -10,7 +10,7 @@
 #define ALONE_SLOTS    4096 /* modes alone and alone_cancel: the engine limits the streams */
 #define ALONE_QUEUE    0
 #define QUEUE_PER_SLOT 16
-#define DEFAULT_SLOTS  8
+#define DEFAULT_SLOTS  8 /* of a replica whose service is not in the config */
 
 upstream_table_t *upstream_table_new(entry_ctx_t *en)
 {
@@ -33,15 +33,15 @@
 	return found;
 }
 
-static upstream_t *add_upstream(upstream_table_t *t, const wire_upstream_t *a)
+static upstream_t *add_upstream(upstream_table_t *t, const wire_upstream_t *msg)
 {
 	upstream_t *u = mem_new(sizeof(*u));
 
 	u->en = t->en;
-	u->id = str_dup(wire_str(a->id));
-	u->service = str_dup(wire_str(a->service));
-	u->addr = str_dup(wire_str(a->addr));
-	u->zone = str_dup(wire_str(a->zone));
+	u->id = str_dup(wire_str(msg->id));
+	u->service = str_dup(wire_str(msg->service));
+	u->addr = str_dup(wire_str(msg->addr));
+	u->zone = str_dup(wire_str(msg->zone));
 	u->state = WIRE_UPSTREAM_GONE;
 	pthread_mutex_init(&u->lock, NULL);
 	retry_breaker_init(&u->breaker);
@@ -52,7 +52,7 @@
 	return u;
 }
 
-/* Scheduling policy of a replica by the service's config and the entry's mode. */
+/* Scheduling options for a replica, from the service's config and the entry's mode. */
 static owner_options_t make_policy(const entry_ctx_t *en, const config_service_t *s,
 				   unsigned entries)
 {
@@ -78,22 +78,22 @@
 	return o;
 }
 
-static bool is_dispatched_here(const entry_ctx_t *en, const wire_upstream_t *a)
+static bool is_dispatched_here(const entry_ctx_t *en, const wire_upstream_t *msg)
 {
-	if (a->state != WIRE_UPSTREAM_LIVE)
+	if (msg->state != WIRE_UPSTREAM_LIVE)
 		return false;
 	if (en->settings.mode != ENTRY_MODE_OWNER)
 		return true;
-	return a->owner != 0 && a->owner == entry_session(en->snapshot);
+	return msg->owner != 0 && msg->owner == entry_session(en->snapshot);
 }
 
-static void open_replica(upstream_t *u, const wire_upstream_t *a, const config_service_t *s,
+static void open_replica(upstream_t *u, const wire_upstream_t *msg, const config_service_t *s,
 			 const owner_options_t *policy)
 {
 	local_replica_options_t o = {.en = u->en,
 				     .id = u->id,
 				     .addr = u->addr,
-				     .fence = u->en->settings.mode == ENTRY_MODE_OWNER ? a->fence
+				     .fence = u->en->settings.mode == ENTRY_MODE_OWNER ? msg->fence
 										       : 0,
 				     .stall_ms = s->stall_ms,
 				     .policy = *policy,
@@ -102,28 +102,28 @@
 
 	u->replica = local_replica_new(&o);
 	log_event(LOG_LEVEL_INFO, "owner_opened", LOG_CSTR("upstream", u->id),
-		  LOG_INT("fence", a->fence));
+		  LOG_INT("fence", msg->fence));
 }
 
-/* Updates an upstream from the view. Returns the replica to close if this entry no longer
- * dispatches to it, else NULL. */
-static local_replica_t *apply_upstream(upstream_t *u, const wire_upstream_t *a,
+/* Updates an upstream from the view. Returns the local replica to close if this entry no longer
+ * dispatches to the upstream or the fence has changed, else NULL. */
+static local_replica_t *apply_upstream(upstream_t *u, const wire_upstream_t *msg,
 				       const config_service_t *s, const wire_view_t *v)
 {
-	const wire_member_t *owner = entry_find_member(v, a->owner);
-	bool here = s && s->kind == CONFIG_ENGINE && is_dispatched_here(u->en, a);
-	uint64_t fence = u->en->settings.mode == ENTRY_MODE_OWNER ? a->fence : 0;
+	const wire_member_t *owner = entry_find_member(v, msg->owner);
+	bool here = s && s->kind == CONFIG_ENGINE && is_dispatched_here(u->en, msg);
+	uint64_t fence = u->en->settings.mode == ENTRY_MODE_OWNER ? msg->fence : 0;
 	owner_options_t policy = {0};
 	local_replica_t *old = NULL;
 
 	if (s && s->kind == CONFIG_ENGINE)
 		policy = make_policy(u->en, s, v->members.members_len);
 	pthread_mutex_lock(&u->lock);
-	if (a->fence != u->fence)
+	if (msg->fence != u->fence)
 		u->report.reported_at = 0;
-	u->state = a->state;
-	u->owner = a->owner;
-	u->fence = a->fence;
+	u->state = msg->state;
+	u->owner = msg->owner;
+	u->fence = msg->fence;
 	u->slots = s ? (int)s->slots : DEFAULT_SLOTS;
 	u->owner_addr[0] = 0;
 	if (owner)
@@ -134,7 +134,7 @@
 		u->replica = NULL;
 	}
 	if (here && !u->replica)
-		open_replica(u, a, s, &policy);
+		open_replica(u, msg, s, &policy);
 	else if (u->replica)
 		local_replica_update(u->replica, &policy, s->stall_ms);
 	pthread_mutex_unlock(&u->lock);
@@ -185,15 +185,15 @@
 	if (!v || !c)
 		return;
 	for (u_int i = 0; i < v->view.upstreams.upstreams_len; i++) {
-		const wire_upstream_t *a = &v->view.upstreams.upstreams_val[i];
-		upstream_t *u = upstream_find(t, wire_str(a->id));
+		const wire_upstream_t *msg = &v->view.upstreams.upstreams_val[i];
+		upstream_t *u = upstream_find(t, wire_str(msg->id));
 		local_replica_t *old;
 
 		if (!u)
-			u = add_upstream(t, a);
-		old = apply_upstream(u, a, config_find_service(c->config, wire_str(a->service)),
+			u = add_upstream(t, msg);
+		old = apply_upstream(u, msg, config_find_service(c->config, wire_str(msg->service)),
 				     &v->view);
-		close_replica(u, old, a->state != WIRE_UPSTREAM_LIVE);
+		close_replica(u, old, msg->state != WIRE_UPSTREAM_LIVE);
 	}
 	close_gone(t, &v->view);
 }
--- a/src/entry/upstream_internal.h
+++ b/src/entry/upstream_internal.h
@@ -17,7 +17,7 @@
 	char owner_addr[64];
 	int slots;
 	local_replica_t *replica;
-	balance_candidate_t report; /* last load report */
+	balance_candidate_t report; /* last load report, of the owner or the engine */
 	deadline_t avoid_until;
 	int64_t first_token_wait_ms; /* of a new stream, by the owner's last report */
 	retry_breaker_t breaker;
@@ -30,7 +30,7 @@
 	pthread_rwlock_t lock; /* guards the array, not the upstreams in it */
 	upstream_t **upstreams; /* only grows */
 	size_t n;
-	atomic_uint next_plain; /* round-robin position of upstream_pick_plain */
+	atomic_uint next_plain; /* position in the table at which upstream_pick_plain starts */
 };
 
 upstream_t *upstream_find(upstream_table_t *t, str_t id);
--- a/src/entry/upstream_pick.c
+++ b/src/entry/upstream_pick.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include "entry/upstream_internal.h"
 
-#define REPORT_FRESH_MS 3000
+#define REPORT_FRESH_MS 3000 /* an older load report is not used */
 #define PREFIX_BYTES	256
 
 static bool contains(upstream_t *const *v, size_t n, const upstream_t *u)
@@ -35,7 +35,8 @@
 	return u->breaker.state == RETRY_BREAKER_CLOSED || u->breaker.probe_at_ms <= now_ms;
 }
 
-/* The exact state of a local replica replaces the last report. */
+/* Replaces the last report by the exact state of a local replica. Not in modes alone and
+ * alone_cancel, where other entries dispatch to the replica too. */
 static void fill_from_local(upstream_t *u, balance_candidate_t *c, int64_t now_ms)
 {
 	owner_stats_t st;
@@ -100,7 +101,8 @@
 	pthread_rwlock_unlock(&t->lock);
 }
 
-/* Asks the breaker to let a request through and fills *out; false if the breaker refuses. */
+/* Asks the breaker to let a request through; if it does, counts a stream as sent and fills *out.
+ * Returns false if the breaker refuses. */
 static bool claim_choice(upstream_t *u, int64_t now_ms, upstream_choice_t *out)
 {
 	bool ok;
@@ -143,7 +145,8 @@
 	return found;
 }
 
-/* Estimated time to the first token of a new stream; 0 if unknown, INT64_MAX if unusable. */
+/* Estimated time to the first token of a new stream; 0 if a slot is free or the last report is too
+ * old, INT64_MAX if the replica is not usable. */
 static int64_t estimate_wait_ms(upstream_t *u, int64_t now_ms)
 {
 	balance_candidate_t c = make_candidate(u, 0, now_ms);
