--- a/src/entry/bearer_keys.c
+++ b/src/entry/bearer_keys.c
@@ -6,8 +6,8 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Keys are hashed under a secret of the process, then compared in constant time, so that timing
- * tells nothing about them. */
+/* Keys are hashed with a random secret of the process, then compared in constant time, so that
+ * response times reveal nothing about them. */
 typedef struct {
 	unsigned char hash[crypto_shorthash_BYTES];
 	const entry_identity_t *id;
--- a/src/entry/filter.h
+++ b/src/entry/filter.h
@@ -19,12 +19,12 @@
 	json_t *body_json; /* parsed body of a completion */
 	str_t upstream_path; /* path to call at the upstream */
 	char key[136];
-	uint64_t digest;
+	uint64_t digest; /* of service, path and body */
 	deadline_t deadline; /* of the first token of a completion, of the answer of a plain call */
 	trace_span_t span;
 	bool admitted; /* counted by admission_enter */
-	bool key_held; /* this call registered the idempotency key; else another call here runs the
-			  request */
+	bool key_held; /* this call added the key to the inflight table; false if another call of
+			* this entry holds the key */
 } filter_call_t;
 
 /** A step of a chain, which ends with a filter that always replies. Each filter gets the steps
@@ -43,8 +43,8 @@
 
 /** Replies with the stored end of a request. */
 void filter_replay(filter_call_t *c, const wire_record_t *r);
-/** Waits for the end of a request that runs elsewhere and replies with it; 409 if it has not ended
- * by the call's deadline or within 30 s. */
+/** Waits for the end of a request that another call or entry runs, and replies with that end.
+ * Replies 409 after 30 s, at the call's deadline, or when this entry is closing. */
 void filter_await_end(filter_call_t *c);
 
 /* The filters, in filter_*.c */
--- a/src/entry/filter_accept.c
+++ b/src/entry/filter_accept.c
@@ -65,8 +65,9 @@
 	return NULL;
 }
 
-/* The acceptance may have been committed although its commit timed out. A thread ends the record as
- * not run, which is true, so that no entry runs the request later. */
+/* The acceptance may have been committed although its commit timed out. Starts a thread that
+ * commits "not run" as the request's end, which is true so far, and keeps entries from running the
+ * request later. */
 static void end_unconfirmed(filter_call_t *c)
 {
 	unconfirmed_t *a = mem_new(sizeof(*a));
@@ -83,8 +84,8 @@
 	pthread_detach(t);
 }
 
-/* Acts on the ledger's answer: runs the request if it is accepted here, waits if it runs elsewhere,
- * or replays its stored end. */
+/* Acts on the ledger's answer: continues the chain if this call is to run the request, waits if
+ * another call or entry runs it, replays a stored end, or refuses. */
 static void handle_record(filter_call_t *c, const wire_ledger_res_t *res, const filter_step_t *next)
 {
 	const wire_record_t *r = &res->record;
@@ -104,7 +105,8 @@
 	}
 }
 
-/* After a timeout the acceptance may be committed, and then another entry may run the request. */
+/* Unless the ledger was unavailable, the acceptance may be committed, and then another entry may
+ * run the request. */
 static void refuse_uncommitted(filter_call_t *c, status_t st)
 {
 	AUTO_BUF why = {0};
--- a/src/entry/filter_complete.c
+++ b/src/entry/filter_complete.c
@@ -43,7 +43,7 @@
 		.span = &c->span};
 	completion_t *r = completion_start(&o);
 
-	/* The completion's own thread now releases the key and the admission count. */
+	/* From now on the completion's thread releases the key and the admission count. */
 	c->admitted = false;
 	c->key_held = false;
 	if (!json_is_true(json_object_get(c->body_json, "stream")) || !completion_wait_first(r)) {
--- a/src/entry/filter_idempotency.c
+++ b/src/entry/filter_idempotency.c
@@ -4,7 +4,8 @@
 #include <stdio.h>
 #include "entry/inflight.h"
 
-/* Copies the Idempotency-Key, or makes up a random one if the caller needs none. */
+/* Copies the Idempotency-Key header; without one, makes up a random key. Refuses an invalid key,
+ * and a missing one if the service is plain and not repeatable. */
 static bool read_key(filter_call_t *c)
 {
 	str_t key = httpd_header(c->req, "Idempotency-Key");
--- a/src/entry/filter_identify.c
+++ b/src/entry/filter_identify.c
@@ -13,7 +13,8 @@
 	filter_next(c, next);
 }
 
-/* An entry without a lease may hold an outdated config, so it refuses and names other entries. */
+/* Refuses the request and names other entries: without a lease this entry's config may be outdated,
+ * and late in a drain this entry takes no new requests. */
 static void refuse_with_addresses(filter_call_t *c)
 {
 	AUTO_BUF others = {0};
--- a/src/entry/httpd.c
+++ b/src/entry/httpd.c
@@ -49,13 +49,13 @@
 	addr.sin_port = htons((uint16_t)port);
 	if (ulfius_init_instance(&instance, port, &addr, NULL) != U_OK)
 		return status_fail(STATUS_IO, "can't create the HTTP server");
-	/* ulfius silently truncates a longer body; one byte more makes an oversized body visible to
-	 * httpd_check_body_size. */
+	/* ulfius silently truncates a longer body. With one byte to spare, a body of max_body_bytes
+	 * arrives whole; httpd_check_body_size refuses longer ones. */
 	instance.max_post_body_size = (size_t)en->settings.max_body_bytes + 1;
 	instance.check_utf8 = 0;
 	instance.allowed_post_processor = U_POST_PROCESS_NONE;
 	for (; endpoints->method; endpoints++)
-		/* ulfius parses path parameters in the format only, not in the prefix. */
+		/* The prefix is NULL, because ulfius parses path parameters only in the format. */
 		ulfius_add_endpoint_by_val(&instance, endpoints->method, NULL, endpoints->path, 0,
 					   endpoints->handler, en);
 	ulfius_set_default_endpoint(&instance, reply_not_found, en);
@@ -195,7 +195,7 @@
 	str_t declared = httpd_header(req, "Content-Length");
 	int64_t max = en->settings.max_body_bytes;
 
-	/* A body without Content-Length that reaches the limit may have been truncated. */
+	/* Without Content-Length, only the length shows that ulfius may have truncated the body. */
 	if (declared.n == 0 && (int64_t)req->binary_body_length < max)
 		return true;
 	if (declared.n && httpd_int(declared, -1) >= 0 && httpd_int(declared, -1) <= max)
--- a/src/entry/inflight.c
+++ b/src/entry/inflight.c
@@ -13,7 +13,7 @@
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static inflight_key_t *keys;
 
-/* The map key is caller, a NUL byte and the idempotency key. */
+/* The map key is the caller, a NUL byte and the idempotency key. */
 static void write_map_key(buf_t *b, str_t caller, str_t key)
 {
 	buf_add(b, caller);
--- a/src/entry/inflight.h
+++ b/src/entry/inflight.h
@@ -1,4 +1,5 @@
-/** Table of the idempotency keys of requests that run in this process. */
+/** Table of the idempotency keys, by caller, of the requests that run in this process, so that none
+ * runs twice at the same time here. */
 #ifndef AUBURN_INFLIGHT_H
 #define AUBURN_INFLIGHT_H
 
--- a/src/entry/job_api.c
+++ b/src/entry/job_api.c
@@ -66,7 +66,7 @@
 	       (x->job.wire_bytes_t_len < y->job.wire_bytes_t_len);
 }
 
-/* Replies with a page of jobs, merged from one page of each ledger group. */
+/* Replies with a page of jobs, merged from one page of each ledger group and sorted by id. */
 static void reply_job_list(entry_ctx_t *en, struct _u_response *res, const wire_query_t *q,
 			   u_int max)
 {
@@ -155,8 +155,8 @@
 
 static void append_result(buf_t *b, str_t body)
 {
-	/* A result is JSON, except the ledger's reasons for failed items and requests, bodies of
-	 * plain services, and the empty result of an item or request that has not ended. */
+	/* Reasons of failures, replies of plain services and the empty result of an item or request
+	 * that has not ended need not be JSON; such a result is written as a JSON string. */
 	json_t *j = json_loadb(body.p, body.n, JSON_DECODE_ANY, NULL);
 
 	if (j)
--- a/src/entry/job_api_submit.c
+++ b/src/entry/job_api_submit.c
@@ -170,7 +170,7 @@
 	return true;
 }
 
-/* Marks the job as complete in the ledger: no more items follow. */
+/* Seals the job: all items were sent, and the ledger accepts the job. */
 static bool seal_job(submission_t *p)
 {
 	wire_ledger_cmd_t cmd = {.kind = WIRE_LEDGER_JOB_SEAL};
@@ -195,7 +195,8 @@
 	httpd_json(p->res, 202, str_buf(&b));
 }
 
-/* Checks lease, service and request rate, and sets the caller's share; replies if one fails. */
+/* Checks lease, service and request rate, and sets the caller's share. Replies with an error and
+ * returns false if a check fails. */
 static bool check_service(submission_t *p)
 {
 	AUTO_ENTRY_CONFIG *c = entry_config_get(p->en->snapshot);
@@ -223,8 +224,8 @@
 	return true;
 }
 
-/* Opens the job, sends the items that the ledger lacks and seals the job. A job that was cut off is
- * resumed under the same key. */
+/* Opens the job, sends the items that the ledger lacks, seals the job and replies. A caller whose
+ * submission broke off can submit the job again with the same key. */
 static void submit_job(submission_t *p, int64_t deadline_ms)
 {
 	trace_span_t sp;
--- a/src/entry/peer_api.c
+++ b/src/entry/peer_api.c
@@ -80,7 +80,7 @@
 	while (r->events.n == 0 && !r->ended)
 		if (pthread_cond_timedwait(&r->cond, &r->lock, &until) != 0)
 			break;
-	/* A comment shows the other entry that this one is alive; writing it detects a closed
+	/* An SSE comment shows the other entry that this one is alive; writing it detects a closed
 	 * connection. */
 	if (r->events.n == 0 && !r->ended)
 		buf_add(&r->events, STR(":\n\n"));
@@ -164,8 +164,8 @@
 	return v && session && entry_find_member(&v->view, session);
 }
 
-/* Finds the replica if the sender is in the view and the fence is current. An unknown sender means
- * that the view here is outdated. */
+/* Finds the replica if the sender is in the view and the fence is current. If the sender is not,
+ * the view here may be outdated. */
 static local_replica_t *find_local_replica(entry_ctx_t *en, json_t *j)
 {
 	uint64_t fence = (uint64_t)json_integer_value(json_object_get(j, "fence"));
--- a/src/entry/peer_api.h
+++ b/src/entry/peer_api.h
@@ -6,7 +6,8 @@
 
 /** Handles POST /internal/v1/cancel: cancels the items of a cancelled job in this entry. */
 int peer_api_cancel(const struct _u_request *req, struct _u_response *res, void *en);
-/** Sends a job's cancel to all entries and waits for their answers, with a time limit. */
+/** Cancels the items of a cancelled job in all entries of the view, this one included. Waits at
+ * most 1 s for the answers of the others. */
 void peer_api_broadcast_cancel(entry_ctx_t *en, str_t caller, str_t job);
 /** Handles POST /internal/v1/run: runs another entry's attempt on a replica that this entry
  * owns. */
