--- a/src/entry/attempt_start.h
+++ b/src/entry/attempt_start.h
@@ -7,6 +7,7 @@
 #include "entry/attempt.h"
 #include "entry/upstream.h"
 
+/** What a started attempt holds until attempt_release. */
 typedef struct {
 	local_replica_t *replica; /* a reference; NULL if the attempt was refused or runs at
 				   * another entry */
--- a/src/entry/batch.h
+++ b/src/entry/batch.h
@@ -13,7 +13,7 @@
 batch_runner_t *batch_start(entry_ctx_t *en);
 /** Cancels the items of a job that this entry holds, waiting or running. */
 void batch_cancel_job(batch_runner_t *b, str_t caller, str_t job);
-/** Stops leasing and returns the waiting items to the ledger. */
+/** Requests no further leases, and returns the items that now wait to the ledger. */
 void batch_drain(batch_runner_t *b);
 /** Cancels the running items. After batch_drain they return to the ledger when they have ended. */
 void batch_cancel_running(batch_runner_t *b);
--- a/src/entry/batch_lease.c
+++ b/src/entry/batch_lease.c
@@ -78,7 +78,7 @@
 }
 
 /* Queues a leased item, or starts it at once if it is a plain call. */
-static void accept_item(batch_group_t *g, const char *service, bool plain, const wire_item_t *a)
+static void add_leased_item(batch_group_t *g, const char *service, bool plain, const wire_item_t *a)
 {
 	batch_runner_t *b = g->b;
 	batch_item_t *it;
@@ -107,11 +107,11 @@
 		start_plain_call(it);
 }
 
-static unsigned accept_lease(batch_group_t *g, const char *service, bool plain,
-			     const wire_ledger_res_t *res)
+static unsigned add_leased_items(batch_group_t *g, const char *service, bool plain,
+				 const wire_ledger_res_t *res)
 {
 	for (u_int i = 0; i < res->items.items_len; i++)
-		accept_item(g, service, plain, &res->items.items_val[i]);
+		add_leased_item(g, service, plain, &res->items.items_val[i]);
 	for (u_int i = 0; i < res->cancelled.cancelled_len; i++)
 		batch_cancel_job(g->b, wire_str(res->cancelled.cancelled_val[i].caller),
 				 wire_str(res->cancelled.cancelled_val[i].job));
@@ -139,14 +139,15 @@
 	if (st == STATUS_OK) {
 		s->lease_seq[g->group]++;
 		if (res.status == STATUS_OK && b->session == entry_session(b->en->snapshot))
-			n = accept_lease(g, service, plain, &res);
+			n = add_leased_items(g, service, plain, &res);
 	}
 	wire_free(XDR_PROC(wire_ledger_res_t), &res);
 	return n;
 }
 
 /* Returns the name of service i and sets *max if the group's thread should now lease items for the
- * service; else returns NULL. *max is the group's part of the items that the service lacks. */
+ * service; else returns NULL. *max is the group's part of the items that the service lacks. Sets
+ * *plain in any case. */
 static const char *service_to_lease(batch_group_t *g, size_t i, unsigned *max, bool *plain)
 {
 	batch_runner_t *b = g->b;
--- a/src/entry/completion.c
+++ b/src/entry/completion.c
@@ -12,8 +12,8 @@
 #include "policy/retry.h"
 
 #define TRIED_MAX	   8 /* replicas that the next pick leaves out, at most */
-#define LOST_REPLICAS_MAX  3 /* lost, stalled or crossed attempts after which the request fails */
-#define REFUSALS_MAX	   3 /* the same for refusals with a retry_after_ms, unless it has tokens */
+#define LOST_REPLICAS_MAX  3 /* lost, stalled or crossed attempts after which a request fails */
+#define REFUSALS_MAX	   3 /* refusals with a retry_after_ms after which one without tokens fails */
 #define PICK_PAUSE_MS	   20
 #define RESUME_TIMEOUT_MS  30000 /* when resuming: to find a replica, then to its first token */
 #define THREAD_STACK_BYTES (256 << 10)
@@ -209,8 +209,8 @@
 	return true;
 }
 
-/* Returns true if the request goes on with another attempt. Else sets the outcome, except when the
- * retry budget is used up. */
+/* Returns true if the request may go on with another attempt. Else sets the outcome, except when
+ * the retry budget is used up. */
 static bool handle_failed_attempt(completion_t *r, const upstream_choice_t *c)
 {
 	log_event(LOG_LEVEL_INFO, "retried", LOG_CSTR("key", r->key), LOG_CSTR("upstream", c->id),
@@ -317,8 +317,8 @@
 	write_result(r);
 }
 
-/* Replaces the outcome by the end that another entry committed. A stored result is not sent to the
- * caller, because it may not continue the tokens already sent. */
+/* Replaces the outcome after a conflict (ledger_client_finish) by the ledger's record. A stored
+ * result is not sent to the caller, because it may not continue the tokens already sent. */
 static void adopt_stored_end(completion_t *r, const ledger_client_end_t *stored)
 {
 	buf_free(&r->result);
--- a/src/entry/config_api.h
+++ b/src/entry/config_api.h
@@ -1,5 +1,5 @@
-/** Operators' HTTP API of the config: read the config with a given number, submit a new one, check
- * one without submitting it. */
+/** Operators' HTTP API of the config: read the config in force, or the one with a given number;
+ * submit a new one; check one without submitting it. */
 #ifndef AUBURN_CONFIG_API_H
 #define AUBURN_CONFIG_API_H
 
--- a/src/entry/entry_drain.h
+++ b/src/entry/entry_drain.h
@@ -5,8 +5,8 @@
 #include "entry/entry.h"
 
 /** Keeps serving until the addresses that callers have cached expire and the control has given the
- * replicas to other entries; then refuses new completions and plain calls, and waits until the
- * running work has ended. Each wait has a time limit. */
+ * replicas to other entries. Then refuses new completions and plain calls, cancels the running
+ * batch items and waits until all running work has ended. Each wait has a time limit. */
 void entry_drain(entry_ctx_t *en);
 
 #endif
--- a/src/entry/httpd.h
+++ b/src/entry/httpd.h
@@ -13,8 +13,8 @@
 	httpd_handler_t handler;
 } httpd_endpoint_t;
 
-/** Starts the server; STATUS_IO if the address can't be bound. The endpoints end with one whose
- * method is NULL. */
+/** Starts the server; STATUS_INVALID or STATUS_IO if the address is malformed or can't be bound.
+ * The endpoints end with one whose method is NULL. */
 status_t httpd_start(entry_ctx_t *en, const httpd_endpoint_t *endpoints);
 /** Stops the server and closes all connections. */
 void httpd_stop(void);
@@ -47,8 +47,8 @@
 			 str_t *name);
 /** True if the request has the peer key of the entries; else replies 401. */
 bool httpd_auth_peer(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res);
-/** True if the body is within max_body_bytes (below, if it came without Content-Length); else
- * replies 413. */
+/** True if the body has at most max_body_bytes, or less than that if the request has no
+ * Content-Length; else replies 413. */
 bool httpd_check_body_size(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res);
 
 #endif
--- a/src/entry/ledger_client.h
+++ b/src/entry/ledger_client.h
@@ -25,10 +25,12 @@
 } ledger_client_end_t;
 
 /** Commits the end of a request; retries until the ledger answers, at most 60 s. STATUS_CONFLICT:
- * the ledger holds another end, which is copied to *stored; the caller frees stored->result. */
+ * the ledger holds another end, or another session holds the request, which may not have ended. The
+ * ledger's record is then copied to *stored as by ledger_client_read_end. */
 status_t ledger_client_finish(entry_ctx_t *en, const ledger_client_finish_t *f,
 			      ledger_client_end_t *stored);
-/** Copies the end from a final record; the caller frees out->result. */
+/** Copies the end from a record; one that has not ended reads as a failure with an empty message.
+ * The caller frees out->result. */
 void ledger_client_read_end(const wire_record_t *r, ledger_client_end_t *out);
 
 typedef struct {
--- a/src/entry/local_replica.c
+++ b/src/entry/local_replica.c
@@ -133,7 +133,7 @@
 	local_replica_unref(r);
 }
 
-/* This, preempt_stream and refuse_stream are callbacks of the scheduler; the lock is held. */
+/* start_stream, preempt_stream and refuse_stream are callbacks of the scheduler, under the lock. */
 static void start_stream(void *ctx, uint64_t id)
 {
 	local_replica_t *r = ctx;
--- a/src/entry/plain_call.c
+++ b/src/entry/plain_call.c
@@ -147,8 +147,8 @@
 	} while (may_retry(en, c, end, &nattempts));
 }
 
-/* A caller that retries with the same key gets the end that the ledger holds, so this call returns
- * the same end. */
+/* Replaces the end after a conflict (ledger_client_finish) by the ledger's record, because a caller
+ * that retries with the same key gets that record too. */
 static void adopt_stored_end(plain_call_end_t *end, ledger_client_end_t *stored)
 {
 	end->done = stored->done;
--- a/src/entry/upstream.h
+++ b/src/entry/upstream.h
@@ -61,8 +61,8 @@
 /** Returns a reference to the replica if this entry dispatches to it under this fence, else
  * NULL. */
 local_replica_t *upstream_find_local(upstream_table_t *t, str_t id, uint64_t fence);
-/** Picks a live upstream of a plain service whose circuit breaker allows a call, and sets only
- * `upstream` and `id` of *out; false if there is none. Each call searches the table from the next
+/** Picks a live upstream of a plain service whose circuit breaker allows a call; false if there is
+ * none. Sets addr, and of *out only `upstream` and `id`. Each call searches the table from the next
  * position on. */
 bool upstream_pick_plain(upstream_table_t *t, str_t service, upstream_choice_t *out, char addr[64]);
 /** Records a success or failure in the circuit breaker. `up` is an upstream_t. */
@@ -73,8 +73,8 @@
 void upstream_owner_report(upstream_table_t *t, const wire_load_t *load);
 /** Stores a load report of the engine itself. */
 void upstream_engine_report(upstream_t *u, int running, int waiting, int slots);
-/** Free batch slots by the engine's last report, less the streams sent since and the reserved
- * slots; 0 if the report is too old. For the modes alone and alone_cancel. */
+/** Free slots by the engine's last report, less the streams sent since and reserved_slots; 0 if the
+ * report is too old. For the modes alone and alone_cancel. */
 unsigned upstream_reported_headroom(upstream_t *u, unsigned reserved_slots);
 /** Makes other replicas preferred until `until` (0: ends this): this one is being emptied. */
 void upstream_avoid(upstream_t *u, deadline_t until);
--- a/src/entry/upstream_internal.h
+++ b/src/entry/upstream_internal.h
@@ -30,7 +30,7 @@
 	pthread_rwlock_t lock; /* guards the array, not the upstreams in it */
 	upstream_t **upstreams; /* only grows */
 	size_t n;
-	atomic_uint next_plain; /* position in the table at which upstream_pick_plain starts */
+	atomic_uint next_plain; /* number of upstream_pick_plain calls: sets where one starts */
 };
 
 upstream_t *upstream_find(upstream_table_t *t, str_t id);
