--- a/src/entry/batch_feed.c
+++ b/src/entry/batch_feed.c
@@ -20,10 +20,11 @@
 }
 
 /* True if the item may be offered to the replica now. An item that must run alone is offered
- * whatever the headroom, and after a refusal only to the replica that is then reserved for it. Each
- * refused offer can make the scheduler pause other batch streams (owner_stream_t.alone) and makes
- * batch_item_run preempt one, until the replica is empty. A request whose entry was lost needs no
- * batch headroom, because it runs in the online class. */
+ * whatever the headroom, and after a refusal only to the replica that is then reserved for it
+ * (reserve_replica). Each refused offer makes batch_item_run preempt a batch stream and can keep
+ * the scheduler from starting others for a while (owner_stream_t.alone), until the replica is
+ * empty. A request whose entry was lost needs no batch headroom, because it runs in the online
+ * class. */
 static bool may_offer(const batch_item_t *it, const upstream_t *u, bool has_headroom, int64_t now)
 {
 	if (it->not_before > now)
--- a/src/entry/batch_internal.h
+++ b/src/entry/batch_internal.h
@@ -1,4 +1,4 @@
-/** Internals of batch, shared by the batch_*.c files. */
+/** Internals of batch, shared by the batch*.c files. */
 #ifndef AUBURN_BATCH_INTERNAL_H
 #define AUBURN_BATCH_INTERNAL_H
 
--- a/src/entry/completion.c
+++ b/src/entry/completion.c
@@ -317,9 +317,11 @@
 	write_result(r);
 }
 
-/* Replaces the outcome after a conflict (ledger_client_finish) by the ledger's record. A stored
- * result is not sent to the caller, because it may not continue the tokens already sent. */
-static void adopt_stored_end(completion_t *r, const ledger_client_end_t *stored)
+/* Replaces the outcome after a conflict (ledger_client_finish) by the ledger's record. The result
+ * of a stored success is not sent to the caller, because it may not continue the tokens already
+ * sent. A record that has not ended, because another entry runs the request or will run it, reads
+ * as a failure. */
+static void adopt_stored_record(completion_t *r, const ledger_client_end_t *stored)
 {
 	buf_free(&r->result);
 	if (stored->done) {
@@ -355,7 +357,7 @@
 	if (st == STATUS_OK)
 		return;
 	if (st == STATUS_CONFLICT) {
-		adopt_stored_end(r, &stored);
+		adopt_stored_record(r, &stored);
 		buf_free(&stored.result);
 		return;
 	}
--- a/src/entry/completion.h
+++ b/src/entry/completion.h
@@ -45,7 +45,7 @@
 void completion_stream_close(completion_t *r);
 /** Waits for the first token or the end. Returns true if there are tokens to read. */
 bool completion_wait_first(completion_t *r);
-/** Waits for events and copies up to `max` bytes of them. Returns 0 at the end. */
+/** Waits for events and moves up to `max` bytes of them to `out`. Returns 0 at the end. */
 size_t completion_read(completion_t *r, char *out, size_t max);
 /** Waits for the end and copies the outcome. */
 void completion_wait_end(completion_t *r, completion_outcome_t *out);
--- a/src/entry/filter_accept.c
+++ b/src/entry/filter_accept.c
@@ -66,8 +66,9 @@
 }
 
 /* The acceptance may have been committed although its commit timed out. Starts a thread that
- * commits "not run" as the request's end, which is true so far, and keeps entries from running the
- * request later. */
+ * commits "not run" as the request's end, because this entry does not run it; so no entry runs the
+ * request later. Until that commit another entry may take the request over, so the reply says
+ * may_have_run. */
 static void end_unconfirmed(filter_call_t *c)
 {
 	unconfirmed_t *a = mem_new(sizeof(*a));
--- a/src/entry/httpd.h
+++ b/src/entry/httpd.h
@@ -22,9 +22,10 @@
 /** Returns a header or a path or query parameter; empty if absent. */
 str_t httpd_header(const struct _u_request *req, const char *name);
 str_t httpd_param(const struct _u_request *req, const char *name);
-/** Parses an integer; returns `fallback` if it is absent or malformed. */
+/** Parses an integer from a string that ends with a NUL byte; returns `fallback` if it is absent or
+ * malformed. */
 int64_t httpd_int(str_t s, int64_t fallback);
-/** Parses a timeout in ms and clamps it to 0..1 year; `fallback` if absent or malformed. */
+/** The same for a timeout in ms; clamps it to 0..1 year. */
 int64_t httpd_timeout_ms(str_t s, int64_t fallback);
 /** True if a key, job id or path is non-empty printable ASCII without spaces, so that it can't
  * break a header, a request line or a log line. JSON still needs escaping. */
--- a/src/entry/job_api_submit.c
+++ b/src/entry/job_api_submit.c
@@ -37,6 +37,7 @@
 	wire_job_t job; /* from the ledger's last answer; its strings are freed */
 } submission_t;
 
+/* Appends the lines of the body that are not empty; each is an item. */
 static void split_lines(str_t body, lines_t *out)
 {
 	while (body.n) {
--- a/src/entry/local_replica.c
+++ b/src/entry/local_replica.c
@@ -112,7 +112,6 @@
 static void on_stream_end(void *ctx, engine_stream_t *s, attempt_outcome_t outcome)
 {
 	local_replica_t *r = ctx;
-
 	bool failed;
 
 	local_replica_ref(r); /* unlock_and_notify drops the stream's reference */
--- a/src/entry/local_replica.h
+++ b/src/entry/local_replica.h
@@ -38,7 +38,7 @@
 				   int64_t *retry_after_ms);
 /** Cancels a stream: removes it from the queue, or cancels it at the engine if it runs. */
 void local_replica_cancel(local_replica_t *r, uint64_t id);
-/** Preempts the newest batch stream; false if there is none. */
+/** Preempts the newest batch stream that is not being cancelled yet; false if there is none. */
 bool local_replica_preempt_newest(local_replica_t *r);
 /** Starts queued streams if slots are free, preempts for the others, and refuses those that can no
  * longer meet their deadline. Call every 10 to 50 ms. */
--- a/src/entry/plain_call.c
+++ b/src/entry/plain_call.c
@@ -149,7 +149,7 @@
 
 /* Replaces the end after a conflict (ledger_client_finish) by the ledger's record, because a caller
  * that retries with the same key gets that record too. */
-static void adopt_stored_end(plain_call_end_t *end, ledger_client_end_t *stored)
+static void adopt_stored_record(plain_call_end_t *end, ledger_client_end_t *stored)
 {
 	end->done = stored->done;
 	end->http_status = stored->http_status;
@@ -181,7 +181,7 @@
 	if (st == STATUS_OK)
 		return STATUS_OK;
 	if (st == STATUS_CONFLICT) {
-		adopt_stored_end(end, &stored);
+		adopt_stored_record(end, &stored);
 		return STATUS_OK;
 	}
 	log_event(LOG_LEVEL_ERROR, "result_not_committed", LOG_STR("key", c->key),
