--- a/src/entry/attempt_start.h
+++ b/src/entry/attempt_start.h
@@ -7,8 +7,10 @@
 #include "entry/attempt.h"
 #include "entry/upstream.h"
 
+/** What a started attempt holds until attempt_release. */
 typedef struct {
-	local_replica_t *replica; /* a reference; NULL if the attempt runs at the owner */
+	local_replica_t *replica; /* a reference; NULL if the attempt was refused or runs at
+				   * another entry */
 	uint64_t stream_id;
 } attempt_handle_t;
 
--- a/src/entry/httpd.h
+++ b/src/entry/httpd.h
@@ -13,8 +13,8 @@
 	httpd_handler_t handler;
 } httpd_endpoint_t;
 
-/** Starts the server; STATUS_IO if the address can't be bound. The endpoints end with a NULL
- * method. */
+/** Starts the server; STATUS_INVALID or STATUS_IO if the address is malformed or can't be bound.
+ * The endpoints end with one whose method is NULL. */
 status_t httpd_start(entry_ctx_t *en, const httpd_endpoint_t *endpoints);
 /** Stops the server and closes all connections. */
 void httpd_stop(void);
@@ -22,9 +22,10 @@
 /** Returns a header or a path or query parameter; empty if absent. */
 str_t httpd_header(const struct _u_request *req, const char *name);
 str_t httpd_param(const struct _u_request *req, const char *name);
-/** Parses an integer; returns `fallback` if it is absent or malformed. */
+/** Parses an integer from a string that ends with a NUL byte; returns `fallback` if it is absent or
+ * malformed. */
 int64_t httpd_int(str_t s, int64_t fallback);
-/** Parses a timeout in ms and clamps it to 0..1 year; `fallback` if absent or malformed. */
+/** The same for a timeout in ms; clamps it to 0..1 year. */
 int64_t httpd_timeout_ms(str_t s, int64_t fallback);
 /** True if a key, job id or path is non-empty printable ASCII without spaces, so that it can't
  * break a header, a request line or a log line. JSON still needs escaping. */
@@ -47,7 +48,8 @@
 			 str_t *name);
 /** True if the request has the peer key of the entries; else replies 401. */
 bool httpd_auth_peer(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res);
-/** True if the body is within max_body_bytes; else replies 413. */
+/** True if the body has at most max_body_bytes, or less than that if the request has no
+ * Content-Length; else replies 413. */
 bool httpd_check_body_size(entry_ctx_t *en, const struct _u_request *req, struct _u_response *res);
 
 #endif
