--- a/src/front/front.h
+++ b/src/front/front.h
@@ -74,10 +74,10 @@
 	deadline_t idle_since; /* 0 while connections are accepted; then the last time at which a
 				  request was open, at first the time when accepting stopped */
 	const char *settings_path;
-	route_table_t *routes; /* NULL until the first config arrives */
+	route_table_t *routes; /* NULL until the first config is in force */
 	uint64_t routes_version;
 	link_config_id_t config_id; /* of the config that routes belongs to */
-	worker_pool_t *decoder; /* one thread, so that deltas are applied in order */
+	worker_pool_t *decoder; /* one thread: decodes one config at a time */
 	bool decoding; /* decoder is decoding a config */
 	link_config_t pending_config; /* the last that arrived during decoding; owned */
 	link_view_t view; /* replicas, entries and control processes, as the leader last sent them;
--- a/src/front/front_held.c
+++ b/src/front/front_held.c
@@ -1,6 +1,6 @@
-/* Requests that arrive before the first config are held until it arrives. A process that has just
- * started usually gets a config within a few tenths of a second, sooner than refused callers would
- * retry. */
+/* Requests that arrive before the first config is in force are held until it is, for HOLD_MS at
+ * most. A process that has just started usually gets a config within a few tenths of a second,
+ * sooner than refused callers would retry. */
 #include <stdlib.h>
 #include <utlist.h>
 #include "base/log.h"
--- a/src/front/front_request.c
+++ b/src/front/front_request.c
@@ -317,8 +317,8 @@
 		end_with_status(q, 503, RETRY_MS, "deadline");
 }
 
-/* True if the request may be retried or resumed after the current attempt. Only then are silence
- * timeouts set. */
+/* True if the request may be retried or resumed even if the current attempt may have run. Only then
+ * does the attempt have silence timeouts. */
 static bool may_retry(const front_request_t *q)
 {
 	return is_repeatable(q) && q->attempts < q->max_attempts;
--- a/src/front/front_routes.c
+++ b/src/front/front_routes.c
@@ -36,7 +36,7 @@
 		snprintf(d->message, sizeof(d->message), "%s", status_message());
 }
 
-/* Sets the limits of callers' connections; keeps the old ones if the config lacks any. */
+/* Sets the limits of callers' connections; keeps all old ones if the config lacks one. */
 static void set_limits(front_t *f, const route_client_limits_t *l)
 {
 	http_limits_t limits = {(size_t)l->header_bytes, (size_t)l->body_bytes, l->header_ms,
--- a/src/policy/dispatch_internal.h
+++ b/src/policy/dispatch_internal.h
@@ -39,7 +39,8 @@
 	deadline_t suspect_until; /* back-off after a failure: gets no work until then */
 	deadline_t ignore_silence_until; /* silence until then does not count as a failure */
 	deadline_t full_until; /* back-off after it rejected a run: until then, its free slots are
-				  not used, but its items may be preempted for requests */
+				  not used, but its items may be preempted, for requests and for
+				  other items */
 	UT_hash_handle hh;
 };
 
@@ -146,6 +147,8 @@
 /** Counts the slots, used or free, of the service's usable replicas. A replica that has not
  * completed a run since its last failure counts as one slot. */
 unsigned dispatch_count_slots(const dispatch_t *d, const service_t *s, deadline_t now);
+/** Counts the free ones of these slots, without those of replicas in back-off after they rejected a
+ * run. */
 unsigned dispatch_count_free_slots(const dispatch_t *d, const service_t *s, deadline_t now);
 /** True if the item could wait out a peak of online requests and still finish by its due time. */
 bool dispatch_item_has_slack(const dispatch_item_t *it, deadline_t now);
--- a/src/policy/owner.h
+++ b/src/policy/owner.h
@@ -100,8 +100,8 @@
 	unsigned running_batch;
 	unsigned cancelling; /* batch streams, not counted in running_batch */
 	unsigned queued;
-	unsigned free_slots; /* for further online streams, including the slots that they would
-				preempt */
+	unsigned free_slots; /* for further online streams, including the slots of batch streams
+				that they would preempt */
 	int64_t step_us; /* recent 95th percentile of the time between tokens */
 	int64_t drain_ms; /* estimated time until an online stream offered now would start */
 	int64_t first_token_ms; /* recent mean time from a stream's start to its first token */
@@ -109,6 +109,7 @@
 	uint64_t refused;
 	uint64_t started;
 } owner_stats_t;
+/** now_ms is unused. */
 void owner_stats(const owner_t *w, int64_t now_ms, owner_stats_t *out);
 
 #endif
--- a/src/policy/owner_capacity.c
+++ b/src/policy/owner_capacity.c
@@ -15,7 +15,7 @@
  * the near mark up to the bound, it is reduced by one; below STEP_GROW_BELOW times the near mark,
  * the limit grows by STEP_GROW streams. Without a bound, the limit is options.slots. */
 #define STEP_WINDOW_MS	 2000
-#define STEP_MIN_SAMPLES 16 /* a window with fewer step times, but not none, is extended */
+#define STEP_MIN_SAMPLES 16 /* a window with fewer step times, but at least one, is extended */
 #define STEP_QUANTILE	 0.95
 #define STEP_NEAR	 0.05
 #define STEP_SHRINK	 0.75
