--- a/src/client/control_client.c
+++ b/src/client/control_client.c
@@ -9,8 +9,8 @@
  * another one. */
 #define ATTEMPT_MAX_MS 700
 #define RETRY_PAUSE_MS 20
-/* For this long, in ms, after the leader could not be reached directly, calls ask other processes
- * to forward them. */
+/* For this long, in ms, after the assumed leader did not answer a call, or answered that the call
+ * timed out, calls ask other processes to forward them. */
 #define FORWARD_MS   5000
 #define POOL_MAX     64 /* idle connections to one control process */
 #define GROUPS_MAX   64
--- a/src/client/control_client.h
+++ b/src/client/control_client.h
@@ -1,8 +1,8 @@
 /**
  * RPC client of the control processes: finds the leader of each group, pools connections and
  * retries a command or query until its deadline (all commands are idempotent). When the leader
- * cannot be reached directly, the client asks another control process to forward the call.
- * Thread-safe.
+ * cannot be reached directly, the client asks another control process to forward the call. Group 0
+ * holds the fleet state; each ledger group holds a part of the requests and jobs. Thread-safe.
  */
 #ifndef AUBURN_CONTROL_CLIENT_H
 #define AUBURN_CONTROL_CLIENT_H
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -45,7 +45,7 @@
 	char *platform; /* URL of the list of VMs that become the upstreams; may be NULL */
 	toml_strs_t controls; /* RPC addresses of the founding control processes, with which the
 				 search for the leader begins */
-	toml_strs_t addr_routes; /* "addr=via": connections to addr go to via */
+	toml_strs_t addr_routes; /* "addr=via": RPC connections to addr go to via */
 	toml_strs_t spares; /* RPC addresses of further control processes; without a hub, they are
 			       the candidates for voters */
 	char *operators; /* ip:port for HTTP calls of operators; may be NULL */
--- a/src/control/control_repair.c
+++ b/src/control/control_repair.c
@@ -275,7 +275,8 @@
 
 /* Takes the next step to remove a member that operators have retired: removes a learner, replaces a
  * voter. If the voter is this leader, it hands over its leadership once the replacement votes, and
- * the next leader removes it. Returns true if a member is retired. */
+ * the next leader removes it. Returns true if a member is retired: if its id is that of a retired
+ * process's replica of group 0, even if g is another group. */
 static bool replace_retired(control_t *ctl, control_group_t *g, const group_status_t *st)
 {
 	for (unsigned i = 0; i < st->npeers; i++) {
--- a/src/control/hub_dispatch.c
+++ b/src/control/hub_dispatch.c
@@ -7,8 +7,9 @@
 #include "control/hub.h"
 
 /** A new leader starts no items for this long, in ms, so that entries can first report the items
- * that they run. Longer than an entry searches for the leader; shorter than the time after which an
- * entry without a leader stops its items (STOP_ITEMS_AFTER_MS), as then it has none to report. */
+ * that they run. Longer than an entry usually searches for the leader; shorter than the time after
+ * which an entry without a leader stops its items (STOP_ITEMS_AFTER_MS), as then it has none to
+ * report. */
 #define ADOPT_HOLD_MS 800
 
 /* ---- callbacks of the dispatcher ---- */
--- a/src/control/main.c
+++ b/src/control/main.c
@@ -83,7 +83,8 @@
 }
 
 /* Adds the control processes that are new in the settings file to those that the hub tries as the
- * leader. New address routes apply, too; all other changes need a restart. */
+ * leader. A new address route applies, too, unless its address has one already; all other changes
+ * need a restart. */
 static void reload(control_t *ctl, const char *path)
 {
 	control_settings_t s;
