--- a/src/front/front.h
+++ b/src/front/front.h
@@ -96,8 +96,8 @@
 /* front_link.c: the link to the leader, and the replicas in the view */
 
 void front_link_start(front_t *f);
-/** While there is no leader: runs the local dispatcher, reads the replica list and, after a while,
- * stops the items. */
+/** While there is no leader: runs the local dispatcher and, after a while, stops the items and
+ * reads the replica list. */
 void front_link_tick(front_t *f, deadline_t now);
 /** Finds a replica in the view, or NULL. */
 const front_replica_t *front_find_replica(const front_t *f, str_t id);
@@ -143,9 +143,9 @@
 typedef enum {
 	FRONT_ATTEMPT_DONE, /* the answer is complete */
 	FRONT_ATTEMPT_UNSENT, /* no connection was made: the replica did not get the request */
-	FRONT_ATTEMPT_BROKEN, /* the answer ended early, was malformed or too long, lacked the id on
-				 a reused connection, or was rejected by the callback event or
-				 bytes */
+	FRONT_ATTEMPT_BROKEN, /* the answer ended early, was malformed or too long, had too many
+				 events in a row without progress, lacked the id on a reused
+				 connection, or was rejected by the callback event or bytes */
 	FRONT_ATTEMPT_SILENT /* no event within the silence timeout */
 } front_attempt_end_t;
 
@@ -225,8 +225,9 @@
 void front_request_begin(front_t *f, http_conn_t *c, const http_request_t *r,
 			 const platform_call_t *call, const route_spec_t *route);
 void front_request_caller_left(front_request_t *q);
-/** A slot was granted: starts an attempt on the replica. Requests another slot instead if the
- * replica leaves or its address is unknown (addr is empty). */
+/** A slot was granted: starts an attempt on the replica. If the replica leaves or its address is
+ * unknown (addr is empty), requests another slot instead; ends the request if an unknown address
+ * brings not_run to its limit. */
 void front_request_granted(front_request_t *q, replica_ref_t replica, str_t addr);
 /** No slot was granted: ends the request. */
 void front_request_refused(front_request_t *q, int64_t retry_ms);
--- a/src/front/front_lot.c
+++ b/src/front/front_lot.c
@@ -10,8 +10,8 @@
 /** Retry-After of calls that were certainly not executed, mostly because there is no leader: one is
  * usually found by then. */
 #define RETRY_NOT_EXECUTED_MS 300
-/** Retry-After when a lot exceeds the quota or the memory for lots: by then some items have
- * finished. */
+/** Retry-After when a lot exceeds the route's quota of waiting tokens or the memory for lots: by
+ * then some items have finished. */
 #define RETRY_LIMIT_MS 1000
 
 typedef struct {
--- a/src/policy/balance.h
+++ b/src/policy/balance.h
@@ -17,8 +17,8 @@
 	int sent_since_report; /* requests sent to the replica by this entry since the report */
 	bool same_zone;
 	bool owned_here; /* the choosing entry owns the replica */
-	bool usable; /* live, owned here or at a known address, its breaker admits a request or
-		      probe, and this request has not tried it yet */
+	bool usable; /* live, owned here or by an entry at a known address, its breaker admits a
+		      request or probe, and this request has not tried it yet */
 	bool prefix_known; /* the replica's cache probably holds the request's prefix */
 	deadline_t reported_at; /* arrival of the last report, in ms; 0 if there was none */
 } balance_candidate_t;
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -28,8 +28,8 @@
 typedef struct dispatch dispatch_t;
 typedef struct dispatch_item dispatch_item_t;
 
-/** How a run on a replica ended. Updates the health of the replica: its back-off, or that it
- * leaves. */
+/** How a run on a replica ended. From this the dispatcher updates the replica's health: its
+ * back-off, and whether it leaves. */
 typedef enum {
 	DISPATCH_OK,
 	DISPATCH_FULL, /* the replica rejected the run without starting it */
@@ -67,7 +67,7 @@
 	 * dispatch_item_add. */
 	void (*start_item)(void *ctx, void *data, uint64_t entry, str_t replica);
 	/** Makes the entry stop an item, because it was preempted or removed. A preempted item is
-	 * queued again only by dispatch_item_requeue. */
+	 * queued again by dispatch_item_requeue, or as an item of a removed entry. */
 	void (*stop_item)(void *ctx, void *data, uint64_t entry);
 } dispatch_callbacks_t;
 
--- a/src/policy/dispatch_internal.h
+++ b/src/policy/dispatch_internal.h
@@ -144,8 +144,8 @@
 void dispatch_prefix_record(dispatch_t *d, uint64_t prefix, replica_t *r);
 /** Drops the recorded prefixes of a replica, or of all replicas if r is NULL. */
 void dispatch_prefix_forget(dispatch_t *d, const replica_t *r);
-/** Counts the slots, used or free, of the service's usable replicas. A replica that has not
- * completed a run since its last failure counts as one slot. */
+/** Counts the slots, used or free, of the service's usable replicas. After a failure, a replica
+ * counts as one slot until a run succeeds or its failures are reset. */
 unsigned dispatch_count_slots(const dispatch_t *d, const service_t *s, deadline_t now);
 /** Counts the free ones of these slots, without those of replicas in back-off after they rejected a
  * run. */
--- a/src/policy/dispatch_pick.c
+++ b/src/policy/dispatch_pick.c
@@ -21,7 +21,8 @@
 	return r->online + r->items;
 }
 
-/* Slots that may be in use: only one after a failure, until a run succeeds. */
+/* Slots that may be in use: only one after a failure, until a run succeeds, the replica restarts or
+ * reset_service_health() is called. */
 static unsigned slots_allowed(const replica_t *r)
 {
 	return r->failures > 0 ? 1 : r->slots;
--- a/src/policy/dispatch_place.c
+++ b/src/policy/dispatch_place.c
@@ -211,9 +211,9 @@
 }
 
 /* Decides about a request that found no slot: true if it goes on waiting, false if it was refused
- * for one of the reasons of dispatch_refusal_t. wait_ms, also the retry time of a refusal,
- * estimates when the request gets a slot: from the mean hold time, as if all slots served only the
- * requests ahead of it. */
+ * for one of the reasons of dispatch_refusal_t. wait_ms, also the retry time of a refusal, is the
+ * estimated time until the request gets a slot: from the mean hold time, as if all slots served
+ * only the requests ahead of it; RETRY_NO_REPLICA_MS if there are no slots. */
 static bool wait_or_refuse(dispatch_t *d, waiter_t *q, request_rank_t rank, const service_t *s,
 			   deadline_t now)
 {
--- a/src/policy/owner_capacity.c
+++ b/src/policy/owner_capacity.c
@@ -13,7 +13,8 @@
  * share STEP_NEAR * latency_weight below the bound, options.step_bound_us. At or over the bound,
  * the limit (or the number of running batch streams if lower) is multiplied by STEP_SHRINK; from
  * the near mark up to the bound, it is reduced by one; below STEP_GROW_BELOW times the near mark,
- * the limit grows by STEP_GROW streams. Without a bound, the limit is options.slots. */
+ * the limit grows by STEP_GROW streams. Without a bound, the limit is options.slots. Batch streams
+ * that are being cancelled count as running. */
 #define STEP_WINDOW_MS	 2000
 #define STEP_MIN_SAMPLES 16 /* a window with fewer step times, but at least one, is extended */
 #define STEP_QUANTILE	 0.95
--- a/src/policy/owner_internal.h
+++ b/src/policy/owner_internal.h
@@ -32,7 +32,7 @@
 	unsigned samples; /* number of step times in the current window */
 	int64_t window_ends_ms;
 	int64_t p95_us; /* 95th percentile in the last complete window, 0 if it was empty */
-	double batch_cap; /* maximum number of running batch streams */
+	double batch_cap; /* maximum number of running batch streams, with those being cancelled */
 } owner_step_t;
 
 /** Peak of online arrivals, by which OWNER_RESERVE_PEAK reserves slots. */
