--- a/bench/batch_load.h
+++ b/bench/batch_load.h
@@ -31,7 +31,8 @@
 batch_load_t *batch_load_start(const batch_load_options_t *o);
 /** Returns the counts so far; open jobs count as of their last poll. */
 void batch_load_get_counts(batch_load_t *j, batch_load_counts_t *out);
-/** Stops submitting and waits until all open jobs have ended, at most wait_ms. */
+/** Stops submitting and waits until no job is open, at most wait_ms. A submission in progress is
+ * not waited for; its job may open afterwards. */
 void batch_load_wait(batch_load_t *j, int wait_ms);
 /** Ends the thread, cancels the open jobs if cancel_open is set, and frees j. */
 void batch_load_stop(batch_load_t *j, bool cancel_open);
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -59,7 +59,8 @@
 
 
 def rpc_bytes(proc):
-    """Returns the bytes passed to the system calls read and write: RPC, and the files of a control process."""
+    """Returns the bytes of the system calls read and write: RPC, files and log lines; not HTTP, which uses send and
+    recv."""
     with open("/proc/%d/io" % proc.p.pid) as f:
         return sum(int(x.split()[1]) for x in f if x.startswith(("rchar", "wchar")))
 
--- a/bench/load_stat.h
+++ b/bench/load_stat.h
@@ -11,7 +11,7 @@
 	LOAD_OK, /* complete and correct */
 	LOAD_REFUSED, /* the error says that the request was not run */
 	LOAD_FAILED, /* any other error, or no end before the load tool gave up */
-	LOAD_BROKEN, /* an event stream with a fault */
+	LOAD_BROKEN, /* an event stream with a fault, or one that broke off on the last attempt */
 	LOAD_OUTCOMES
 } load_outcome_t;
 
@@ -24,14 +24,16 @@
 /** Latencies start at the scheduled arrival of the request, not at the time it was sent. */
 typedef struct {
 	uint64_t outcome[LOAD_OUTCOMES];
-	uint64_t fault[ANSWER_FAULTS]; /* of broken answers */
+	/* first fault of each broken answer; ANSWER_FAULT_NONE, which is not printed, if the
+	 * connection failed */
+	uint64_t fault[ANSWER_FAULTS];
 	uint64_t resends;
 	uint64_t within_goal; /* complete, with the first token within the goal */
 	uint64_t tokens; /* of complete answers */
-	double streaming_s; /* sum over complete answers, first token to last */
+	double streaming_s; /* sum over complete answers, first token to last; printed as busy_s */
 	samples_t first_token_ms;
-	samples_t first_token_unresent_ms; /* of requests that needed no resend */
-	samples_t token_gap_ms; /* between consecutive tokens of one attempt */
+	samples_t first_token_unresent_ms; /* of requests without a resend; printed as direct_* */
+	samples_t token_gap_ms; /* between consecutive tokens of one attempt; printed as step_* */
 	samples_t refused_ms; /* until the refusal */
 } load_stat_t;
 
--- a/bench/online_request.c
+++ b/bench/online_request.c
@@ -14,7 +14,7 @@
 #define HTTP_CONFLICT	  409
 #define HTTP_SERVER_ERROR 500
 
-/* Appends pseudo-random words until b has `length` bytes; the words depend on `number` only. */
+/* Appends whole pseudo-random words, selected by `number`, until b has at least `length` bytes. */
 static void append_words(buf_t *b, unsigned long number, size_t length)
 {
 	unsigned long x = number * 2654435761UL + 1;
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -9,7 +9,7 @@
 
 typedef struct {
 	char *listen;
-	char *name;
+	char *name; /* accepted in the settings, not used */
 	pthread_mutex_t lock;
 	int64_t delay_ms;
 	int64_t lose; /* fault: how many of the next requests are run without a reply */
@@ -32,7 +32,7 @@
 	return st == STATUS_OK ? fake_check_address(c, "listen", s->listen) : st;
 }
 
-/* Returns true if the fault affects one more request, and counts it. */
+/* Returns true if the fault affects this request, and decreases the number of requests left. */
 static bool take_fault(int64_t *left)
 {
 	if (*left <= 0)
@@ -50,7 +50,8 @@
 	return n;
 }
 
-static int handle_run(const struct _u_request *q, struct _u_response *r, void *ctx)
+/* Runs any POST request that matches no route, as a request to the service. */
+static int handle_service_request(const struct _u_request *q, struct _u_response *r, void *ctx)
 {
 	service_t *s = ctx;
 	const char *key = u_map_get_case(q->map_header, "Idempotency-Key");
@@ -114,7 +115,8 @@
 	service_t *s = ctx;
 
 	s->keys = json_object();
-	return fake_http_start(&(fake_http_options_t){s->listen, routes, handle_run, s});
+	return fake_http_start(
+		&(fake_http_options_t){s->listen, routes, handle_service_request, s});
 }
 
 int main(int argc, char **argv)
--- a/fakes/fake_engine.h
+++ b/fakes/fake_engine.h
@@ -12,7 +12,7 @@
 
 typedef struct {
 	char *listen; /* ip:port */
-	char *name;
+	char *name; /* accepted in the settings, not used */
 	char *weight_store; /* base URL; if empty, model loads fetch no weights */
 	int64_t slots; /* streams that run at the same time */
 	/* duration of a step: base + running streams * per_stream + prefilled tokens * prefill */
--- a/fakes/fake_engine_streams.c
+++ b/fakes/fake_engine_streams.c
@@ -228,7 +228,7 @@
 		json_object_set_new(starts, id, json_integer(n + 1));
 }
 
-/* Returns true if the fault affects one more stream, and counts it. */
+/* Returns true if the fault affects this stream, and decreases the number of streams left. */
 static bool take_fault(int64_t *left)
 {
 	if (*left <= 0)
